--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -11,7 +11,7 @@
 #include <random>
 
 #include "../src/base/address.hpp"
-#include "../src/gateway/desk_client.hpp"
+#include "../src/control_plane/http_client.hpp"
 #include "../src/http/client.hpp"
 #include "../src/http/server.hpp"
 
@@ -70,7 +70,7 @@
     void onCallEnd(http::CallEnd how) override;
     Load &load;
     std::shared_ptr<http::ClientConnection> connection;
-    Span due{};
+    Duration due{};
     bool good = false, busy = false;
 };
 
@@ -79,10 +79,10 @@
     SteadyClock clock;
     asio::ip::tcp::endpoint to;
     double rate = 0;  // 0: closed loop
-    Span until{}, from{}, nextAt{};
+    Duration until{}, from{}, nextAt{};
     std::deque<Caller> callers;
-    std::deque<Span> waiting;   // due, no caller free
-    double episodesOverMs = 0;  // 0: not told
+    std::deque<Duration> waiting;  // due, no caller free
+    double episodesOverMs = 0;     // 0: not told
     std::vector<double> tookMs;
     // What happened within each 10 ms, so that an episode can be told from single slow reqs: worst latency,
     // how late the tool's own timer came, how many due reqs found no free caller.
@@ -96,7 +96,7 @@
     std::mt19937_64 chance{1};
     asio::steady_timer timer{io};
 
-    void call(Caller &c, Span due) {
+    void call(Caller &c, Duration due) {
         c.busy = true, c.due = due, c.good = false;
         if (!c.connection || !c.connection->reusable())
             c.connection = std::make_shared<http::ClientConnection>(io, std::size_t{16384});
@@ -107,7 +107,7 @@
         c.connection->call(to, std::chrono::seconds(5), bytes, false, &c);
     }
     void over(Caller &c) {
-        const Span now = clock.now();
+        const Duration now = clock.now();
         if (now >= from) ++done, bad += !c.good, tookMs.push_back(milliseconds(now - c.due));
         auto &here = stretch();
         here.worstMs = std::max(here.worstMs, milliseconds(now - c.due)), ++here.done, here.bad += !c.good;
@@ -116,13 +116,13 @@
         asio::post(io, [this, &c] {
             if (rate == 0) return call(c, clock.now());
             if (waiting.empty()) return void(c.busy = false);
-            const Span due = waiting.front();
+            const Duration due = waiting.front();
             waiting.pop_front();
             call(c, due);
         });
     }
     void schedule() {
-        const Span now = clock.now();
+        const Duration now = clock.now();
         auto &here = stretch();
         here.lateMs = std::max(here.lateMs, milliseconds(now - nextAt));
         while (nextAt <= now) {
@@ -130,16 +130,16 @@
             const auto free = std::ranges::find(callers, false, &Caller::busy);
             if (free != callers.end()) call(*free, nextAt);
             else waiting.push_back(nextAt), ++here.waiting;
-            nextAt += Span{std::max<long>(
+            nextAt += Duration{std::max<long>(
                 1, std::lround(-std::log(1 - std::generate_canonical<double, 32>(chance)) / rate * 1e6))};
         }
         if (now >= until) return io.stop();
-        timer.expires_after(std::max(Span{0}, nextAt - now));
+        timer.expires_after(std::max(Duration{0}, nextAt - now));
         timer.async_wait([this](asio::error_code) { schedule(); });
     }
     int run(int connections, double seconds) {
         from = clock.now() + std::chrono::seconds(1), nextAt = clock.now();
-        until = from + Span{std::llround(seconds * 1e6)};
+        until = from + Duration{std::llround(seconds * 1e6)};
         for (int k = 0; k < connections; ++k) callers.emplace_back(*this);
         if (rate > 0) schedule();
         else
@@ -154,7 +154,7 @@
         if (episodesOverMs > 0)
             for (const auto &[index, s] : stretches)
                 if (s.worstMs > episodesOverMs || s.bad)
-                    std::cout << json{{"atS", double((from + index * Span{10000}).count()) / 1e6},
+                    std::cout << json{{"atS", double((from + index * Duration{10000}).count()) / 1e6},
                                       {"worstMs", s.worstMs},
                                       {"toolLateMs", s.lateMs},
                                       {"due", s.due},
--- a/bench/sources_bench.cpp
+++ b/bench/sources_bench.cpp
@@ -10,8 +10,8 @@
 #include <thread>
 
 #include "../src/dns/resolver.hpp"
+#include "../src/fakes/name_server.hpp"
 #include "../src/membership/claims.hpp"
-#include "../src/standin/name_server.hpp"
 
 namespace {
 
@@ -20,32 +20,32 @@
 using std::chrono::seconds;
 
 // Gateways that follow one name of a lifetime for some hours: questions in each second.
-json questions(int gateways, int lifetimeS, bool atExpiry, Span outageFrom, Span outageUntil) {
-    const Span lasts = seconds(3600);
+json questions(int gateways, int lifetimeS, bool atExpiry, Duration outageFrom, Duration outageUntil) {
+    const Duration lasts = seconds(3600);
     struct Due {
-        Span at{};
+        Duration at{};
         int gateway = 0;
         bool operator>(const Due &o) const { return at > o.at; }
     };
     std::priority_queue<Due, std::vector<Due>, std::greater<>> due;
     std::vector<dns::Refresh> refresh;
-    std::vector<int> perSecond(std::size_t(lasts / Span{seconds(1)}) + 1);
+    std::vector<int> perSecond(std::size_t(lasts / Duration{seconds(1)}) + 1);
     dns::Found found;
     found.kind = dns::FoundKind::servers, found.seconds = std::uint32_t(lifetimeS);
     for (int g = 0; g < gateways; ++g) {
         refresh.emplace_back(dns::RefreshRules{}, std::uint32_t(g + 1));
-        due.push({atExpiry ? Span{0} : refresh.back().first(false), g});  // all started at once
+        due.push({atExpiry ? Duration{0} : refresh.back().first(false), g});  // all started at once
     }
     while (due.top().at < lasts) {
         const Due now = due.top();
         due.pop();
-        ++perSecond[std::size_t(now.at / Span{seconds(1)})];
+        ++perSecond[std::size_t(now.at / Duration{seconds(1)})];
         const bool fails = now.at >= outageFrom && now.at < outageUntil;
         auto &r = refresh[std::size_t(now.gateway)];
-        const Span lifetime = r.lifetime(found);
-        const Span in = atExpiry ? (fails ? Span{seconds(1)} : lifetime)
-                        : fails  ? r.afterFailure()
-                                 : r.afterAnswer(lifetime);
+        const Duration lifetime = r.lifetime(found);
+        const Duration in = atExpiry ? (fails ? Duration{seconds(1)} : lifetime)
+                            : fails  ? r.afterFailure()
+                                     : r.afterAnswer(lifetime);
         due.push({now.at + in, now.gateway});
     }
     // The first minute is the start that all share.
@@ -71,9 +71,9 @@
     found.kind = dns::FoundKind::servers, found.seconds = std::uint32_t(lifetimeS);
     for (int run = 0; run < 20000; ++run) {
         dns::Refresh r({}, std::uint32_t(run + 1));
-        const Span lifetime = r.lifetime(found);
-        const Span change{std::int64_t(double(lifetime.count()) * (1 + part()))};
-        Span at = r.first(false);
+        const Duration lifetime = r.lifetime(found);
+        const Duration change{std::int64_t(double(lifetime.count()) * (1 + part()))};
+        Duration at = r.first(false);
         while (true) {
             const bool fails = part() < lostPart;
             if (at >= change && !fails) break;
@@ -89,7 +89,7 @@
             {"most", shares.back()}};
 }
 
-membership::Reading fleet(int instances, Span at, int without) {
+membership::Reading fleet(int instances, Duration at, int without) {
     membership::Reading r{at, seconds(30), "ns", {}, false, {}};
     for (int k = 0; k < instances; ++k) {
         if (k == without) continue;
@@ -109,17 +109,17 @@
     rules.longestStale = seconds(3600), rules.grace = seconds(30), rules.reserveBelow = 1;
     membership::Merge merge(rules);
     const SteadyClock clock;
-    Span now{}, took{}, looked{};
+    Duration now{}, took{}, looked{};
     constexpr int kRounds = 200;
     for (int round = 0; round < kRounds; ++round) {
         now += seconds(20);
         for (int k = 0; k < sources; ++k) {
             auto r = fleet(instances, now, round % instances);
-            const Span a = clock.now();
+            const Duration a = clock.now();
             merge.took(std::size_t(k), std::move(r));
             took += clock.now() - a;
         }
-        const Span b = clock.now();
+        const Duration b = clock.now();
         const auto view = merge.at(now);
         looked += clock.now() - b;
         if (view.members.size() < std::size_t(instances) / 2) std::abort();
@@ -161,7 +161,7 @@
     orders.servers = {at}, orders.refresh.floor = std::chrono::milliseconds(20);
     orders.refresh.ceiling = std::chrono::milliseconds(20), orders.questionsASecond = 10000;
     dns::Resolver r(io, clock, orders, 1,
-                    [&](const std::string &, const dns::Found &found, Span, std::size_t) {
+                    [&](const std::string &, const dns::Found &found, Duration, std::size_t) {
                         ++lookups, targets = found.targets.size();
                     });
     r.follow("_relay._tcp.example.org.", false);
@@ -179,7 +179,7 @@
 int main(int argc, char **argv) {
     CLI::App app{"measurements of SRV sources"};
     CLI11_PARSE(app, argc, argv);
-    const Span none = seconds(4000);
+    const Duration none = seconds(4000);
     for (const int lifetime : {30, 300})
         for (const bool atExpiry : {true, false}) {
             std::cout << questions(380, lifetime, atExpiry, none, none).dump() << '\n';
--- a/fuzz/dns_reply.cpp
+++ b/fuzz/dns_reply.cpp
@@ -2,7 +2,7 @@
 // again. The bounds of src/dns/lookup.hpp must hold whatever came.
 #include <cstdlib>
 
-#include "../src/dns/asking.hpp"
+#include "../src/dns/query_schedule.hpp"
 #include "../src/membership/claims.hpp"
 
 using namespace deckcart;
@@ -39,7 +39,7 @@
     demand(lookup.over());
     demand(lookup.found().targets.size() <= bounds.targets);
     const auto reading =
-        membership::readingOf({"n.", 1, 0, 0}, lookup.found(), dns::Span{1}, dns::Span{1}, "ns");
+        membership::readingOf({"n.", 1, 0, 0}, lookup.found(), dns::Duration{1}, dns::Duration{1}, "ns");
     demand(reading.claims.size() <= bounds.targets * bounds.addresses);
     for (const auto &c : reading.claims) demand(c.entry.weight >= 0.001 && c.entry.weight <= 1);
     return 0;
--- a/include/deckcart/policy.hpp
+++ b/include/deckcart/policy.hpp
@@ -1,5 +1,5 @@
 // The interface of the decision module: what can happen to a gateway, what it can do, and the one entry
-// point between the two. Types only; every decision is taken in src/policy.cpp.
+// point between the two. Types only; every decision is taken in src/policy/policy.cpp.
 #pragma once
 
 #include <chrono>
@@ -13,8 +13,11 @@
 
 namespace deckcart {
 
-using Span = std::chrono::microseconds;  // a time is the span since the clock's start
-using InstanceId = std::int64_t;         // one running gateway
+// A length of time in microseconds. Points in time are durations since the clock's start.
+using Duration = std::chrono::microseconds;
+// A point in time: the duration since the clock's start. The same type for now.
+using TimePoint = Duration;
+using InstanceId = std::int64_t;  // one running gateway
 using ReqId = std::uint64_t;
 using ServerId = std::string;
 using BuildNo = int;
@@ -29,10 +32,10 @@
 enum class Verdict { none, on, hold, back };
 
 struct Route {
-    Span latencyObjective{};  // when an answer is wanted
+    Duration latencyObjective{};  // when an answer is wanted
     Effect effect = Effect::retriable;
     Group group = Group::all;
-    Span repeatWindow{};
+    Duration repeatWindow{};
 };
 
 struct StartValues {
@@ -45,18 +48,18 @@
     bool mayCopy = false;
     bool mayCancel = false;
     int mostTries = 1;
-    Span longestRetryAfter{};
-    Span sendsWithin{};  // a try may reach its server so much later than it was decided
+    Duration longestRetryAfter{};
+    Duration sendsWithin{};  // a try may reach its server so much later than it was decided
     bool retryAfterTold = false;
     bool listMustBeAsked = false;
-    Span askWithin{};
+    Duration askWithin{};
     double crossZoneFee = 0;
     int inHandField = -1;  // place of the reqs in hand in a report to a probe; -1: not told, or no probes
     // figures of the rules
     double coldFrom = 1;
-    Span warmWithin{};
+    Duration warmWithin{};
     double tipMultiple = 1;
-    Span overloadFor{};
+    Duration overloadFor{};
     // releases
     Gate gate = Gate::firstVote;
     bool replacedInPlace = false;
@@ -64,12 +67,12 @@
     bool keysStay = false;
     int guardedStages = 0;
     double spareTries = 0;
-    Span exposureSpan{};
+    Duration exposureSpan{};
     std::vector<double> exposureCaps;
     std::vector<double> stageShares;
-    Span leastStage{};  // a stage lasts so long at least; 0: not told
-    Span voteLife{};
-    Span voteAnswerWithin{};
+    Duration leastStage{};  // a stage lasts so long at least; 0: not told
+    Duration voteLife{};
+    Duration voteAnswerWithin{};
     int votesToGoBack = 1;
     double wrongReported = 0;  // part of the wrong answers that is reported
 };
@@ -81,7 +84,7 @@
     BuildNo build = 0;
     Readiness readiness = Readiness::live;
     double weight = 1;
-    std::optional<Span> startedAt;  // empty: long ago
+    std::optional<Duration> startedAt;  // empty: long ago
 };
 
 // ---- what happened ----
@@ -99,7 +102,7 @@
     std::string key;
     int route = 0;
     int account = 0;
-    Span notAfter{};
+    Duration notAfter{};
 };
 struct TryEnded {
     ReqId req = 0;
@@ -122,18 +125,18 @@
     int step = 0;
     Phase phase = Phase::onTrial;
     double cap = 0;
-    Span since{};
+    Duration since{};
 };
 struct TallyTold {
     BuildNo build = 0;
     int route = 0;
     int counted = 0;
     int lost = 0;
-    Span since{};
+    Duration since{};
 };
 struct WrongReported {
     ServerId server;
-    Span since{};  // its try was sent
+    Duration since{};  // its try was sent
 };
 using Event = std::variant<Started, Stopped, ListTold, ListFailed, ReqArrived, TryEnded, ReqGone, TimerFired,
                            ProbeEnded, StageNews, TallyTold, WrongReported>;
@@ -149,13 +152,13 @@
 };
 struct Shed {
     ReqId req = 0;
-    Span retryIn{};
+    Duration retryIn{};
 };
 struct EndErrored {
     ReqId req = 0;
 };
 struct SetTimer {
-    Span after{};
+    Duration after{};
 };
 struct Probe {
     ServerId server;
@@ -179,7 +182,7 @@
     Policy();
     ~Policy();
     // The entry point: what happened to this instance at this time, in order; returns what it does now.
-    std::vector<Action> decide(InstanceId who, Span now, const std::vector<Event> &happened);
+    std::vector<Action> decide(InstanceId who, Duration now, const std::vector<Event> &happened);
 
   private:
     struct Record;
--- a/src/base/back_off.hpp
+++ b/src/base/back_off.hpp
@@ -9,9 +9,9 @@
 namespace deckcart {
 
 // Doubles with each failure in a row before this one, from `first` up to `most`; of it the drawn part.
-inline Span backedOff(Span first, Span most, int failures, double part) {
-    const Span whole = std::min(most, first * (1 << std::min(failures, 6)));
-    return Span{std::llround(double(whole.count()) * part)};
+inline Duration backedOff(Duration first, Duration most, int failures, double part) {
+    const Duration whole = std::min(most, first * (1 << std::min(failures, 6)));
+    return Duration{std::llround(double(whole.count()) * part)};
 }
 
 }  // namespace deckcart
--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -5,22 +5,25 @@
 
 namespace deckcart {
 
-using Span = std::chrono::microseconds;  // a time is the span since the clock's start
+// A length of time in microseconds. Points in time are durations since the clock's start.
+using Duration = std::chrono::microseconds;
+// A point in time: the duration since the clock's start. The same type for now.
+using TimePoint = Duration;
 
 class Clock {
   public:
     virtual ~Clock() = default;
-    virtual Span now() const = 0;
+    virtual Duration now() const = 0;
 };
 
 // CLOCK_MONOTONIC, the same in all processes of one machine until it restarts.
 class SteadyClock final : public Clock {
   public:
-    Span now() const override {
-        return std::chrono::duration_cast<Span>(std::chrono::steady_clock::now().time_since_epoch());
+    Duration now() const override {
+        return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
     }
 };
 
-inline double milliseconds(Span s) { return std::chrono::duration<double, std::milli>(s).count(); }
+inline double milliseconds(Duration s) { return std::chrono::duration<double, std::milli>(s).count(); }
 
 }  // namespace deckcart
--- a/src/base/socket.cpp
+++ b/src/base/socket.cpp
@@ -27,7 +27,7 @@
     return !fault ? Unread::bytes : fault == asio::error::would_block ? Unread::nothing : Unread::end;
 }
 
-void connectWithin(tcp::socket &socket, asio::steady_timer &timer, const tcp::endpoint &to, Span within,
+void connectWithin(tcp::socket &socket, asio::steady_timer &timer, const tcp::endpoint &to, Duration within,
                    std::function<void(bool)> done) {
     timer.expires_after(within);
     timer.async_wait([done](asio::error_code fault) {
--- a/src/cli/api_calls.cpp
+++ b/src/cli/api_calls.cpp
@@ -7,7 +7,7 @@
 
 #include "../base/address.hpp"
 #include "../http/fetch.hpp"
-#include "../settings/orders.hpp"
+#include "../settings/gateway_settings.hpp"
 
 namespace deckcart::cli {
 namespace {
@@ -15,7 +15,7 @@
 using nlohmann::json;
 
 constexpr int kFailed = 1, kBadInput = 2;
-constexpr Span kAnswerWithin = std::chrono::seconds(10);
+constexpr Duration kAnswerWithin = std::chrono::seconds(10);
 
 int call(const std::string &api, const std::string &method, const std::string &path, const std::string &body,
          const std::function<std::string(const std::string &)> &shown = nullptr) {
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -7,7 +7,7 @@
 #include "../gateway/service.hpp"
 #include "../platform/service.hpp"
 #include "api_calls.hpp"
-#include "rehearse.hpp"
+#include "scenario_command.hpp"
 
 namespace {
 
--- a/src/cli/scenario_command.cpp
+++ b/src/cli/scenario_command.cpp
@@ -1,4 +1,4 @@
-#include "rehearse.hpp"
+#include "scenario_command.hpp"
 
 #include <filesystem>
 #include <fmt/format.h>
@@ -6,7 +6,7 @@
 #include <iostream>
 
 #include "../base/snapshot.hpp"
-#include "../rehearsal/rehearse.hpp"
+#include "../scenarios/runner.hpp"
 
 namespace deckcart::cli {
 namespace {
--- a/src/control_plane/http_client.cpp
+++ b/src/control_plane/http_client.cpp
@@ -1,4 +1,4 @@
-#include "desk_client.hpp"
+#include "http_client.hpp"
 
 #include <stdexcept>
 
@@ -17,7 +17,7 @@
         throw std::invalid_argument(std::string("field ") + name + " is missing or has a wrong type");
     }
 }
-Span milli(double ms) { return Span{std::llround(ms * 1000)}; }
+Duration milli(double ms) { return Duration{std::llround(ms * 1000)}; }
 
 template <class E>
 E named(const json &from, const char *name, std::initializer_list<std::pair<const char *, E>> known) {
@@ -85,7 +85,7 @@
     return {s.id, orders.zoneNo(s.zone), s.cell, s.build, s.readiness, s.weight, {}};
 }
 
-ListedServer listedOf(const ServerEntry &e, const std::vector<std::string> &zones, Span now) {
+ListedServer listedOf(const ServerEntry &e, const std::vector<std::string> &zones, Duration now) {
     ListedServer s;
     s.id = e.id, s.cell = e.cell, s.build = e.build, s.readiness = e.readiness, s.weight = e.weight;
     if (std::size_t(e.zone) < zones.size()) s.zone = zones[std::size_t(e.zone)];
@@ -208,7 +208,7 @@
     tell(StageNews{answersVote, how, s.build, s.step, s.phase, s.cap, s.since});
 }
 
-void DeskClient::vote(const Vote &vote, Span within) {
+void DeskClient::vote(const Vote &vote, Duration within) {
     if (!orders.desk) return;
     auto head = request("POST", "/v1/votes");
     head.headers = {{"Content-Type", "application/json"},
--- a/src/control_plane/http_client.hpp
+++ b/src/control_plane/http_client.hpp
@@ -6,9 +6,9 @@
 #include <functional>
 #include <nlohmann/json.hpp>
 
+#include "../gateway/transport.hpp"
 #include "../http/fetch.hpp"
-#include "../settings/orders.hpp"
-#include "ways.hpp"
+#include "../settings/gateway_settings.hpp"
 
 namespace deckcart {
 
@@ -21,8 +21,8 @@
     BuildNo build = 0;
     Readiness readiness = Readiness::live;
     double weight = 1;
-    std::string incarnation;  // another one for each start of the instance
-    std::optional<Span> age;  // since that start, when this was written; empty: long ago
+    std::string incarnation;      // another one for each start of the instance
+    std::optional<Duration> age;  // since that start, when this was written; empty: long ago
 };
 nlohmann::json toJson(const ListedServer &server);
 ListedServer readListed(const nlohmann::json &from);
@@ -30,14 +30,14 @@
 ServerEntry entryOf(const ListedServer &server, const GatewayOrders &orders);
 
 // The way back, with its age at `now`.
-ListedServer listedOf(const ServerEntry &entry, const std::vector<std::string> &zones, Span now);
+ListedServer listedOf(const ServerEntry &entry, const std::vector<std::string> &zones, Duration now);
 
 struct ToldStage {
     BuildNo build = 0;
     int step = 0;
     Phase phase = Phase::released;
     double cap = 1;
-    Span since{};
+    Duration since{};
 };
 nlohmann::json toJson(const ToldStage &stage);
 ToldStage readStage(const nlohmann::json &from);
@@ -49,14 +49,14 @@
 class DeskClient : public Desk {
   public:
     using Tell = std::function<void(Event)>;
-    using Now = std::function<Span()>;
+    using Now = std::function<Duration()>;
     DeskClient(asio::io_context &context, const GatewayOrders &orders, Now now, Tell tell);
     ~DeskClient() override;
     DeskClient(const DeskClient &) = delete;
     DeskClient &operator=(const DeskClient &) = delete;
 
     void follow(bool active) override;
-    void vote(const Vote &vote, Span within) override;
+    void vote(const Vote &vote, Duration within) override;
 
   private:
     void list();
@@ -76,7 +76,7 @@
     http::Fetches calls;
     // When each start of an instance was, on this gateway's clock: it must not move from one telling to the
     // next.
-    std::map<std::pair<ServerId, std::string>, Span> starts;
+    std::map<std::pair<ServerId, std::string>, Duration> starts;
 };
 
 }  // namespace deckcart
--- a/src/dns/lookup.cpp
+++ b/src/dns/lookup.cpp
@@ -63,7 +63,7 @@
     return std::string(rest);
 }
 
-std::map<std::string, KnownAddresses> aged(std::map<std::string, KnownAddresses> known, Span passed) {
+std::map<std::string, KnownAddresses> aged(std::map<std::string, KnownAddresses> known, Duration passed) {
     const auto gone = std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(passed).count());
     for (auto &[target, there] : known) there.seconds = there.seconds > gone ? there.seconds - gone : 0;
     return known;
--- a/src/dns/lookup.hpp
+++ b/src/dns/lookup.hpp
@@ -9,7 +9,7 @@
 
 namespace deckcart::dns {
 
-using Span = std::chrono::microseconds;
+using Duration = std::chrono::microseconds;
 
 struct LookupBounds {
     std::size_t targets = 1024;  // servers of a name; further ones are left out, with a note
@@ -50,7 +50,7 @@
 };
 
 // What is left of their lifetimes: asking for each target at each turn would be 300 questions.
-std::map<std::string, KnownAddresses> aged(std::map<std::string, KnownAddresses> known, Span passed);
+std::map<std::string, KnownAddresses> aged(std::map<std::string, KnownAddresses> known, Duration passed);
 
 class Lookup {
   public:
--- a/src/dns/query_schedule.hpp
+++ b/src/dns/query_schedule.hpp
@@ -12,15 +12,15 @@
 class ServerMemory {
   public:
     explicit ServerMemory(std::size_t servers) : known(servers) {}
-    void answered(std::size_t server, Span took);
-    void silent(std::size_t server, Span now);  // no answer, or none that is of use
+    void answered(std::size_t server, Duration took);
+    void silent(std::size_t server, Duration now);  // no answer, or none that is of use
     // All of them, best first: those that are not to be left alone, in the order given by the operator as
     // long as they answer about as fast; then the others, the one that failed longest ago first.
-    std::vector<std::size_t> order(Span now) const;
+    std::vector<std::size_t> order(Duration now) const;
     struct Known {
-        Span smoothed{};   // of the answers' times, RFC 6298 (2): 7/8 old, 1/8 new; zero: none yet
-        int failures = 0;  // in a row
-        Span aloneUntil{}, failedAt{};
+        Duration smoothed{};  // of the answers' times, RFC 6298 (2): 7/8 old, 1/8 new; zero: none yet
+        int failures = 0;     // in a row
+        Duration aloneUntil{}, failedAt{};
     };
     const Known &of(std::size_t server) const { return known.at(server); }
 
@@ -31,7 +31,7 @@
 struct Attempt {
     std::size_t server = 0;
     bool tcp = false, edns = true;
-    Span within{};  // no answer by then: the next one
+    Duration within{};  // no answer by then: the next one
 };
 
 // Whether such a reply is held against its server, as silence is: it knows the question and won't answer.
@@ -58,8 +58,8 @@
 };
 
 struct RefreshRules {
-    Span floor = std::chrono::seconds(5), ceiling = std::chrono::hours(1);  // of lifetimes
-    Span negativeCeiling =
+    Duration floor = std::chrono::seconds(5), ceiling = std::chrono::hours(1);  // of lifetimes
+    Duration negativeCeiling =
         std::chrono::minutes(5);  // of negative answers, as RFC 2308 (5) advises: below 3 h
 };
 
@@ -67,12 +67,12 @@
 class Refresh {
   public:
     Refresh(RefreshRules with, std::uint32_t seed) : rules(with), chance(seed) {}
-    Span lifetime(const Found &found) const;  // clamped
+    Duration lifetime(const Found &found) const;  // clamped
     // Spans from now.
-    Span first(bool haveView);        // of a start, so that gateways started together don't ask in step
-    Span afterAnswer(Span lifetime);  // ahead of the end, at a moment drawn anew each time
-    Span afterFailure();              // doubling from one to the next, drawn anew each time
-    Span sooner(Span wanted);         // when a reading is to be confirmed
+    Duration first(bool haveView);  // of a start, so that gateways started together don't ask in step
+    Duration afterAnswer(Duration lifetime);  // ahead of the end, at a moment drawn anew each time
+    Duration afterFailure();                  // doubling from one to the next, drawn anew each time
+    Duration sooner(Duration wanted);         // when a reading is to be confirmed
 
   private:
     double part(double from, double to);
@@ -87,11 +87,11 @@
   public:
     explicit QuestionCap(double aSecond) : rate(aSecond), left(aSecond) {}
     // Zero: it may go now and is counted; else how long to wait before asking here again.
-    Span take(Span now);
+    Duration take(Duration now);
 
   private:
     double rate, left;
-    Span last{};
+    Duration last{};
 };
 
 }  // namespace deckcart::dns
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -26,8 +26,8 @@
     std::optional<Lookup> lookup;
     std::size_t server = 0;  // that answered the SRV question
     std::map<std::string, KnownAddresses> addresses;
-    Span addressesAt{};
-    Span due{};  // of the timer
+    Duration addressesAt{};
+    Duration due{};  // of the timer
 };
 
 struct Resolver::Query {
@@ -38,7 +38,7 @@
     Asking asking;
     Attempt now;
     std::uint16_t id = 0;
-    Span sentAt{};
+    Duration sentAt{};
     asio::steady_timer timer;
     udp::socket datagrams;
     tcp::socket stream;
@@ -70,14 +70,14 @@
     wait(of, of.refresh.first(haveView));
 }
 
-void Resolver::askAgainIn(const std::string &name, Span wanted) {
+void Resolver::askAgainIn(const std::string &name, Duration wanted) {
     const auto it = followed.find(name);
     if (it == followed.end() || it->second->lookup) return;
-    const Span in = it->second->refresh.sooner(wanted);
+    const Duration in = it->second->refresh.sooner(wanted);
     if (clock.now() + in < it->second->due) wait(*it->second, in);
 }
 
-void Resolver::wait(Followed &of, Span span) {
+void Resolver::wait(Followed &of, Duration span) {
     of.due = clock.now() + span;
     of.timer.expires_after(span);
     of.timer.async_wait([this, &of, here = alive](asio::error_code fault) {
@@ -105,7 +105,7 @@
     const Found found = of.lookup->found();
     if (found.kind != FoundKind::failed) of.addresses = of.lookup->addresses(), of.addressesAt = clock.now();
     of.lookup.reset();
-    const Span lifetime = of.refresh.lifetime(found);
+    const Duration lifetime = of.refresh.lifetime(found);
     wait(of, found.kind == FoundKind::failed ? of.refresh.afterFailure() : of.refresh.afterAnswer(lifetime));
     tell(of.name, found, lifetime, of.server);
 }
@@ -128,7 +128,7 @@
 
 void Resolver::sendWaiting() {
     while (!waiting.empty() && out.size() < orders.inFlight && !capWaits) {
-        if (const Span in = cap.take(clock.now()); in > Span{0}) {
+        if (const Duration in = cap.take(clock.now()); in > Duration{0}) {
             capWaits = true;
             capTimer.expires_after(in);
             capTimer.async_wait([this, here = alive](asio::error_code fault) {
--- a/src/dns/resolver.hpp
+++ b/src/dns/resolver.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 
 #include "../base/clock.hpp"
-#include "asking.hpp"
+#include "query_schedule.hpp"
 
 namespace deckcart::dns {
 
@@ -27,8 +27,8 @@
   public:
     // A name was looked up. `server` is the place in ResolverOrders::servers of the SRV reply; meaningless
     // where it failed.
-    using Tell =
-        std::function<void(const std::string &name, const Found &found, Span lifetime, std::size_t server)>;
+    using Tell = std::function<void(const std::string &name, const Found &found, Duration lifetime,
+                                    std::size_t server)>;
     Resolver(asio::io_context &context, const Clock &clock, ResolverOrders orders, std::uint64_t seed,
              Tell tell);
     ~Resolver();
@@ -38,7 +38,7 @@
     // Follows the name until the end. `haveView`: there is something to go by until the first answer.
     void follow(const std::string &name, bool haveView);
     // Asks again so much later instead of when it was to be, unless that is sooner.
-    void askAgainIn(const std::string &name, Span wanted);
+    void askAgainIn(const std::string &name, Duration wanted);
     const ResolverCounts &counts() const { return counted; }
 
   private:
@@ -47,7 +47,7 @@
     void startLookup(Followed &of);
     void goOn(Followed &of);
     void over(Followed &of);
-    void wait(Followed &of, Span span);
+    void wait(Followed &of, Duration span);
     void put(std::shared_ptr<Query> query);
     void sendWaiting();
     void attempt(const std::shared_ptr<Query> &query);
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -15,7 +15,7 @@
     int route = 0, tries = 0, mostTries = 1;
     std::string key, account, mark;
     double workMs = 0;
-    Span asked{}, givesUp{};
+    Duration asked{}, givesUp{};
 };
 
 class Clients::Call : public http::CallSink, public std::enable_shared_from_this<Call> {
@@ -51,16 +51,16 @@
         for (auto &one : list) one->onIdleClosed = nullptr, one->drop();
 }
 
-void Clients::start(Span end) {
+void Clients::start(Duration end) {
     begun = nextAt = world.clock.now(), until = end;
     seconds.resize(std::size_t((until - begun) / std::chrono::seconds(1)) + 1);
     arrive();
 }
 
 void Clients::arrive() {
-    nextAt += Span{std::llround(-std::log(1 - chance01()) / (world.day.reqsPerS * burst) * 1e6)};
+    nextAt += Duration{std::llround(-std::log(1 - chance01()) / (world.day.reqsPerS * burst) * 1e6)};
     if (nextAt >= until) return void(ended = true);
-    next.expires_after(std::max(Span{0}, nextAt - world.clock.now()));
+    next.expires_after(std::max(Duration{0}, nextAt - world.clock.now()));
     next.async_wait([this, here = std::weak_ptr(alive)](asio::error_code fault) {
         if (fault || here.expired()) return;
         const auto &d = world.day;
@@ -93,7 +93,7 @@
 
 void Clients::ask(std::shared_ptr<Req> req, int avoid) {
     const auto &d = world.day;
-    const Span now = world.clock.now();
+    const Duration now = world.clock.now();
     double sum = 0;
     for (std::size_t k = 0; k < gateways.size(); ++k) sum += int(k) == avoid ? 0 : gateways[k].weight;
     double at = chance01() * sum;
@@ -107,13 +107,13 @@
     call->no = ++named, call->gateway = gateway, call->record = world.records.clients.size();
     ++req->tries;
     const auto &r = d.routes[std::size_t(req->route)];
-    const Span patience = Span{std::llround(double(r.routeTimeout.count()) *
-                                            (d.leastPatience + (1 - d.leastPatience) * chance01()))};
+    const Duration patience = Duration{std::llround(double(r.routeTimeout.count()) *
+                                                    (d.leastPatience + (1 - d.leastPatience) * chance01()))};
     ClientRecord record;
     record.req = "r" + std::to_string(call->no), record.route = req->route, record.gateway = gateway,
     record.key = req->key;
     record.sent = now, record.givesUp = std::min(now + patience, req->givesUp);
-    const Span left = record.givesUp - now;
+    const Duration left = record.givesUp - now;
     auto &idle = idleTo[std::size_t(gateway)];
     while (!idle.empty() && !idle.back()->reusable()) idle.pop_back();
     if (idle.empty())
@@ -149,12 +149,12 @@
     const auto held = call.shared_from_this();
     calls.erase(call.no);
     call.timer.cancel();
-    const Span now = world.clock.now();
+    const Duration now = world.clock.now();
     auto &record = world.records.clients[call.record];
     const auto req = call.req;
     const auto *said = call.answer.find("Deckcart-End");
     bool wrong = false;
-    Span back = std::chrono::milliseconds(100);
+    Duration back = std::chrono::milliseconds(100);
     if (call.timedOut) record.end = ClientEnd::none;
     else if (call.ended == http::CallEnd::complete) {
         record.answers = 1, record.answered = now;
@@ -183,7 +183,7 @@
     const auto &rule = d.routes[std::size_t(req->route)].rule;
     if (wrong && d.wrongReported > 0 && chance01() < d.wrongReported) {
         const auto timer =
-            std::make_shared<asio::steady_timer>(context, Span{std::llround(4e5 + 1.5e6 * chance01())});
+            std::make_shared<asio::steady_timer>(context, Duration{std::llround(4e5 + 1.5e6 * chance01())});
         timer->async_wait([this, timer, id = record.req, gateway = call.gateway,
                            here = std::weak_ptr(alive)](asio::error_code) {
             if (here.expired()) return;
@@ -203,7 +203,7 @@
     const bool heedless = req->mostTries > 1 + d.retries;
     const int avoid = record.end == ClientEnd::unreached && gateways.size() > 1 ? call.gateway : -1;
     ++waiting;
-    const auto timer = std::make_shared<asio::steady_timer>(context, heedless ? Span{0} : back);
+    const auto timer = std::make_shared<asio::steady_timer>(context, heedless ? Duration{0} : back);
     timer->async_wait([this, timer, req, avoid, here = std::weak_ptr(alive)](asio::error_code) {
         if (here.expired()) return;
         --waiting;
@@ -211,7 +211,7 @@
     });
 }
 
-void Clients::settle(const Req &req, ClientEnd end, bool wrong, Span at) {
+void Clients::settle(const Req &req, ClientEnd end, bool wrong, Duration at) {
     auto &s = service[std::size_t(req.route)];
     const auto &r = world.day.routes[std::size_t(req.route)];
     const bool inTime = end == ClientEnd::completed && at <= req.asked + r.rule.latencyObjective;
--- a/src/fakes/clients.hpp
+++ b/src/fakes/clients.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "../http/client.hpp"
-#include "instance.hpp"
+#include "endpoint.hpp"
 
 namespace deckcart::standin {
 
@@ -16,7 +16,7 @@
     Clients(asio::io_context &context, World &world, std::vector<Place> gateways, std::uint64_t seed);
     ~Clients();
 
-    void start(Span until);
+    void start(Duration until);
     bool idle() const { return ended && calls.empty() && waiting == 0; }
     double burst = 1;          // times the usual rate
     double heedlessTimes = 1;  // tries of the first account's clients for each req
@@ -37,7 +37,7 @@
     void arrive();
     void ask(std::shared_ptr<Req> req, int avoid = -1);
     void over(Call &call);
-    void settle(const Req &req, rehearsal::ClientEnd end, bool wrong, Span at);
+    void settle(const Req &req, rehearsal::ClientEnd end, bool wrong, Duration at);
     double chance01() { return std::generate_canonical<double, 32>(chance); }
 
     asio::io_context &context;
@@ -45,7 +45,7 @@
     std::vector<Place> gateways;
     std::mt19937_64 chance;
     asio::steady_timer next;
-    Span begun{}, until{}, nextAt{};
+    Duration begun{}, until{}, nextAt{};
     bool ended = false;
     int waiting = 0;
     std::uint64_t named = 0;
--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -1,4 +1,4 @@
-#include "desk.hpp"
+#include "control_plane.hpp"
 
 #include <algorithm>
 #include <array>
@@ -35,7 +35,7 @@
     : context(io), world(in), chance(seed),
       door(io, *parseAddress("127.0.0.1:0"), {},
            [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); }) {
-    now = {kFirstBuild, int(in.day.shares.size()) - 1, Phase::released, 1, Span{0}};
+    now = {kFirstBuild, int(in.day.shares.size()) - 1, Phase::released, 1, Duration{0}};
     nowSince = in.clock.now() - std::chrono::hours(1);
 }
 
@@ -51,9 +51,10 @@
     return s;
 }
 
-Span Desk::newsDelay() {
+Duration Desk::newsDelay() {
     const double span = double((world.day.mostNewsDelay - world.day.leastNewsDelay).count());
-    return world.day.leastNewsDelay + Span{std::llround(span * std::generate_canonical<double, 32>(chance))};
+    return world.day.leastNewsDelay +
+           Duration{std::llround(span * std::generate_canonical<double, 32>(chance))};
 }
 
 int Desk::stageCount(int step) const {
@@ -87,7 +88,7 @@
         const int zone = starts % int(world.day.zones.size());
         m.instance =
             std::make_unique<Instance>(context, world, build, zone, chance() + std::uint64_t(++starts));
-        m.listedAt = world.clock.now() + (warm ? Span{0} : Span{kStartTakes});
+        m.listedAt = world.clock.now() + (warm ? Duration{0} : Duration{kStartTakes});
         if (warm) m.instance->startLongAgo();
         members.push_back(std::move(m));
         if (!warm) continue;
@@ -105,14 +106,14 @@
     // When it started is told by its age at the time of telling: written then, see tell().
     entry["startedUs"] = m.instance->startedAt().count();
     publish({{"kind", "instances"}, {"instances", json::array({std::move(entry)})}},
-            began ? newsDelay() + listLate : Span{0});
+            began ? newsDelay() + listLate : Duration{0});
 }
 
-void Desk::publish(json event, Span after) {
+void Desk::publish(json event, Duration after) {
     // News of one kind never overtakes older news of it.
-    Span &due = event["kind"] == "instances" ? listDue : stageDue;
-    const Span at = world.clock.now();
-    if (after > Span{0}) due = std::max(due, at + after), after = due - at;
+    Duration &due = event["kind"] == "instances" ? listDue : stageDue;
+    const Duration at = world.clock.now();
+    if (after > Duration{0}) due = std::max(due, at + after), after = due - at;
     auto doIt = [this, event = std::move(event)]() mutable {
         if (event["kind"] == "instances")
             for (const auto &entry : event["instances"]) {
@@ -124,12 +125,12 @@
             event = {{"kind", "bookmark"}};
         }
         if (event["kind"] == "stage")
-            publishedStage = event["stage"], publishedSince = Span{event["sinceUs"].get<std::int64_t>()};
+            publishedStage = event["stage"], publishedSince = Duration{event["sinceUs"].get<std::int64_t>()};
         event["version"] = events.size() + 1;
         events.push_back(std::move(event));
         for (const auto &w : std::vector(watchers)) tell(*w);
     };
-    if (after <= Span{0}) return doIt();
+    if (after <= Duration{0}) return doIt();
     const auto timer = std::make_shared<asio::steady_timer>(context, after);
     timer->async_wait([doIt = std::move(doIt), timer](asio::error_code fault) mutable {
         if (!fault) doIt();
@@ -147,7 +148,7 @@
 
 // Writes ages as they are at this moment, and keeps what was told when.
 void Desk::noteTold(int gateway, const json &event) {
-    const Span at = world.clock.now();
+    const Duration at = world.clock.now();
     if (event.contains("instances"))
         for (const auto &entry : event["instances"]) {
             const ListedServer s = readListed(entry);
@@ -167,10 +168,10 @@
         if (event.contains("instances"))
             for (auto &entry : event["instances"])
                 entry["ageMs"] =
-                    milliseconds(world.clock.now() - Span{entry["startedUs"].get<std::int64_t>()});
+                    milliseconds(world.clock.now() - Duration{entry["startedUs"].get<std::int64_t>()});
         if (event.contains("stage")) {
             // What changed is news; how long ago is told as of now.
-            const Span since = world.clock.now() - Span{event["sinceUs"].get<std::int64_t>()};
+            const Duration since = world.clock.now() - Duration{event["sinceUs"].get<std::int64_t>()};
             event["stage"]["sinceMs"] = milliseconds(since);
         }
         noteTold(w.gateway, event);
@@ -194,7 +195,7 @@
     for (auto &[id, entry] : published) {
         if (names) break;
         json one = entry;
-        one["ageMs"] = milliseconds(world.clock.now() - Span{one["startedUs"].get<std::int64_t>()});
+        one["ageMs"] = milliseconds(world.clock.now() - Duration{one["startedUs"].get<std::int64_t>()});
         entries.push_back(std::move(one));
     }
     json body{{"version", events.size()}, {"instances", std::move(entries)}, {"stage", publishedStage}};
@@ -252,7 +253,7 @@
 void Desk::enter(int step, Phase phase) {
     now.step = step, now.phase = phase;
     now.cap = phase == Phase::onTrial ? world.day.caps[std::size_t(step)] : phase == Phase::released ? 1 : 0;
-    nowSince = world.clock.now(), allRunningSince = Span{0};
+    nowSince = world.clock.now(), allRunningSince = Duration{0};
     if (phase == Phase::onTrial)
         std::erase_if(votes, [](const auto &v) { return v.second.verdict == Verdict::on; });
     stages.push_back({nowSince, now});
@@ -263,7 +264,7 @@
 void Desk::drain(Member &m) {
     if (m.readiness != Readiness::live) return;
     m.readiness = Readiness::draining;
-    m.leavesAt = world.clock.now() + world.day.mostNewsDelay + world.day.drainGrace + Span{kLeaveTakes};
+    m.leavesAt = world.clock.now() + world.day.mostNewsDelay + world.day.drainGrace + Duration{kLeaveTakes};
     // Who takes a record out has to wait for its lifetime, twice where a reply is lost, and for a
     // confirmation.
     if (names) m.leavesAt += 2 * world.day.recordLifetime + world.day.confirmAfter;
@@ -283,7 +284,7 @@
 }
 
 void Desk::tick() {
-    const Span at = world.clock.now();
+    const Duration at = world.clock.now();
     const auto &day = world.day;
     for (auto &m : members) {
         if (!m.listed && at >= m.listedAt) m.listed = true, changed(m);
@@ -295,7 +296,7 @@
     }
     if (at >= bookmarkAt) {
         bookmarkAt = at + std::chrono::seconds(1);
-        publish({{"kind", "bookmark"}}, Span{0});
+        publish({{"kind", "bookmark"}}, Duration{0});
     }
     if (day.tallies && at >= tallyAt) tally();
 
@@ -320,12 +321,12 @@
         while (day.inPlace && running(world.trial) + running(kFirstBuild) > day.instances &&
                first(kFirstBuild) != members.end())
             drain(*first(kFirstBuild));
-        if (running(world.trial) >= wanted && allRunningSince == Span{0}) allRunningSince = at;
+        if (running(world.trial) >= wanted && allRunningSince == Duration{0}) allRunningSince = at;
         if (standing(world.trial, Verdict::back) >= day.votesToGoBack)
             return enter(now.step, Phase::goingBack);
     }
-    if (now.phase == Phase::onTrial && allRunningSince != Span{0} && at - allRunningSince >= day.leastStage &&
-        standing(world.trial, Verdict::on) >= day.toAdvance) {
+    if (now.phase == Phase::onTrial && allRunningSince != Duration{0} &&
+        at - allRunningSince >= day.leastStage && standing(world.trial, Verdict::on) >= day.toAdvance) {
         if (now.step < last) return enter(now.step + 1, Phase::onTrial);
         oldLeaveAt = at + kKeepOld;
         return enter(now.step, Phase::released);
@@ -346,7 +347,7 @@
 
 // What the platform counts: tries of a second, by build and route, told a little later.
 void Desk::tally() {
-    const Span at = world.clock.now();
+    const Duration at = world.clock.now();
     tallyAt = at + std::chrono::seconds(1);
     std::map<std::pair<BuildNo, int>, std::array<double, 2>> sums;
     for (const auto &done : std::exchange(world.finished, {})) {
--- a/src/fakes/control_plane.hpp
+++ b/src/fakes/control_plane.hpp
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "../base/address.hpp"
-#include "../gateway/desk_client.hpp"
+#include "../control_plane/http_client.hpp"
+#include "endpoint.hpp"
 #include "fleet_names.hpp"
-#include "instance.hpp"
 
 namespace deckcart::standin {
 
@@ -15,7 +15,7 @@
 
     std::string address() const { return format(door.address()); }
     void start();  // the day's first instances, long since warm; call it before gateways list
-    void dayBegins(Span at) { dayBegan = at; }
+    void dayBegins(Duration at) { dayBegan = at; }
     void tick();  // moves the release; called every few milliseconds
     std::vector<Instance *> instances(const std::string &where) const;  // running: any, trial or earlier
     void staffDrains(Instance &which);
@@ -23,10 +23,10 @@
 
     FleetNames *names = nullptr;  // set: the fleet is told by records, and the list is empty
     bool still = false, stillCounts = false, listFails = false;
-    Span listLate{};
+    Duration listLate{};
     // What was seen, for the report.
     struct StageSeen {
-        Span at{};
+        Duration at{};
         ToldStage stage;
     };
     std::vector<StageSeen> stages;
@@ -37,14 +37,14 @@
     struct Member {
         std::unique_ptr<Instance> instance;
         Readiness readiness = Readiness::live;
-        Span leavesAt{};
+        Duration leavesAt{};
         bool listed = false;  // its process runs
-        Span listedAt{};
+        Duration listedAt{};
     };
     struct Vote {
         int step = 0;
         Verdict verdict = Verdict::none;
-        Span until{};
+        Duration until{};
     };
     struct Watcher {
         std::shared_ptr<http::Exchange> exchange;
@@ -56,7 +56,7 @@
     void list(http::Exchange &exchange, int gateway);
     void watch(std::shared_ptr<http::Exchange> exchange, int gateway, std::size_t from);
     void vote(std::shared_ptr<http::Exchange> exchange);
-    void publish(nlohmann::json event, Span after);
+    void publish(nlohmann::json event, Duration after);
     void tell(Watcher &watcher);
     void serveNames();
     void noteTold(int gateway, const nlohmann::json &event);
@@ -67,7 +67,7 @@
     void drain(Member &member);
     int running(BuildNo build) const;  // live and listed
     int standing(BuildNo build, Verdict verdict) const;
-    Span newsDelay();
+    Duration newsDelay();
     int stageCount(int step) const;
     void tally();
 
@@ -82,7 +82,7 @@
     std::map<std::string, Vote> votes;               // by gateway
     std::map<std::string, nlohmann::json> answered;  // by the key of a vote: a repeat acts once
     ToldStage now;
-    Span dayBegan{}, nowSince{}, publishedSince{}, allRunningSince{}, bookmarkAt{}, listDue{}, stageDue{},
+    Duration dayBegan{}, nowSince{}, publishedSince{}, allRunningSince{}, bookmarkAt{}, listDue{}, stageDue{},
         tallyAt{}, oldLeaveAt{};
     int starts = 0;
     bool began = false;
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -1,4 +1,4 @@
-#include "instance.hpp"
+#include "endpoint.hpp"
 
 #include <cmath>
 
@@ -46,7 +46,7 @@
     begin();
 }
 
-void Instance::pause(Span lasts) {
+void Instance::pause(Duration lasts) {
     pausedUntil = world.clock.now() + lasts;
     const auto timer = std::make_shared<asio::steady_timer>(context, lasts);
     timer->async_wait([this, timer, here = std::weak_ptr(alive)](asio::error_code) {
@@ -81,14 +81,14 @@
 double Instance::warmth() const {
     const auto &d = world.day;
     const double age =
-        double((world.clock.now() - started).count()) / double(std::max(Span{1}, d.warmWithin).count());
+        double((world.clock.now() - started).count()) / double(std::max(Duration{1}, d.warmWithin).count());
     return age >= 1 ? 1 : d.coldFrom + (1 - d.coldFrom) * age;
 }
 
 // More than the stated multiple of what it can do now, over the stated time.
 bool Instance::pushedOver(double workMs) {
     const auto &d = world.day;
-    const Span now = world.clock.now();
+    const Duration now = world.clock.now();
     if (now - started >= d.warmWithin) return false;
     sentCold.push_back({now, workMs});
     while (sentCold.front().first < now - d.overloadFor) sentCold.pop_front();
@@ -139,7 +139,7 @@
 }
 
 void Instance::begin() {
-    const Span now = world.clock.now();
+    const Duration now = world.clock.now();
     while (!hung && !down() && now >= pausedUntil && busy < world.day.cores && !waiting.empty()) {
         Job job = std::move(waiting.front());
         waiting.pop_front();
@@ -161,7 +161,7 @@
         }
         ++busy;
         const auto timer =
-            std::make_shared<asio::steady_timer>(context, Span{std::llround(job.workMs * times * 1000)});
+            std::make_shared<asio::steady_timer>(context, Duration{std::llround(job.workMs * times * 1000)});
         timer->async_wait([this, job = std::move(job), timer, here = std::weak_ptr(alive)](asio::error_code) {
             if (here.expired()) return;
             --busy;
@@ -180,7 +180,7 @@
 void Instance::finish(const Job &job) {
     const auto &head = job.exchange->head;
     const auto &route = world.day.routes[std::size_t(job.route)];
-    const Span now = world.clock.now();
+    const Duration now = world.clock.now();
     meanMs += 0.1 * (milliseconds(now - job.came) - meanMs);
     const bool old = now - started >= world.day.bad.after;
     const bool fails = faulty(job, BadKind::fails) || (old && faulty(job, BadKind::later)) ||
--- a/src/fakes/endpoint.hpp
+++ b/src/fakes/endpoint.hpp
@@ -9,8 +9,8 @@
 #include <random>
 
 #include "../http/server.hpp"
-#include "../rehearsal/audit.hpp"
-#include "../rehearsal/day.hpp"
+#include "../scenarios/invariant_checker.hpp"
+#include "../scenarios/scenario.hpp"
 
 namespace deckcart::standin {
 
@@ -24,16 +24,16 @@
     rehearsal::Records &records;
     BuildNo trial = 2;
     double fleetSlow = 1;
-    std::deque<Span> trialWork;  // tries at the trial build of late, for one that slows all
-    std::deque<Span> allWork;
+    std::deque<Duration> trialWork;  // tries at the trial build of late, for one that slows all
+    std::deque<Duration> allWork;
     struct Done {
         BuildNo build = 0;
         int route = 0;
         bool lost = false;
     };
-    std::vector<Done> finished;          // since the platform counted last
-    std::map<std::string, Span> marks;   // of deduped reqs: when each was taken up
-    std::map<std::string, int> effects;  // how often each mark of a req with an effect has run
+    std::vector<Done> finished;             // since the platform counted last
+    std::map<std::string, Duration> marks;  // of deduped reqs: when each was taken up
+    std::map<std::string, int> effects;     // how often each mark of a req with an effect has run
 };
 
 class Instance {
@@ -41,14 +41,14 @@
     Instance(asio::io_context &context, World &world, BuildNo build, int zone, std::uint64_t seed);
 
     ServerId id() const { return name; }
-    Span startedAt() const { return started; }
+    Duration startedAt() const { return started; }
     BuildNo build() const { return runs; }
     int zone() const { return where; }
     bool down() const { return !door; }
     void startLongAgo() { started -= std::chrono::hours(1); }
     void die();  // at once, with its connections
     void hang(bool on);
-    void pause(Span lasts);
+    void pause(Duration lasts);
     void slowConnects(bool on);
     double slow = 1;  // a neighbour takes of its machine
     double answersLost = 0;
@@ -60,7 +60,7 @@
         std::shared_ptr<http::Exchange> exchange;
         int route = 0;
         double workMs = 0;
-        Span came{};
+        Duration came{};
         bool repeat = false;
     };
     void serve(std::shared_ptr<http::Exchange> exchange);
@@ -78,14 +78,14 @@
     BuildNo runs;
     int where;
     std::mt19937_64 chance;
-    Span started;
+    Duration started;
     std::unique_ptr<http::Door> door;
     ServerId name;
     std::deque<Job> waiting;
     int busy = 0;
     bool hung = false, connectsSlow = false;
-    Span pausedUntil{};
-    std::deque<std::pair<Span, double>> sentCold;  // work in ms
+    Duration pausedUntil{};
+    std::deque<std::pair<Duration, double>> sentCold;  // work in ms
     double meanMs = 1;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/src/fakes/fleet_names.cpp
+++ b/src/fakes/fleet_names.cpp
@@ -62,7 +62,7 @@
 // that a gateway may hold the loss. One that turns up in a later reply than the first has started then.
 void FleetNames::told(int gateway, const dns::Message &reply) {
     if (!reply.question || reply.question->type != dns::Type::srv) return;
-    const Span now = clock.now();
+    const Duration now = clock.now();
     auto &s = seen[{gateway, reply.question->name}];
     BuildNo build = 0;
     for (const BuildNo b : {BuildNo{1}, BuildNo{2}})
@@ -80,9 +80,9 @@
     for (auto &[id, since] : s.missing) {
         if (listed.contains(id)) continue;
         if (!since) since = now;
-        if (*since != Span::max() && now - *since >= day.confirmAfter) {
+        if (*since != Duration::max() && now - *since >= day.confirmAfter) {
             records.servers.push_back({gateway, now, id, build, Readiness::draining, false});
-            since = Span::max();
+            since = Duration::max();
         }
     }
     s.any = true;
--- a/src/fakes/fleet_names.hpp
+++ b/src/fakes/fleet_names.hpp
@@ -4,8 +4,8 @@
 
 #include <set>
 
-#include "../rehearsal/audit.hpp"
-#include "../rehearsal/day.hpp"
+#include "../scenarios/invariant_checker.hpp"
+#include "../scenarios/scenario.hpp"
 #include "name_server.hpp"
 
 namespace deckcart::standin {
@@ -40,7 +40,7 @@
     // What each gateway knows by its replies: since when an instance is missing, if it is.
     struct Seen {
         bool any = false;
-        std::map<ServerId, std::optional<Span>> missing;
+        std::map<ServerId, std::optional<Duration>> missing;
     };
     std::map<std::pair<int, std::string>, Seen> seen;
 };
--- a/src/fakes/name_server.cpp
+++ b/src/fakes/name_server.cpp
@@ -85,7 +85,7 @@
     if (!read.refused.empty()) return read;
     NameScript script;
     script.servers = document.value("servers", 1);
-    Span last{};
+    Duration last{};
     const auto &steps = document.at("steps");
     for (std::size_t k = 0; k < steps.size(); ++k) {
         const json &from = steps[k];
@@ -151,8 +151,8 @@
     m.recursionDesired = question.recursionDesired;
     const auto lifetime = [&](dns::Record r) {
         if (faults.seconds) r.seconds = *faults.seconds;
-        if (faults.shrinksFor > Span{0}) {
-            const Span left = faults.shrinksFor - (clock.now() - setAt) % faults.shrinksFor;
+        if (faults.shrinksFor > Duration{0}) {
+            const Duration left = faults.shrinksFor - (clock.now() - setAt) % faults.shrinksFor;
             r.seconds = std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(left).count());
         }
         return r;
@@ -246,7 +246,7 @@
         heldBack.emplace(std::move(bytes), to);
         return;
     }
-    if (faults.delay > Span{0}) {
+    if (faults.delay > Duration{0}) {
         auto timer = std::make_shared<asio::steady_timer>(context, faults.delay);
         timer->async_wait([this, timer, bytes = std::move(bytes), to, here = alive](asio::error_code fault) {
             if (!fault && *here) send(bytes, to);
@@ -329,8 +329,8 @@
 void NameServers::step() {
     for (; next < script.steps.size(); ++next) {
         const auto &s = script.steps[next];
-        const Span in = startedAt + s.at - clock.now();
-        if (in > Span{0}) {
+        const Duration in = startedAt + s.at - clock.now();
+        if (in > Duration{0}) {
             timer.expires_after(in);
             timer.async_wait([this](asio::error_code fault) {
                 if (!fault) step();
--- a/src/fakes/name_server.hpp
+++ b/src/fakes/name_server.hpp
@@ -18,7 +18,7 @@
 struct NameFaults {
     bool silent = false;     // nothing is answered
     double lost = 0;         // part of the datagrams that are not answered
-    Span delay{};            // before an answer leaves
+    Duration delay{};        // before an answer leaves
     bool twice = false;      // each datagram twice
     bool reordered = false;  // a datagram leaves after the next one
     bool wrongId = false, wrongQuestion = false, fromElsewhere = false;  // a false reply comes first
@@ -32,11 +32,11 @@
     bool noTcp = false;      // streams are closed at once
     bool noAdditional = false;
     std::optional<std::uint32_t> seconds{};  // instead of the records' lifetimes
-    Span shrinksFor{};  // lifetimes count down from that, as behind a cache, and start anew
+    Duration shrinksFor{};  // lifetimes count down from that, as behind a cache, and start anew
 };
 
 struct NameStep {
-    Span at{};
+    Duration at{};
     std::vector<int> servers;  // empty: all of them
     std::optional<std::vector<dns::Record>> records;
     NameFaults faults;
@@ -86,7 +86,7 @@
     asio::ip::tcp::acceptor acceptor;
     std::minstd_rand chance;
     std::vector<dns::Record> records;
-    Span setAt{};
+    Duration setAt{};
     NameFaults faults;
     std::array<std::uint8_t, 4096> in{};
     asio::ip::udp::endpoint from;
@@ -108,7 +108,7 @@
     NameScript script;
     std::vector<std::unique_ptr<NameServer>> servers;
     SteadyClock clock;
-    Span startedAt{};
+    Duration startedAt{};
     std::size_t next = 0;
     asio::steady_timer timer;
 };
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -1,10 +1,10 @@
-#include "member_feed.hpp"
+#include "endpoint_watcher.hpp"
 
 #include <algorithm>
 
 #include "../base/address.hpp"
+#include "../control_plane/http_client.hpp"
 #include "../membership/claims.hpp"
-#include "desk_client.hpp"
 
 namespace deckcart {
 namespace {
@@ -16,10 +16,10 @@
            a.readiness == b.readiness && a.weight == b.weight && a.startedAt == b.startedAt;
 }
 
-Span ms(const json &from) { return Span{std::llround(from.get<double>() * 1000)}; }
+Duration ms(const json &from) { return Duration{std::llround(from.get<double>() * 1000)}; }
 
 // An entry without what only a desk knows of it.
-json entryJson(const ServerEntry &e, const std::vector<std::string> &zones, Span now) {
+json entryJson(const ServerEntry &e, const std::vector<std::string> &zones, Duration now) {
     json out = toJson(listedOf(e, zones, now));
     out.erase("incarnation");
     return out;
@@ -49,7 +49,7 @@
             servers.push_back(format(asio::ip::tcp::endpoint(s.address(), s.port())));
         resolver = std::make_unique<dns::Resolver>(
             io, steady, given.resolver, seed,
-            [this](const std::string &name, const dns::Found &what, Span lifetime, std::size_t server) {
+            [this](const std::string &name, const dns::Found &what, Duration lifetime, std::size_t server) {
                 found(name, what, lifetime, server);
             });
         const auto view = merge.at(clock());
@@ -74,7 +74,8 @@
     if (desk) merge.lost(*desk, clock(), "the desk does not answer"), look(false);
 }
 
-void MemberFeed::found(const std::string &name, const dns::Found &what, Span lifetime, std::size_t server) {
+void MemberFeed::found(const std::string &name, const dns::Found &what, Duration lifetime,
+                       std::size_t server) {
     const auto &[source, srv] = names.at(name);
     std::string fault = what.fault;
     for (const auto &note : what.notes) fault += (fault.empty() ? "" : "; ") + note;
@@ -95,7 +96,7 @@
 membership::View MemberFeed::view() { return merge.at(clock()); }
 
 void MemberFeed::look(bool again) {
-    const Span now = clock();
+    const Duration now = clock();
     const auto view = merge.at(now);
     ListTold list{true, {}};
     for (const auto &m : view.members)
@@ -111,7 +112,7 @@
     for (const auto &[source, at] : view.confirm) {
         const auto &rule = rules.sources[source];
         if (rule.kind == membership::SourceKind::srv && resolver)
-            resolver->askAgainIn(rule.name, std::max(Span{0}, at - now));
+            resolver->askAgainIn(rule.name, std::max(Duration{0}, at - now));
         if (rule.kind == membership::SourceKind::desk && now >= at)
             tell(ListFailed{});  // the module asks anew
     }
@@ -123,7 +124,7 @@
 }
 
 json toJson(const membership::View &view, const std::vector<membership::SourceRule> &sources,
-            const std::vector<std::string> &zones, Span now) {
+            const std::vector<std::string> &zones, Duration now) {
     json instances = json::array(), rows = json::array();
     for (const auto &m : view.members) {
         json one = entryJson(m.entry, zones, now);
@@ -148,7 +149,7 @@
     return {{"instances", std::move(instances)}, {"sources", std::move(rows)}};
 }
 
-json toJson(const std::vector<membership::SavedSource> &saved, Span now) {
+json toJson(const std::vector<membership::SavedSource> &saved, Duration now) {
     json out = json::array();
     for (const auto &s : saved) {
         json listed = json::array(), stops = json::array(), withdrawn = json::array();
@@ -175,7 +176,7 @@
     return out;
 }
 
-std::vector<membership::SavedSource> readSaved(const json &from, Span now, Span passed) {
+std::vector<membership::SavedSource> readSaved(const json &from, Duration now, Duration passed) {
     std::vector<membership::SavedSource> out;
     const auto time = [&](const json &of, const char *name) { return now - passed - ms(of.at(name)); };
     for (const auto &s : from) {
--- a/src/gateway/endpoint_watcher.hpp
+++ b/src/gateway/endpoint_watcher.hpp
@@ -6,14 +6,14 @@
 
 #include "../base/log.hpp"
 #include "../dns/resolver.hpp"
-#include "../settings/orders.hpp"
+#include "../settings/gateway_settings.hpp"
 
 namespace deckcart {
 
 class MemberFeed {
   public:
     using Tell = std::function<void(Event)>;
-    using Now = std::function<Span()>;
+    using Now = std::function<Duration()>;
     // `saved`: what a process before this one knew; `before`: the feed of the orders before these.
     MemberFeed(asio::io_context &context, const Clock &clock, const GatewayOrders &orders, std::uint64_t seed,
                Log log, Now now, Tell tell, const std::vector<membership::SavedSource> &saved,
@@ -29,11 +29,11 @@
     const std::vector<membership::SourceRule> &sources() const { return rules.sources; }
     std::vector<membership::SavedSource> saved() const { return merge.saved(); }
     dns::ResolverCounts asked() const { return resolver ? resolver->counts() : dns::ResolverCounts{}; }
-    Span now() const { return clock(); }
+    Duration now() const { return clock(); }
     std::function<void()> onRead;  // a source was read: there is something to save
 
   private:
-    void found(const std::string &name, const dns::Found &what, Span lifetime, std::size_t server);
+    void found(const std::string &name, const dns::Found &what, Duration lifetime, std::size_t server);
     void look(bool again);
 
     Now clock;
@@ -52,10 +52,10 @@
 };
 
 nlohmann::json toJson(const membership::View &view, const std::vector<membership::SourceRule> &sources,
-                      const std::vector<std::string> &zones, Span now);
+                      const std::vector<std::string> &zones, Duration now);
 // Times as ages at `now`; reading back adds what has passed since.
-nlohmann::json toJson(const std::vector<membership::SavedSource> &saved, Span now);
+nlohmann::json toJson(const std::vector<membership::SavedSource> &saved, Duration now);
 // Throws where it is not such a document.
-std::vector<membership::SavedSource> readSaved(const nlohmann::json &from, Span now, Span passed);
+std::vector<membership::SavedSource> readSaved(const nlohmann::json &from, Duration now, Duration passed);
 
 }  // namespace deckcart
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "../membership/restart.hpp"
-#include "http_ways.hpp"
+#include "http_transport.hpp"
 
 namespace deckcart {
 
@@ -26,7 +26,7 @@
     BuildNo build = 0;
     std::shared_ptr<Call> call;
     std::unique_ptr<Sink> sink;
-    Span sent{}, progress{};
+    Duration sent{}, progress{};
     bool over = false, streaming = false;
     Outcome how = Outcome::ok;
     std::string held;
@@ -37,8 +37,8 @@
     ReqId id = 0;
     InstanceId record = 0;
     std::shared_ptr<TakenReq> taken;
-    std::string name;                  // the client's own id of it
-    Span came{}, clientEnd{}, told{};  // told: the end that the module works to
+    std::string name;                      // the client's own id of it
+    Duration came{}, clientEnd{}, told{};  // told: the end that the module works to
     std::vector<Try> tries;
     bool answered = false;
     int streaming = -1;  // the try whose answer the client is getting
@@ -227,7 +227,7 @@
         if (!rq->answered && which(*rq)) overdue.push_back(id);
     for (const ReqId id : overdue) {
         ++counted.overdue;
-        finish(*reqs.at(id), "errored", true, Span{0});
+        finish(*reqs.at(id), "errored", true, Duration{0});
         later([this, id] { clientGone(id); });
     }
 }
@@ -238,9 +238,9 @@
 // it finds came meanwhile, and its own lateness is no instance's latency. So the module's clock stays at the
 // last turn until all that has come is read; only then it jumps. What is past its end is answered before
 // anything else.
-Span Gateway::turn() {
-    const Span real = clock.now();
-    const Span gap = real - lastSeen;
+Duration Gateway::turn() {
+    const Duration real = clock.now();
+    const Duration gap = real - lastSeen;
     lastSeen = std::max(real, lastSeen);
     if (!frozen && gap > given.standstill) {
         frozen = true, frozenAt = real - gap;
@@ -284,12 +284,12 @@
     }
     // What is read after a standstill came at some time during it: the earliest is taken, as its client may
     // wait since.
-    const Span came = frozen ? frozenAt : lastSeen;
+    const Duration came = frozen ? frozenAt : lastSeen;
     ++unanswered;  // in hand from here on
     later([this, taken = std::move(taken), came] { take(taken, came); });
 }
 
-void Gateway::take(std::shared_ptr<TakenReq> taken, Span came) {
+void Gateway::take(std::shared_ptr<TakenReq> taken, Duration came) {
     const ReqId id = ++nextReq & ((ReqId{1} << 52) - 1);
     auto made = std::make_unique<Req>(context);
     Req &rq = *made;
@@ -344,8 +344,8 @@
 
 void Gateway::watchDeadline(Req &rq) { wakeIn(rq, rq.told - lastSeen); }
 
-void Gateway::wakeIn(Req &rq, Span after) {
-    rq.timer.expires_after(std::max(Span{0}, after));
+void Gateway::wakeIn(Req &rq, Duration after) {
+    rq.timer.expires_after(std::max(Duration{0}, after));
     rq.timer.async_wait([this, id = rq.id, here = std::weak_ptr(alive)](asio::error_code fault) {
         if (fault || here.expired()) return;
         later([this, id] { deadline(id); });
@@ -356,7 +356,7 @@
     const auto it = reqs.find(id);
     if (it == reqs.end()) return;
     Req &rq = *it->second;
-    const Span at = lastSeen;
+    const Duration at = lastSeen;
     for (std::size_t k = 0; k < rq.tries.size(); ++k)
         if (at >= rq.told) {
             stillOut(id, k);  // what has come in time is no time-out
@@ -373,11 +373,11 @@
     if (at < rq.told + given.answerMargin / 2) return wakeIn(rq, rq.told + given.answerMargin / 2 - at);
     // Guards the client against a module that holds a req too long: it never should.
     ++counted.overdue;
-    finish(rq, "errored", true, Span{0});
+    finish(rq, "errored", true, Duration{0});
     clientGone(id);
 }
 
-void Gateway::finish(Req &rq, const char *end, bool late, Span retryIn) {
+void Gateway::finish(Req &rq, const char *end, bool late, Duration retryIn) {
     if (rq.answered) return;
     rq.answered = true, --unanswered;
     const bool shed = end[0] == 's';
@@ -466,10 +466,10 @@
         one.clear();
         one.push_back(std::move(queue.front().second));
         queue.pop_front();
-        const Span now = turn();
+        const Duration now = turn();
         const auto from = std::chrono::steady_clock::now();
         const auto actions = policy.decide(record, now, one);
-        const auto took = std::chrono::duration_cast<Span>(std::chrono::steady_clock::now() - from);
+        const auto took = std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - from);
         counted.deciding += took, counted.longestDeciding = std::max(counted.longestDeciding, took);
         ++counted.decisions;
         for (const auto &action : actions) carryOut(record, action);
@@ -500,7 +500,7 @@
                 const auto &tries = it->second->tries;
                 const bool late = !tries.empty() && (tries.back().how == Outcome::timeout ||
                                                      tries.back().how == Outcome::cancelled);
-                finish(*it->second, "errored", late, Span{0});
+                finish(*it->second, "errored", late, Duration{0});
                 forget(*it->second);
             },
             [&](const SetTimer &a) {
@@ -559,11 +559,11 @@
 }
 
 // The last look before a try's first byte: its connection may have taken a while.
-std::optional<Span> Gateway::handOver(ReqId id) {
+std::optional<Duration> Gateway::handOver(ReqId id) {
     const auto it = reqs.find(id);
     if (it == reqs.end()) return std::nullopt;
     const Req &rq = *it->second;
-    const Span now = clock.now();
+    const Duration now = clock.now();
     if (rq.answered || now >= rq.told || !rq.taken->clientThere()) return std::nullopt;
     return rq.clientEnd - now;
 }
@@ -593,7 +593,7 @@
     bool over = rq.answered;
     if (rq.streaming == tryNo && !rq.answered) {
         // The answer broke off in the middle: only a cut connection tells the client.
-        finish(rq, "errored", false, Span{0});
+        finish(rq, "errored", false, Duration{0});
         over = true;
     }
     if (faults.repeatsNonRetriable && how == Outcome::reset)
@@ -700,7 +700,7 @@
 }
 
 void Gateway::sweep() {
-    const Span now = turn();
+    const Duration now = turn();
     if (!frozen) {
         upstreams->sweep(now);
         std::vector<std::pair<ReqId, int>> stalled;
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -10,10 +10,10 @@
 
 #include "../base/clock.hpp"
 #include "../base/log.hpp"
-#include "../settings/orders.hpp"
-#include "desk_client.hpp"
-#include "member_feed.hpp"
-#include "ways.hpp"
+#include "../control_plane/http_client.hpp"
+#include "../settings/gateway_settings.hpp"
+#include "endpoint_watcher.hpp"
+#include "transport.hpp"
 
 namespace deckcart {
 
@@ -28,7 +28,7 @@
     std::uint64_t taken = 0, completed = 0, shed = 0, errored = 0, gone = 0;
     std::uint64_t tries = 0, overdue = 0, standstills = 0, turnedAway = 0, unrouted = 0;
     std::uint64_t decisions = 0;
-    Span deciding{}, longestDeciding{};  // spent in the module: in all, on one event at most
+    Duration deciding{}, longestDeciding{};  // spent in the module: in all, on one event at most
 };
 
 class Gateway;
@@ -77,20 +77,20 @@
     class Sink;
 
     // ---- time: a stopped clock is found here ----
-    Span turn();
+    Duration turn();
     void endOverdue(const std::function<bool(const Req &)> &which);
     void thawSoon(int rounds);
     void thaw();
     void later(std::function<void()> what);  // now, or once what came during a standstill is told
 
     void arrived(std::shared_ptr<TakenReq> taken);
-    void take(std::shared_ptr<TakenReq> taken, Span came);
+    void take(std::shared_ptr<TakenReq> taken, Duration came);
     void clientGone(ReqId id);
     void watchDeadline(Req &rq);
-    void wakeIn(Req &rq, Span after);
+    void wakeIn(Req &rq, Duration after);
     void deadline(ReqId id);
     void checkDrained();
-    std::optional<Span> handOver(ReqId id);
+    std::optional<Duration> handOver(ReqId id);
     void happened(Event event, InstanceId record);
     void happened(Event event);  // to every record
     void endUnsent(const std::function<bool(const Try &)> &stays);
@@ -101,7 +101,7 @@
     void tryEnded(ReqId id, int tryNo, Outcome how);
     void pass(Req &rq, int tryNo, std::string_view part);
     void complete(Req &rq, int tryNo);
-    void finish(Req &rq, const char *end, bool late, Span retryIn);
+    void finish(Req &rq, const char *end, bool late, Duration retryIn);
     void forget(Req &rq);
     void probe(InstanceId record, const Probe &what);
     void sweep();
@@ -129,7 +129,7 @@
     ReqId nextReq = 0;
     std::size_t unanswered = 0;  // of reqs in hand
 
-    Span lastSeen{}, frozenAt{};
+    Duration lastSeen{}, frozenAt{};
     bool frozen = false;
     std::uint64_t socketEvents = 0;
     std::vector<std::function<void()>> waiting;  // for the thaw
@@ -142,7 +142,7 @@
 
     struct Passed {
         ServerId server;
-        Span sent{};
+        Duration sent{};
         bool reported = false;
     };
     std::unordered_map<std::string, Passed> passed;  // answers that a client may still report
--- a/src/gateway/http_transport.cpp
+++ b/src/gateway/http_transport.cpp
@@ -1,4 +1,4 @@
-#include "http_ways.hpp"
+#include "http_transport.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,8 +6,8 @@
 
 #include "../base/address.hpp"
 #include "../base/number.hpp"
+#include "../control_plane/http_client.hpp"
 #include "../http/fetch.hpp"
-#include "desk_client.hpp"
 #include "pool.hpp"
 
 namespace deckcart {
@@ -48,7 +48,7 @@
     ~HttpReq() override { exchange->onGone = nullptr, exchange->onDrained = nullptr; }
 
     bool open() const override { return exchange->open(); }
-    void shed(const std::string &name, Span retryIn) override {
+    void shed(const std::string &name, Duration retryIn) override {
         const auto ms = std::max<std::int64_t>(retryIn.count() / 1000, 0);
         refuse(503, "shed", name,
                {{"Retry-After", std::to_string((ms + 999) / 1000)}, {kRetryHeader, std::to_string(ms)}});
@@ -119,7 +119,7 @@
         facts.account = accountNo(orders.accounts, text(orders.headers.account));
         facts.wait = orders.routes[rule].routeTimeout;
         if (const auto left = wholeNumber(text(orders.headers.remaining)); left && *left >= 0)
-            facts.wait = std::min(facts.wait, Span{std::llround(std::min(*left, 1e9) * 1000)});
+            facts.wait = std::min(facts.wait, Duration{std::llround(std::min(*left, 1e9) * 1000)});
         auto req = std::make_shared<HttpReq>(std::move(exchange), orders);
         req->facts = std::move(facts);
         owner.arrived(std::move(req));
@@ -151,7 +151,7 @@
         if (!in.find(orders.headers.reqId)) out.headers.push_back({orders.headers.reqId, name});
         // What is left of the client's wait, as it is now. None: it ends as its connection is made, by its
         // time.
-        const Span left = handOver().value_or(Span{0});
+        const Duration left = handOver().value_or(Duration{0});
         out.headers.push_back({orders.headers.remaining, std::to_string(left.count() / 1000)});
         out.headers.push_back({"Via", "1.1 deckcart"});
         if (!exchange.body.empty() || in.length || in.chunked) out.length = exchange.body.size();
@@ -159,7 +159,7 @@
                          http::write(out) + exchange.body, in.method == "HEAD", this);
     }
     bool handedOver() const override { return connection->handedOver(); }
-    void release(Span now) override {
+    void release(Duration now) override {
         if (!connection->reusable()) connection->drop();
         pool.give(server, connection, now);
     }
@@ -227,7 +227,7 @@
         return connection ? std::make_shared<HttpCall>(pool, orders, server, connection) : nullptr;
     }
     void closeIdle(const ServerId &server) override { pool.closeIdle(server); }
-    void sweep(Span now) override { pool.sweep(now); }
+    void sweep(Duration now) override { pool.sweep(now); }
     void probe(const ServerId &server, Probed done) override {
         const auto to = parseAddress(server);
         if (!to) return done({});
--- a/src/gateway/http_transport.hpp
+++ b/src/gateway/http_transport.hpp
@@ -3,7 +3,7 @@
 
 #include <asio.hpp>
 
-#include "ways.hpp"
+#include "transport.hpp"
 
 namespace deckcart {
 
--- a/src/gateway/idle_connections.hpp
+++ b/src/gateway/idle_connections.hpp
@@ -22,7 +22,7 @@
     IdleConnections(const IdleConnections &) = delete;
     IdleConnections &operator=(const IdleConnections &) = delete;
 
-    void keep(const ServerId &server, const Held &connection, Span now) {
+    void keep(const ServerId &server, const Held &connection, Duration now) {
         connection->idleSince = now;
         connection->onIdleClosed = [this, server, weak = std::weak_ptr(connection),
                                     here = std::weak_ptr(alive)] {
@@ -55,7 +55,7 @@
         places.erase(at);
         for (const auto &one : list) drop(one);
     }
-    void sweep(Span now, Span idleFor) {
+    void sweep(Duration now, Duration idleFor) {
         for (auto it = places.begin(); it != places.end();) {
             auto &list = it->second;
             while (!list.empty() && now - list.front()->idleSince >= idleFor) dropFirst(list);
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -14,7 +14,8 @@
     return one;
 }
 
-void Pool::give(const ServerId &server, const std::shared_ptr<http::ClientConnection> &connection, Span now) {
+void Pool::give(const ServerId &server, const std::shared_ptr<http::ClientConnection> &connection,
+                Duration now) {
     if (const auto at = busy.find(server); --at->second == 0) busy.erase(at);
     if (!connection->reusable()) return connection->drop();
     idle.keep(server, connection, now);
--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "../http/client.hpp"
-#include "../settings/orders.hpp"
+#include "../settings/gateway_settings.hpp"
 #include "idle_connections.hpp"
 
 namespace deckcart {
@@ -15,9 +15,10 @@
     // An idle connection, else a new one; empty when the bound is reached.
     std::shared_ptr<http::ClientConnection> take(const ServerId &server);
     // Every connection taken is given back once, whatever became of it.
-    void give(const ServerId &server, const std::shared_ptr<http::ClientConnection> &connection, Span now);
+    void give(const ServerId &server, const std::shared_ptr<http::ClientConnection> &connection,
+              Duration now);
     void closeIdle(const ServerId &server) { idle.close(server); }
-    void sweep(Span now) { idle.sweep(now, orders.upstream.idleFor); }  // ends those idle for too long
+    void sweep(Duration now) { idle.sweep(now, orders.upstream.idleFor); }  // ends those idle for too long
 
   private:
     asio::io_context &context;
--- a/src/gateway/service.cpp
+++ b/src/gateway/service.cpp
@@ -88,7 +88,7 @@
             std::vector<ListedServer> list;
             for (const auto &one : saved->at("instances")) {
                 list.push_back(readListed(one));
-                if (list.back().age) *list.back().age += Span{std::llround(since * 1000)};
+                if (list.back().age) *list.back().age += Duration{std::llround(since * 1000)};
             }
             gateway->remember(list);
             log.info("recalled", {{"instances", list.size()}, {"sinceMs", since}});
@@ -97,7 +97,7 @@
         }
     }
 
-    void recallSources(Span now) {
+    void recallSources(Duration now) {
         const auto saved = read("sources.json", kSourcesFormat);
         if (!saved) return;
         try {
--- a/src/gateway/transport.hpp
+++ b/src/gateway/transport.hpp
@@ -1,5 +1,5 @@
 // The ways in and out of a gateway: a req taken, a call to an instance, a probe, list and votes. What crosses
-// them is the same whatever the protocol; HTTP's stand in http_ways.cpp, a platform's in src/platform/.
+// them is the same whatever the protocol; HTTP's stand in http_transport.cpp, a platform's in src/platform/.
 // Nothing behind them chooses an instance, sends again by itself, or holds a final answer back.
 #pragma once
 
@@ -20,7 +20,7 @@
     std::size_t route = 0;  // of GatewayOrders::routes
     int account = 0;        // past the end of the shares: one that is not named
     std::string key, name;  // name: the client's own id of it; empty: it gave none
-    Span wait{};            // from when it came until the client gives up
+    Duration wait{};        // from when it came until the client gives up
 };
 
 // A req that a client has sent; answered once: by shed, errored, completed, or begin, write and end. What is
@@ -32,7 +32,7 @@
     virtual bool open() const = 0;  // the client is there and no final answer has ended
     // Looks at the client's socket as well: its close may not have been read yet.
     virtual bool clientThere() const { return open(); }
-    virtual void shed(const std::string &name, Span retryIn) = 0;
+    virtual void shed(const std::string &name, Duration retryIn) = 0;
     virtual void errored(const std::string &name, bool late) = 0;
     virtual void completed(Call &from, std::string_view answer) = 0;
     // An answer that is passed on as it comes.
@@ -58,7 +58,7 @@
 
 // Asked once, when a connection is up and nothing is written yet: what is left of the client's wait then, or
 // empty if the try must not go out any more.
-using HandOver = std::function<std::optional<Span>()>;
+using HandOver = std::function<std::optional<Duration>()>;
 
 // One try's way to an instance. Given back once, by release().
 class Call {
@@ -70,7 +70,7 @@
     // Whether the instance may have got the whole of it. What was not handed over can be withdrawn.
     virtual bool handedOver() const = 0;
     // Of a call that has ended its connection may serve on; else it is closed at once.
-    virtual void release(Span now) = 0;
+    virtual void release(Duration now) = 0;
     // Reads what has come already, which may end it: before it is given up.
     virtual void look() {}
     virtual void pause() {}
@@ -84,8 +84,8 @@
     // Empty when a bound is reached or the instance has no address.
     virtual std::shared_ptr<Call> take(const ServerId &server) = 0;
     virtual void closeIdle(const ServerId &server) = 0;
-    virtual void sweep(Span now) = 0;  // ends connections that were idle for too long
-    virtual Span sweepEvery() const { return std::chrono::seconds(1); }
+    virtual void sweep(Duration now) = 0;  // ends connections that were idle for too long
+    virtual Duration sweepEvery() const { return std::chrono::seconds(1); }
     virtual void probe(const ServerId &server, Probed done) = 0;
 };
 
@@ -108,10 +108,10 @@
   public:
     virtual ~Desk() = default;
     virtual void follow(bool active) = 0;
-    virtual void vote(const Vote &vote, Span within) = 0;
+    virtual void vote(const Vote &vote, Duration within) = 0;
 };
 struct DeskOwner {
-    std::function<Span()> now;
+    std::function<Duration()> now;
     std::function<void(Event)> tell;
 };
 
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -11,7 +11,7 @@
 ClientConnection::ClientConnection(asio::io_context &context, std::size_t mostHeadBytes)
     : socket(context), timer(context), parser(Parser::Kind::answer, mostHeadBytes, *this) {}
 
-void ClientConnection::call(const tcp::endpoint &to, Span within, std::string bytes, bool isHead,
+void ClientConnection::call(const tcp::endpoint &to, Duration within, std::string bytes, bool isHead,
                             CallSink *owner) {
     sink = owner, headCall = isHead, handed = 0, paused = sentAll = false;
     outgoing = std::move(bytes);
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -28,7 +28,7 @@
 
     // Connects within the time if it is not connected, then sends. The sink stays valid until onCallEnd or
     // drop().
-    void call(const asio::ip::tcp::endpoint &to, Span connectWithin, std::string bytes, bool isHead,
+    void call(const asio::ip::tcp::endpoint &to, Duration connectWithin, std::string bytes, bool isHead,
               CallSink *owner);
     void drop();  // forgets the sink and closes at once
     void pause();
@@ -38,7 +38,7 @@
     bool handedOver() const { return handed > 0; }  // bytes of the present call that the socket took
     bool spokeUnasked() const { return unasked; }   // bytes came that belong to no call
     std::function<void()> onIdleClosed;             // the peer has closed it while idle
-    Span idleSince{};
+    Duration idleSince{};
 
   private:
     bool onHead() override;
--- a/src/http/fetch.cpp
+++ b/src/http/fetch.cpp
@@ -10,7 +10,7 @@
     : connection(std::make_shared<ClientConnection>(context, kMostHead)), timer(context) {}
 
 std::shared_ptr<Fetch> Fetch::start(asio::io_context &context, const asio::ip::tcp::endpoint &to,
-                                    RequestHead head, const std::string &body, Span within, Done done,
+                                    RequestHead head, const std::string &body, Duration within, Done done,
                                     Line line, Cut cut) {
     const std::shared_ptr<Fetch> call(new Fetch(context));
     call->self = call, call->within = within, call->done = std::move(done), call->line = std::move(line);
--- a/src/http/fetch.hpp
+++ b/src/http/fetch.hpp
@@ -26,7 +26,7 @@
     // Calls back exactly once, never from within start(), unless stopped before. The host field is written
     // here.
     static std::shared_ptr<Fetch> start(asio::io_context &context, const asio::ip::tcp::endpoint &to,
-                                        RequestHead head, const std::string &body, Span within, Done done,
+                                        RequestHead head, const std::string &body, Duration within, Done done,
                                         Line line = nullptr, Cut cut = Cut::atLines);
     void stop();  // no call back any more
 
@@ -40,7 +40,7 @@
 
     std::shared_ptr<ClientConnection> connection;
     asio::steady_timer timer;
-    Span within{};
+    Duration within{};
     Fetched result;
     Done done;
     Line line;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -139,7 +139,7 @@
     }
     void onEnd() override {}  // handed on once the parser has returned
     void hand() {
-        watch(Span{0});
+        watch(Duration{0});
         current = std::move(building);
         current->head = parser.request();
         current->connection = weak_from_this();
@@ -165,7 +165,7 @@
     void linger() {
         asio::error_code ignored;
         socket.shutdown(tcp::socket::shutdown_send, ignored);
-        watch(std::min(door->limits.slowPeerFor, Span{std::chrono::seconds(1)}));
+        watch(std::min(door->limits.slowPeerFor, Duration{std::chrono::seconds(1)}));
         swallow();
     }
     void swallow() {
@@ -204,7 +204,7 @@
                               self->inFlight.clear();
                               if (self->closed) return;
                               if (fault) return self->shut(false);
-                              self->watch(Span{0});
+                              self->watch(Duration{0});
                               self->flush();
                               if (self->writing) return;
                               if (self->finishing) return self->next();
@@ -214,8 +214,8 @@
 
     // The least rate of a reader: one full queue, at most the stated waiting bytes, within the stated time.
     void watchWriting() { watch(door->limits.slowPeerFor); }
-    void watch(Span within) {
-        if (within <= Span{0}) return void(timer.cancel());
+    void watch(Duration within) {
+        if (within <= Duration{0}) return void(timer.cancel());
         timer.expires_after(within);
         timer.async_wait([weak = weak_from_this()](asio::error_code fault) {
             const auto self = weak.lock();
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -21,9 +21,9 @@
     std::size_t bodyBytes = 1024 * 1024;
     std::size_t pipelinedBytes = 16 * 1024;  // read ahead while a req is in hand; then the door stops reading
     std::size_t waitingBytes = 256 * 1024;   // of an answer for a slow reader: a writer should pause beyond
-    Span messageWithin = std::chrono::seconds(10);  // from a req's first byte to its last
-    Span idleFor = std::chrono::seconds(60);        // between reqs
-    Span slowPeerFor = std::chrono::seconds(10);    // a reader that takes nothing for so long is cut off
+    Duration messageWithin = std::chrono::seconds(10);  // from a req's first byte to its last
+    Duration idleFor = std::chrono::seconds(60);        // between reqs
+    Duration slowPeerFor = std::chrono::seconds(10);    // a reader that takes nothing for so long is cut off
 };
 
 class ServerConnection;
--- a/src/membership/claims.cpp
+++ b/src/membership/claims.cpp
@@ -7,7 +7,8 @@
 
 namespace deckcart::membership {
 
-Reading readingOf(const SrvName &name, const dns::Found &found, Span at, Span lifetime, std::string from) {
+Reading readingOf(const SrvName &name, const dns::Found &found, Duration at, Duration lifetime,
+                  std::string from) {
     Reading reading{at, lifetime, std::move(from), {}, false, {}};
     std::map<int, std::pair<int, int>> ofClass;  // the least weight over 0, and the greatest
     for (const auto &t : found.targets) {
--- a/src/membership/claims.hpp
+++ b/src/membership/claims.hpp
@@ -17,6 +17,7 @@
 // relative to the greatest of the class, 1 for all if none has one; a weight of 0 beside others gets a
 // hundredth of the least of them, "a very small chance". A target's weight is shared by its addresses. Within
 // 0.001 to 1.
-Reading readingOf(const SrvName &name, const dns::Found &found, Span at, Span lifetime, std::string from);
+Reading readingOf(const SrvName &name, const dns::Found &found, Duration at, Duration lifetime,
+                  std::string from);
 
 }  // namespace deckcart::membership
--- a/src/membership/merge.cpp
+++ b/src/membership/merge.cpp
@@ -5,7 +5,7 @@
 namespace deckcart::membership {
 namespace {
 
-Span added(Span at, Span lifetime) { return at + std::min(lifetime, kForever); }
+Duration added(Duration at, Duration lifetime) { return at + std::min(lifetime, kForever); }
 
 }  // namespace
 
@@ -29,14 +29,14 @@
 
 Merge::Merge(MergeRules with) : rules(std::move(with)), sources(rules.sources.size()) {}
 
-SourceState Merge::stateOf(const Source &s, Span now) const {
+SourceState Merge::stateOf(const Source &s, Duration now) const {
     if (!s.read) return SourceState::never;
     if (now < s.freshUntil) return SourceState::fresh;
     return now < failsAt(s) ? SourceState::stale : SourceState::failed;
 }
-Span Merge::failsAt(const Source &s) const { return added(s.freshUntil, rules.longestStale); }
+Duration Merge::failsAt(const Source &s) const { return added(s.freshUntil, rules.longestStale); }
 
-void Merge::claim(Source &s, Span at, const Claim &c, bool first) {
+void Merge::claim(Source &s, Duration at, const Claim &c, bool first) {
     const ServerId &id = c.entry.id;
     s.held.erase(id);
     if (c.entry.readiness != Readiness::live) {
@@ -59,7 +59,7 @@
     s.listed[id] = std::move(now);
 }
 
-void Merge::withdraw(Source &s, const ServerId &id, Span at) {
+void Merge::withdraw(Source &s, const ServerId &id, Duration at) {
     s.listed.erase(id), s.held.erase(id), s.withdrawn[id] = at;
 }
 
@@ -77,7 +77,7 @@
     bool holds = false;
     for (const auto &id : missing) {
         if (much || another) {
-            const Span since = s.held.try_emplace(id, r.at).first->second;
+            const Duration since = s.held.try_emplace(id, r.at).first->second;
             if (r.at - since < rules.confirmAfter) {
                 holds = true;
                 continue;
@@ -91,14 +91,14 @@
     s.read = true, s.at = r.at, s.freshUntil = added(r.at, r.lifetime), s.fault.clear();
 }
 
-void Merge::tookChanges(std::size_t source, Span at, const std::vector<Claim> &claims) {
+void Merge::tookChanges(std::size_t source, Duration at, const std::vector<Claim> &claims) {
     Source &s = sources.at(source);
     if (!s.read || at < s.at) return;
     for (const auto &c : claims) claim(s, at, c, false);
     s.at = at;
 }
 
-void Merge::lost(std::size_t source, Span at, const std::string &why) {
+void Merge::lost(std::size_t source, Duration at, const std::string &why) {
     Source &s = sources.at(source);
     s.freshUntil = std::min(s.freshUntil, at), s.fault = why;
 }
@@ -153,23 +153,23 @@
     return said;
 }
 
-View Merge::at(Span now) {
+View Merge::at(Duration now) {
     View view;
-    const auto later = [&](Span at) {
+    const auto later = [&](Duration at) {
         if (at > now && (!view.changesAt || at < *view.changesAt)) view.changesAt = at;
     };
     std::vector<std::size_t> ranks, failed;
     for (std::size_t k = 0; k < sources.size(); ++k) {
         const Source &s = sources[k];
-        SourceView v{stateOf(s, now), now - s.at,    std::max(Span{0}, s.freshUntil - now),
+        SourceView v{stateOf(s, now), now - s.at,    std::max(Duration{0}, s.freshUntil - now),
                      s.listed.size(), s.held.size(), s.from,
                      s.fault};
-        if (v.state == SourceState::never) v.age = v.lifetimeLeft = Span{0};
+        if (v.state == SourceState::never) v.age = v.lifetimeLeft = Duration{0};
         else (v.state == SourceState::failed ? failed : ranks).push_back(k);
         if (v.state == SourceState::fresh) later(s.freshUntil);
         if (v.state == SourceState::fresh || v.state == SourceState::stale) later(failsAt(s));
         if (!s.held.empty()) {
-            Span since = Span::max();
+            Duration since = Duration::max();
             for (const auto &[id, held] : s.held) since = std::min(since, held);
             view.confirm.emplace_back(k, since + rules.confirmAfter);
             later(since + rules.confirmAfter);
@@ -268,7 +268,7 @@
             // Leaves, as it was: after the grace it is gone.
             m.entry.readiness = reserve ? Readiness::live : Readiness::gone, m.inSet = false;
             if (place != set.end()) {
-                const Span since = place->second.leaving.value_or(now);
+                const Duration since = place->second.leaving.value_or(now);
                 if (now - since >= rules.grace) set.erase(place);
                 else {
                     place->second.leaving = since, place->second.entry.readiness = Readiness::draining;
--- a/src/membership/merge.hpp
+++ b/src/membership/merge.hpp
@@ -23,12 +23,12 @@
 struct MergeRules {
     std::vector<SourceRule> sources;  // the first has precedence
     // An hour outlasts most outages of name servers.
-    Span longestStale =
+    Duration longestStale =
         std::chrono::hours(1);  // beyond the end of a reading's lifetime; then its source has failed
     double confirmShare = 0.3;  // 0 to 1: a loss of more than this part of what a source listed is held
-    Span confirmAfter = std::chrono::seconds(5);  // a held loss told again so much later is believed
+    Duration confirmAfter = std::chrono::seconds(5);  // a held loss told again so much later is believed
     // Longer than the usual route timeout, so that reqs in hand end.
-    Span grace = std::chrono::seconds(30);  // what leaves the set is draining for so long, then gone
+    Duration grace = std::chrono::seconds(30);  // what leaves the set is draining for so long, then gone
     // Of each build: the next class of priority opens while fewer live instances than reserveBelow are in the
     // open ones, and closes once those before it have reserveUntil. 1 <= reserveBelow <= reserveUntil.
     int reserveBelow = 1, reserveUntil = 2;
@@ -36,7 +36,7 @@
 
 constexpr int kNoClass = -1;
 // A lifetime without end, as a fixed list has: far from overflow when added to a time.
-constexpr Span kForever = std::chrono::hours(24 * 365 * 100);
+constexpr Duration kForever = std::chrono::hours(24 * 365 * 100);
 
 struct Claim {
     ServerEntry entry;
@@ -48,7 +48,7 @@
 
 // All that a source lists at one time.
 struct Reading {
-    Span at{}, lifetime{};
+    Duration at{}, lifetime{};
     std::string from;  // who told: one name server or another
     std::vector<Claim> claims;
     bool certain = false;           // set by hand: a loss needs no confirmation
@@ -60,8 +60,8 @@
 
 struct SourceView {
     SourceState state = SourceState::never;
-    Span age{};                        // since its last reading
-    Span lifetimeLeft{};               // zero: over
+    Duration age{};                    // since its last reading
+    Duration lifetimeLeft{};           // zero: over
     std::size_t listed = 0, held = 0;  // losses that wait for confirmation
     std::string from, fault;
 };
@@ -72,24 +72,24 @@
     bool inSet = true;  // false: only shown
     std::string reason;
     std::vector<std::string> sources;  // that list it, by precedence
-    Span age{}, lifetimeLeft{};        // of the source that decides
+    Duration age{}, lifetimeLeft{};    // of the source that decides
     SourceState state = SourceState::never;
 };
 
 struct View {
     std::vector<Member> members;  // by id
     std::vector<SourceView> sources;
-    std::vector<std::pair<std::size_t, Span>> confirm;  // sources to be asked again, and when (a time)
-    std::optional<Span> changesAt;                      // look again then, though nothing is told
+    std::vector<std::pair<std::size_t, Duration>> confirm;  // sources to be asked again, and when (a time)
+    std::optional<Duration> changesAt;                      // look again then, though nothing is told
 };
 
 // What has to outlive the process. Times are spans since the clock's start, as everywhere.
 struct SavedSource {
     std::string name, from;
-    Span at{}, lifetime{};
-    std::vector<std::pair<Claim, Span>> listed;  // and since when it is, live, without a break
-    std::map<ServerId, std::pair<Readiness, Span>> stops;
-    std::map<ServerId, Span> withdrawn;
+    Duration at{}, lifetime{};
+    std::vector<std::pair<Claim, Duration>> listed;  // and since when it is, live, without a break
+    std::map<ServerId, std::pair<Readiness, Duration>> stops;
+    std::map<ServerId, Duration> withdrawn;
 };
 
 class Merge {
@@ -99,13 +99,13 @@
     // Times don't go back within a source: a reading older than the last one is passed over.
     void took(std::size_t source, Reading reading);
     // Changes to what the source listed; those said gone leave its list.
-    void tookChanges(std::size_t source, Span at, const std::vector<Claim> &claims);
+    void tookChanges(std::size_t source, Duration at, const std::vector<Claim> &claims);
     // It can't be read: its last reading is stale from now on at the latest.
-    void lost(std::size_t source, Span at, const std::string &why);
+    void lost(std::size_t source, Duration at, const std::string &why);
     void failedOnce(std::size_t source, const std::string &why);  // one try of many; the reading lives on
 
     // The set at a time not before any told so far.
-    View at(Span now);
+    View at(Duration now);
 
     std::vector<SavedSource> saved() const;
     // Of a process before this one; before anything is told. Sources are found by name.
@@ -116,25 +116,25 @@
   private:
     struct Held {
         Claim claim;
-        Span since{};  // listed live without a break since then
+        Duration since{};  // listed live without a break since then
     };
     struct Stop {
         Readiness readiness = Readiness::draining;
-        Span since{};
+        Duration since{};
     };
     struct Source {
         bool read = false;
-        Span at{}, freshUntil{};
+        Duration at{}, freshUntil{};
         std::string from, fault;
         std::map<ServerId, Held> listed;
-        std::map<ServerId, Stop> stops;      // told to stop: draining or gone
-        std::map<ServerId, Span> withdrawn;  // listed once, not any more
-        std::map<ServerId, Span> held;       // missing, waiting for confirmation since then
+        std::map<ServerId, Stop> stops;          // told to stop: draining or gone
+        std::map<ServerId, Duration> withdrawn;  // listed once, not any more
+        std::map<ServerId, Duration> held;       // missing, waiting for confirmation since then
     };
     struct Place {
         ServerEntry entry;
         int priority = kNoClass;
-        std::optional<Span> leaving;
+        std::optional<Duration> leaving;
     };
     // What the sources together say of one instance.
     struct Said {
@@ -144,10 +144,10 @@
         std::size_t decider = 0;
         std::string reason;
     };
-    SourceState stateOf(const Source &s, Span now) const;
-    Span failsAt(const Source &s) const;
-    void claim(Source &s, Span at, const Claim &c, bool first);
-    void withdraw(Source &s, const ServerId &id, Span at);
+    SourceState stateOf(const Source &s, Duration now) const;
+    Duration failsAt(const Source &s) const;
+    void claim(Source &s, Duration at, const Claim &c, bool first);
+    void withdraw(Source &s, const ServerId &id, Duration at);
     Said say(const ServerId &id, const std::vector<std::size_t> &ranks, std::size_t counted) const;
     void forget();
 
--- a/src/platform/commands.cpp
+++ b/src/platform/commands.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 
 #include "../base/number.hpp"
-#include "../settings/orders.hpp"
+#include "../settings/gateway_settings.hpp"
 #include "pairs.hpp"
 
 namespace deckcart::platform {
@@ -55,7 +55,7 @@
     if (effect == Effect::deduped && (!repeat || repeat->empty())) return refuse("no mark against repeats");
     const auto ms = plainNumber(*wait);
     if (!ms || *ms < 0 || *ms > kMostWaitMs) return refuse("the time to wait is no number");
-    out.facts.wait = std::min(settings.routeTimeouts[out.facts.route], Span{std::llround(*ms * 1000)});
+    out.facts.wait = std::min(settings.routeTimeouts[out.facts.route], Duration{std::llround(*ms * 1000)});
     if (account) out.facts.account = accountNo(settings.accounts, *account);
     out.command.waitAt = std::size_t(wait->data() - args[3].data()), out.command.waitLength = wait->size();
     out.facts.key = args[1], out.facts.name = args[2];
@@ -63,7 +63,7 @@
     return out;
 }
 
-std::string instanceCommand(const Command &from, Span wait) {
+std::string instanceCommand(const Command &from, Duration wait) {
     std::vector<std::string> args = from.args;
     args[3].replace(from.waitAt, from.waitLength,
                     std::to_string(std::max<std::int64_t>(1, wait.count() / 1000)));
--- a/src/platform/commands.hpp
+++ b/src/platform/commands.hpp
@@ -2,7 +2,7 @@
 // an instance's command, an instance's reply to an outcome. Pure.
 #pragma once
 
-#include "../gateway/ways.hpp"
+#include "../gateway/transport.hpp"
 #include "../resp/message.hpp"
 #include "documents.hpp"
 
@@ -23,7 +23,7 @@
 CommandRead readCommand(std::vector<std::string> args, const wire::BirthSettings &settings);
 bool asksForReq(const std::vector<std::string> &args);
 
-std::string instanceCommand(const Command &from, Span wait);
+std::string instanceCommand(const Command &from, Duration wait);
 
 struct ReplyRead {
     Outcome how = Outcome::error;
--- a/src/platform/control_plane.cpp
+++ b/src/platform/control_plane.cpp
@@ -1,4 +1,4 @@
-#include "desk.hpp"
+#include "control_plane.hpp"
 
 #include "../base/back_off.hpp"
 #include "json_values.hpp"
@@ -6,13 +6,13 @@
 namespace deckcart::platform {
 
 constexpr std::size_t kMostList = 8 * 1024 * 1024;
-constexpr Span kNever = std::chrono::hours(24 * 365);  // a leg's own silence: the stream watches it
+constexpr Duration kNever = std::chrono::hours(24 * 365);  // a leg's own silence: the stream watches it
 
-Span onClock(std::int64_t unixMs) {
-    static const Span offset =
-        std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch() -
-                                         std::chrono::steady_clock::now().time_since_epoch());
-    return Span{unixMs * 1000} - offset;
+Duration onClock(std::int64_t unixMs) {
+    static const Duration offset =
+        std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch() -
+                                             std::chrono::steady_clock::now().time_since_epoch());
+    return Duration{unixMs * 1000} - offset;
 }
 
 ListTold listTold(const Members &told) {
@@ -177,7 +177,7 @@
     owner.tell(listTold(told));
 }
 
-void PlatformDesk::vote(const Vote &vote, Span within) {
+void PlatformDesk::vote(const Vote &vote, Duration within) {
     http::RequestHead head;
     head.method = "POST", head.target = "/apis/fleet/";
     head.headers = {{"Content-Type", "application/x-www-form-urlencoded"}};
--- a/src/platform/control_plane.hpp
+++ b/src/platform/control_plane.hpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "../base/log.hpp"
-#include "../gateway/ways.hpp"
+#include "../gateway/transport.hpp"
 #include "../http/fetch.hpp"
 #include "directory.hpp"
 #include "limits.hpp"
@@ -55,7 +55,7 @@
                  std::uint64_t seed, Log log, std::int64_t generation, DeskOwner owner);
 
     void follow(bool active) override;
-    void vote(const Vote &vote, Span within) override;
+    void vote(const Vote &vote, Duration within) override;
     void move(const At &to);
 
   private:
@@ -73,7 +73,7 @@
 };
 
 // Unix time to the gateway's clock and back: read once, so that a fact does not move.
-Span onClock(std::int64_t unixMs);
+Duration onClock(std::int64_t unixMs);
 ListTold listTold(const Members &told);
 
 }  // namespace deckcart::platform
--- a/src/platform/documents.cpp
+++ b/src/platform/documents.cpp
@@ -9,7 +9,7 @@
 
 #include "../base/address.hpp"
 #include "../base/number.hpp"
-#include "../gateway/ways.hpp"
+#include "../gateway/transport.hpp"
 #include "pairs.hpp"
 
 namespace deckcart::platform {
@@ -81,7 +81,7 @@
             int(number(from, "ring", 0, kMostStage)),
             phaseNamed(text(from, "progress")),
             number(from, "ceiling", 0, 1),
-            Span{std::llround(number(from, "lag_ms", 0, kMostLagMs) * 1000)}};
+            Duration{std::llround(number(from, "lag_ms", 0, kMostLagMs) * 1000)}};
 }
 
 // Keys that stand twice in one object: which of them counts would be chance.
@@ -176,7 +176,7 @@
     if (route == routes.end()) bad("type", "names no route");
     TallyTold out{BuildNo(number(from, "image", 0, kMostBuild)), int(route - routes.begin()),
                   int(number(from, "n", 0, 1e9)), int(number(from, "bad", 0, 1e9)),
-                  Span{std::llround(number(from, "lag_ms", 0, kMostLagMs) * 1000)}};
+                  Duration{std::llround(number(from, "lag_ms", 0, kMostLagMs) * 1000)}};
     if (out.lost > out.counted) bad("bad", "is over n");
     return out;
 }
--- a/src/platform/documents.hpp
+++ b/src/platform/documents.hpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "../wire/wire.hpp"
+#include "../simulator/codec.hpp"
 
 namespace deckcart::platform {
 
--- a/src/platform/downstream.cpp
+++ b/src/platform/downstream.cpp
@@ -1,4 +1,4 @@
-#include "front.hpp"
+#include "downstream.hpp"
 
 namespace deckcart::platform {
 
@@ -20,7 +20,7 @@
 
     bool open() const override { return exchange->open(); }
     bool clientThere() const override { return open() && exchange->peerThere(); }
-    void shed(const std::string &, Span retryIn) override {
+    void shed(const std::string &, Duration retryIn) override {
         const auto ms = retryIn.count() / 1000;
         say(ms > 0 ? resp::error("BUSY " + std::to_string(ms)) : resp::error("BUSY"));
     }
--- a/src/platform/downstream.hpp
+++ b/src/platform/downstream.hpp
@@ -1,10 +1,10 @@
-// Clients' commands as reqs of the gateway: see gateway/ways.hpp.
+// Clients' commands as reqs of the gateway: see gateway/transport.hpp.
 #pragma once
 
 #include "../base/clock.hpp"
 #include "../resp/server.hpp"
 #include "commands.hpp"
-#include "names.hpp"
+#include "request_ids.hpp"
 
 namespace deckcart::platform {
 
--- a/src/platform/limits.cpp
+++ b/src/platform/limits.cpp
@@ -15,17 +15,17 @@
 // an answer, as some tens come at a time; one in 256 for a command, as all clients may be bad ones at once.
 constexpr std::size_t kValueLeast = 65536, kValueMost = 1048576, kAnswersAtOnce = 64, kCommandsAtOnce = 256;
 // A planned end: connections come for up to 0.4 s; the kill at the longest time-out, at most 3 s, and 0.7 s.
-constexpr Span kAcceptsFor = std::chrono::milliseconds(500), kLongestCounted = std::chrono::seconds(3),
-               kKillMargin = std::chrono::milliseconds(550), kLastWords = std::chrono::milliseconds(100);
+constexpr Duration kAcceptsFor = std::chrono::milliseconds(500), kLongestCounted = std::chrono::seconds(3),
+                   kKillMargin = std::chrono::milliseconds(550), kLastWords = std::chrono::milliseconds(100);
 constexpr std::size_t kBesideValue = 4096, kMostLine = 512;  // of a reply: its report, and an error's words
-constexpr Span kSweepLeast = std::chrono::milliseconds(50), kSweepMost = std::chrono::seconds(1);
+constexpr Duration kSweepLeast = std::chrono::milliseconds(50), kSweepMost = std::chrono::seconds(1);
 constexpr std::size_t kReplyItems = 4;  // three are stated
 // What comes behind an answer came up to 3.8 ms later on the days that play it (31 of one day); a network's
 // delays differ. Taken for an answer it would be another req's. Harm: some more connections where a gateway
 // is busy.
-constexpr Span kRest = std::chrono::milliseconds(10);
+constexpr Duration kRest = std::chrono::milliseconds(10);
 
-Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t mostReqs, Span keptIdle) {
+Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t mostReqs, Duration keptIdle) {
     Bounds out;
     out.reserve = std::max(kReserveLeast, sockets / kReservePart);
     const std::size_t rest = sockets > out.reserve ? sockets - out.reserve : 2;
@@ -42,7 +42,7 @@
     return out;
 }
 
-Ending ending(Span longestTimeout) {
+Ending ending(Duration longestTimeout) {
     return {kAcceptsFor, std::min(longestTimeout, kLongestCounted) + kKillMargin, kLastWords};
 }
 
@@ -62,7 +62,7 @@
 }
 
 // As long again for the answer as for the connection.
-Span probeWithin(Span connectWithin) { return 2 * connectWithin; }
+Duration probeWithin(Duration connectWithin) { return 2 * connectWithin; }
 
 resp::DoorLimits doorLimits(const Bounds &bounds) {
     resp::DoorLimits out;
--- a/src/platform/limits.hpp
+++ b/src/platform/limits.hpp
@@ -1,7 +1,7 @@
 // Divides what a gateway's machine allows between its uses. Pure.
 #pragma once
 
-#include "../resp/room.hpp"
+#include "../resp/connection_admission.hpp"
 #include "documents.hpp"
 
 namespace deckcart::platform {
@@ -13,35 +13,35 @@
     std::size_t reqsInHand = 0;
     std::size_t valueBytes = 0;  // of an instance's answer at most
     std::size_t bodyBytes = 0;   // of a client's command at most
-    Span idleFor{};              // a connection to an instance is kept idle
-    Span sweepEvery{};           // idle connections are looked through
-    Span restFor{};              // and not used again sooner: what comes behind an answer shows itself
+    Duration idleFor{};          // a connection to an instance is kept idle
+    Duration sweepEvery{};       // idle connections are looked through
+    Duration restFor{};          // and not used again sooner: what comes behind an answer shows itself
 };
 // How a planned end goes, from its signal on.
 struct Ending {
-    Span acceptsFor{};  // who does not know yet still comes
-    Span answersBy{};   // what is in hand then is answered as errored
-    Span lastWords{};   // for readers of the last answers
+    Duration acceptsFor{};  // who does not know yet still comes
+    Duration answersBy{};   // what is in hand then is answered as errored
+    Duration lastWords{};   // for readers of the last answers
 };
 // A stream that is to stand always.
 struct StreamTimes {
-    Span silentFor{};      // of silence that counts as broken
-    Span firstWord{};      // a new one has so long for its first word; twice that at each in a row, up to
-                           // silentFor
-    Span first{}, most{};  // pauses before it is opened anew
+    Duration silentFor{};      // of silence that counts as broken
+    Duration firstWord{};      // a new one has so long for its first word; twice that at each in a row, up to
+                               // silentFor
+    Duration first{}, most{};  // pauses before it is opened anew
 };
 // How a start goes.
 struct Starting {
-    Span listensWithin{}, listensAgain{};  // while its address is still taken: at most, and a pause
-    Span firstListWithin{};                // then it serves from the list as last known
+    Duration listensWithin{}, listensAgain{};  // while its address is still taken: at most, and a pause
+    Duration firstListWithin{};                // then it serves from the list as last known
 };
 Starting starting();
-Ending ending(Span longestTimeout);
+Ending ending(Duration longestTimeout);
 StreamTimes listTimes();
 StreamTimes bulletinTimes();
-Span probeWithin(Span connectWithin);
+Duration probeWithin(Duration connectWithin);
 resp::DoorLimits doorLimits(const Bounds &bounds);
 resp::Limits replyLimits(const Bounds &bounds);
-Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t mostReqs, Span keptIdle);
+Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t mostReqs, Duration keptIdle);
 
 }  // namespace deckcart::platform
--- a/src/platform/request_ids.hpp
+++ b/src/platform/request_ids.hpp
@@ -12,16 +12,16 @@
 
 class OpenNames {
   public:
-    explicit OpenNames(Span keptFor) : kept(keptFor) {}
-    bool open(const std::string &name, Span now);  // false: it is known
-    void ended(const std::string &name, Span now);
+    explicit OpenNames(Duration keptFor) : kept(keptFor) {}
+    bool open(const std::string &name, Duration now);  // false: it is known
+    void ended(const std::string &name, Duration now);
     std::size_t size() const { return names.size(); }
 
   private:
-    void forget(Span now);
-    Span kept;
+    void forget(Duration now);
+    Duration kept;
     std::unordered_set<std::string> names;
-    std::deque<std::pair<Span, std::string>> over;
+    std::deque<std::pair<Duration, std::string>> over;
 };
 
 }  // namespace deckcart::platform
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -5,7 +5,7 @@
 
 #include "../base/address.hpp"
 #include "../base/snapshot.hpp"
-#include "ways.hpp"
+#include "transport.hpp"
 
 namespace deckcart::platform {
 namespace {
@@ -126,7 +126,7 @@
         after(answersUntil, plan.answersBy, [this] { gateway->endInHand(); });
         after(stopsAt, plan.answersBy + plan.lastWords, [this] { context.stop(); });
     }
-    static void after(asio::steady_timer &timer, Span span, std::function<void()> what) {
+    static void after(asio::steady_timer &timer, Duration span, std::function<void()> what) {
         timer.expires_after(span);
         timer.async_wait([what = std::move(what)](asio::error_code fault) {
             if (!fault) what();
--- a/src/platform/transport.cpp
+++ b/src/platform/transport.cpp
@@ -1,4 +1,4 @@
-#include "ways.hpp"
+#include "transport.hpp"
 
 namespace deckcart::platform {
 
--- a/src/platform/transport.hpp
+++ b/src/platform/transport.hpp
@@ -1,11 +1,11 @@
-// The platform's ways in and out of a gateway, and its orders: see gateway/ways.hpp.
+// The platform's ways in and out of a gateway, and its orders: see gateway/transport.hpp.
 #pragma once
 
 #include "../gateway/gateway.hpp"
-#include "desk.hpp"
-#include "front.hpp"
+#include "control_plane.hpp"
+#include "downstream.hpp"
 #include "limits.hpp"
-#include "upstreams.hpp"
+#include "upstream_pool.hpp"
 
 namespace deckcart::platform {
 
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -1,6 +1,6 @@
-#include "upstreams.hpp"
+#include "upstream_pool.hpp"
 
-#include "front.hpp"
+#include "downstream.hpp"
 
 namespace deckcart::platform {
 
@@ -37,7 +37,7 @@
     }
     bool handedOver() const override { return connection->handedOver(); }
     void look() override { connection->look(); }
-    void release(Span) override {
+    void release(Duration) override {
         if (std::exchange(released, true)) return;
         if (alive.expired()) return connection->drop();
         upstreams.give(server, connection);
@@ -59,7 +59,7 @@
     using Use = IdleConnections<Placed>::Use;
     const auto *place = directory.find(server);
     if (!place) return nullptr;
-    const Span now = clock.now(), rested = now - bounds.restFor;
+    const Duration now = clock.now(), rested = now - bounds.restFor;
     auto one = idle.take(server, [&](Placed &kept) {
         if (!(kept.place == *place)) return Use::none;                 // of a former address, start or build
         if (now - kept.idleSince >= bounds.idleFor) return Use::none;  // its instance may be closing it
--- a/src/platform/upstream_pool.hpp
+++ b/src/platform/upstream_pool.hpp
@@ -4,7 +4,7 @@
 
 #include "../base/clock.hpp"
 #include "../gateway/idle_connections.hpp"
-#include "../gateway/ways.hpp"
+#include "../gateway/transport.hpp"
 #include "../resp/client.hpp"
 #include "directory.hpp"
 #include "limits.hpp"
@@ -20,8 +20,8 @@
 
     std::shared_ptr<Call> take(const ServerId &server) override;
     void closeIdle(const ServerId &server) override { idle.close(server); }
-    void sweep(Span now) override { idle.sweep(now, bounds.idleFor); }
-    Span sweepEvery() const override { return bounds.sweepEvery; }
+    void sweep(Duration now) override { idle.sweep(now, bounds.idleFor); }
+    Duration sweepEvery() const override { return bounds.sweepEvery; }
     void probe(const ServerId &server, Probed done) override;
     std::size_t connections() const { return busy + idle.size(); }
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -20,27 +20,32 @@
 // tolerances, streaks, the cold exclusion and the stretch without failures that casts 'on'.
 constexpr double kHashShare = 0.7, kFailMargin = 0.05, kFailRatio = 2;
 constexpr int kWindowLeast = 20, kSlowLeast = 50, kHealthyStreak = 3, kUnhealthyStreak = 2;
-constexpr Span kWindowSpan = 1s, kSlowMargin = 20ms, kColdEvidence = 5s, kQuiet = 5s;
+constexpr Duration kWindowSpan = 1s, kSlowMargin = 20ms, kColdEvidence = 5s, kQuiet = 5s;
 // ---- Tuned values, each with its reason ----
 constexpr double kSlowRatio = 2;  // p95, not 1.5: at high load a build one tenth slower queues twice as long
-constexpr Span kTick = 20ms;      // housekeeping: well under the shortest wait that it decides on
-constexpr Span kCountEvery = 100ms;  // servers are counted, builds judged: nothing they tell changes sooner
-constexpr Span kSlowSpan = 10s;      // latencies are kept this long to find the least count
+constexpr Duration kTick = 20ms;  // housekeeping: well under the shortest wait that it decides on
+constexpr Duration kCountEvery =
+    100ms;                           // servers are counted, builds judged: nothing they tell changes sooner
+constexpr Duration kSlowSpan = 10s;  // latencies are kept this long to find the least count
 constexpr double kOneServer = 1.6;   // a build is slow on most of its servers by this much, not on one
 constexpr std::size_t kReference = 200;  // latencies of the earlier build under full load that are kept
 constexpr double kFleetSlow = 1.2;   // times its full-load median that make the earlier build slow as well
 constexpr double kPulseDoubt = 1.5;  // over the root of the answers: about one spread of such a median
 constexpr std::size_t kPulseLeast = 15;  // answers that give a median good enough for it
-constexpr Span kPulseSpan = 1500ms;      // of this long at most: it must follow a pause of the trial build
-constexpr Span kSlowFor = 700ms, kClearFor = 8s;   // slow before a pause or blame; no new pause once cleared
-constexpr Span kPauseMost = 4s, kResumeMost = 6s;  // by then no help of a pause, or no return, clears
+constexpr Duration kPulseSpan = 1500ms;  // of this long at most: it must follow a pause of the trial build
+constexpr Duration kSlowFor = 700ms,
+                   kClearFor = 8s;  // slow before a pause or blame; no new pause once cleared
+constexpr Duration kPauseMost = 4s, kResumeMost = 6s;  // by then no help of a pause, or no return, clears
 constexpr double kHelped = 0.4;  // part of the excess that is left when a pause has helped: most has gone
-constexpr Span kFullFor = 5s;    // the fleet counts as full for this long after a shed: some jams and pauses
-constexpr Span kPatience = 2500ms;  // 'on' 2 s after the stage's clock has started; half more as we guess it
-constexpr Span kOvertaken =
+constexpr Duration kFullFor =
+    5s;  // the fleet counts as full for this long after a shed: some jams and pauses
+constexpr Duration kPatience =
+    2500ms;  // 'on' 2 s after the stage's clock has started; half more as we guess it
+constexpr Duration kOvertaken =
     8s;  // news are late by less: what still tells a passed stage then offers it again
-constexpr Span kClockLag = 1s, kMachinesLate = 8s;  // a stage's clock: after its last machine; at the latest
-constexpr double kColdMargin = 0.5;  // part of the tip multiple that is used: unequal gateways add up
+constexpr Duration kClockLag = 1s,
+                   kMachinesLate = 8s;  // a stage's clock: after its last machine; at the latest
+constexpr double kColdMargin = 0.5;     // part of the tip multiple that is used: unequal gateways add up
 constexpr double kRetryRate = 0.2, kRetryBurst = 10;  // further tries a req, more would feed a jam; saved up
 constexpr double kLatencyGain = 0.25,
                  kLatencyFade = 4;  // of a new latency; seconds until it has mostly faded
@@ -48,12 +53,13 @@
 constexpr double kMostAside = 0.4;  // part of a build put aside at most: beyond it is no machine's trouble
 constexpr double kSilent = 4;  // times the usual latency, fleet's slowness included, that tell of silence
 constexpr double kShedFrom = 0.45, kShedSpan = 0.5;  // of the objective: half a mean's head-room, evenly more
-constexpr Span kPaceSpan = 1s;   // answers of this long give the pace: some latencies, not a surge's length
-constexpr Span kFateSpan = 4s;   // ends of this long show a jam: some answers of a small gateway
+constexpr Duration kPaceSpan =
+    1s;  // answers of this long give the pace: some latencies, not a surge's length
+constexpr Duration kFateSpan = 4s;  // ends of this long show a jam: some answers of a small gateway
 constexpr double kThrottle = 2;  // reqs let through for each that ends in time: a fleet that heals is found
 constexpr double kFewUnderWay = 4,
-                 kOverShare = 1.25;                // reqs that are no jam; times its share that are excess
-constexpr Span kEjectFirst = 1s, kEjectMost = 8s;  // time aside, doubled each time in a row
+                 kOverShare = 1.25;  // reqs that are no jam; times its share that are excess
+constexpr Duration kEjectFirst = 1s, kEjectMost = 8s;  // time aside, doubled each time in a row
 constexpr int kPairsBack = 3, kWrongBack = 2;  // reqs failed on trial only, reports of wrong answers: 'back'
 constexpr double kAtHome = 0.6;      // of other zones' choices passed over: one zone of three keeps over half
 constexpr int kManyGateways = 16;    // from so many on, own in-flight is a small part of what a server holds
@@ -62,12 +68,13 @@
 constexpr double kPooledFails = 0.1;  // of its trial tries failed or wrong: two of a good build's are rare
 constexpr double kPooledSlow = 1.4, kPooledLeast = 4;  // slower by this factor, on so many answers of each
 constexpr double kPooledHold = 1, kPooledBack = 2;     // and by so many standard errors: no quiet; 'back'
-constexpr Span kStageTuned =
+constexpr Duration kStageTuned =
     1500ms;  // the waits on a stage rest on a least stage of this; shorter ones shrink them
-constexpr Span kMootRetry = 1s, kVoteRetry = 250ms;  // pauses: the stage has passed or is young; turned away
+constexpr Duration kMootRetry = 1s,
+                   kVoteRetry = 250ms;  // pauses: the stage has passed or is young; turned away
 
-double secs(Span s) { return std::chrono::duration<double>(s).count(); }
-Span span(double seconds) { return Span{std::llround(seconds * 1e6)}; }
+double secs(Duration s) { return std::chrono::duration<double>(s).count(); }
+Duration span(double seconds) { return Duration{std::llround(seconds * 1e6)}; }
 
 bool provesNotRun(Outcome how) {
     return how == Outcome::full || how == Outcome::connectFailed || how == Outcome::moot;
@@ -80,31 +87,31 @@
 // One record a server, found by its id.
 struct Server {
     ServerEntry entry;
-    std::set<std::pair<Span, ReqId>> out;  // tries under way, oldest first
-    double slowness = 1;                   // latency over the route's usual one, decaying
-    Span slownessAt{};
-    Span answeredAt{};   // the latest answer of any kind
-    int unanswered = 0;  // tries in a row without an answer
-    Span asideUntil{};
-    Span asideFor{};
-    std::deque<Span> coldSends;
+    std::set<std::pair<Duration, ReqId>> out;  // tries under way, oldest first
+    double slowness = 1;                       // latency over the route's usual one, decaying
+    Duration slownessAt{};
+    Duration answeredAt{};  // the latest answer of any kind
+    int unanswered = 0;     // tries in a row without an answer
+    Duration asideUntil{};
+    Duration asideFor{};
+    std::deque<Duration> coldSends;
     BuildNo ranBefore = 0;  // the build that the id was listed with until then
-    Span changedAt{};
+    Duration changedAt{};
     double inHand = 0;  // reqs that it holds, of all gateways, as last told
-    Span inHandAt{};
+    Duration inHandAt{};
     int given = 0;          // its answers among the record's `done`
-    Span goneAt{};          // left the list then
+    Duration goneAt{};      // left the list then
     double coldChance = 0;  // rounds the broken part of what may be sent while cold
 
     bool listed() const { return entry.readiness == Readiness::live; }
-    Span age(Span now) const { return entry.startedAt ? now - *entry.startedAt : Span{1h}; }
+    Duration age(Duration now) const { return entry.startedAt ? now - *entry.startedAt : Duration{1h}; }
 };
 
 struct Try {
     Server *server;
     BuildNo build;
     int zone, cell;
-    Span sent;
+    Duration sent;
     bool cold;
     bool out = true;
     bool calledOff = false;  // given up on, or copied, for the server's silence
@@ -115,7 +122,7 @@
 
 struct Req {
     ReqArrived in;
-    Span arrived;
+    Duration arrived;
     std::vector<Try> tries;
     bool answered = false;
     std::vector<Server *> asked;  // the two choices while their load is asked for
@@ -141,7 +148,7 @@
         double n = 0, fails = 0, errors = 0, slow = 0;  // slow: sum of the completed tries' slowness
     };
     std::map<int, Cell> routes;
-    std::deque<std::pair<Span, double>> slowness;  // of completed tries, over the route's usual latency
+    std::deque<std::pair<Duration, double>> slowness;  // of completed tries, over the route's usual latency
     std::map<ServerId, Cell> servers;
 
     double sum(double Cell::*what) const {
@@ -166,16 +173,16 @@
 };
 
 // Forgets what came by that time from a queue in order of time, bare or with something beside it.
-Span timeOf(Span at) { return at; }
-template <class T> Span timeOf(const std::pair<Span, T> &entry) { return entry.first; }
-template <class T> void forget(std::deque<T> &queue, Span until, auto leaves) {
+Duration timeOf(Duration at) { return at; }
+template <class T> Duration timeOf(const std::pair<Duration, T> &entry) { return entry.first; }
+template <class T> void forget(std::deque<T> &queue, Duration until, auto leaves) {
     for (; !queue.empty() && timeOf(queue.front()) <= until; queue.pop_front()) leaves(queue.front());
 }
-template <class T> void forget(std::deque<T> &queue, Span until) {
+template <class T> void forget(std::deque<T> &queue, Duration until) {
     forget(queue, until, [](const T &) {});
 }
 
-std::vector<double> valuesSince(const std::deque<std::pair<Span, double>> &queue, Span since) {
+std::vector<double> valuesSince(const std::deque<std::pair<Duration, double>> &queue, Duration since) {
     std::vector<double> values;
     for (const auto &[at, value] : queue)
         if (at >= since) values.push_back(value);
@@ -208,7 +215,7 @@
 // One record an instance: all that a gateway knows.
 struct Policy::Record {
     StartValues v;
-    Span now;
+    Duration now;
     std::mt19937 rng;
     std::vector<Action> out;
 
@@ -218,26 +225,26 @@
     struct {
         double ready = 0, others = 0;  // warmth that may be sent to, on the build told last and on the rest
         double fresh = 0, places = 0;
-        Span lastStart{};
+        Duration lastStart{};
         bool anyCold = false;
     } count;
-    Span countDue{};
+    Duration countDue{};
     bool following = false;
-    Span askAgainAt{};
+    Duration askAgainAt{};
 
     std::map<ReqId, Req> reqs;
-    std::vector<std::deque<Span>> taken;  // accepted reqs by route, within the exposure span
-    std::map<BuildNo, std::vector<std::deque<Span>>> trials;  // tries at a build by route, likewise
-    std::vector<double> usual;                                // by route: usual seconds of an answer
+    std::vector<std::deque<Duration>> taken;  // accepted reqs by route, within the exposure span
+    std::map<BuildNo, std::vector<std::deque<Duration>>> trials;  // tries at a build by route, likewise
+    std::vector<double> usual;                                    // by route: usual seconds of an answer
     std::vector<int> usualSeen;
-    std::deque<std::pair<Span, Server *>> done;  // answers of warm servers within the overload span
-    std::deque<Span> ends;                       // answers within the last kPaceSpan
-    double perServer = 0;                        // of these, what one warm server has given
-    double fleet = 1;                            // median slowness of the warm servers
-    std::deque<std::pair<Span, std::pair<int, bool>>> fates;  // reqs that ended: account, whether in time
-    std::map<int, std::pair<double, double>> fateOf;          // of these, by account: all, in time
-    std::deque<std::pair<Span, int>> recent;  // accepted reqs and their accounts, of the overload span
-    std::vector<double> recentOf;             // of these, by account that has a share
+    std::deque<std::pair<Duration, Server *>> done;  // answers of warm servers within the overload span
+    std::deque<Duration> ends;                       // answers within the last kPaceSpan
+    double perServer = 0;                            // of these, what one warm server has given
+    double fleet = 1;                                // median slowness of the warm servers
+    std::deque<std::pair<Duration, std::pair<int, bool>>> fates;  // reqs that ended: account, whether in time
+    std::map<int, std::pair<double, double>> fateOf;              // of these, by account: all, in time
+    std::deque<std::pair<Duration, int>> recent;  // accepted reqs and their accounts, of the overload span
+    std::vector<double> recentOf;                 // of these, by account that has a share
     double retryBudget = kRetryBurst;
     std::map<std::string, BuildNo> stays;  // keys that a build has answered
     BuildNo allStay = 0;                   // all keys stay from this one on
@@ -246,31 +253,32 @@
 
     bool told = false;         // stage news has come since the start
     StageNews news, lastTold;  // the furthest stage of the newest build; what was told last, be it older
-    Span newsBegan{};          // when the furthest stage began
+    Duration newsBegan{};      // when the furthest stage began
     BuildNo sentBack = 0;      // the last build that went back
-    Span firstTold{};          // since when this gateway knows of any stage
+    Duration firstTold{};      // since when this gateway knows of any stage
 
     Arm trial, earlier, lastEarlier;
-    Span windowBegan{};
+    Duration windowBegan{};
     int healthy = 0, unhealthy = 0;
-    Span lastTrialFailure{};
+    Duration lastTrialFailure{};
     int pairsTrial = 0, pairsEarlier = 0, wrong = 0, triedTrial = 0;
-    std::deque<std::pair<Span, double>> met;  // trial tries of the last vote life; over 0: as many bad ones
+    std::deque<std::pair<Duration, double>>
+        met;  // trial tries of the last vote life; over 0: as many bad ones
     bool bad = false, eased = false, votePending = false;
-    Span easedAt{}, shedAt{}, pooledUntil{};  // shedAt: when a req was last shed for want of pace
+    Duration easedAt{}, shedAt{}, pooledUntil{};  // shedAt: when a req was last shed for want of pace
     Verdict wanted = Verdict::none, standing = Verdict::none;
     Verdict lastVote = Verdict::none;
-    Span voteDue{}, voteSent{};
+    Duration voteDue{}, voteSent{};
     std::string why, reason;
     Arm tallyTrial, tallyEarlier;
     int tallySick = 0, ownErrors = 0;
-    std::deque<std::pair<Span, double>> pulse;  // the earlier build's slowness within kPulseSpan
+    std::deque<std::pair<Duration, double>> pulse;  // the earlier build's slowness within kPulseSpan
     enum class Suspicion { none, paused, resumed } suspicion = Suspicion::none;
-    Span suspectedAt{}, slowSince{}, clearUntil{};
+    Duration suspectedAt{}, slowSince{}, clearUntil{};
     double slowAtPause = 0;
     std::vector<double> reference;  // slowness of the earlier build while it bore about all the reqs
 
-    Record(const StartValues &start, Span at)
+    Record(const StartValues &start, Duration at)
         : v(start), now(at), rng(static_cast<std::mt19937::result_type>(start.seed ^ (start.seed >> 32))),
           taken(routesCounted()), usual(v.routes.size()), usualSeen(v.routes.size()),
           recentOf(v.accountShares.size()), windowBegan(at) {
@@ -286,14 +294,14 @@
     void timer() { out.push_back(SetTimer{kTick}); }
     double usualOf(const Req &rq) const { return usual[std::size_t(rq.in.route)]; }
     bool many() const { return v.gateways >= kManyGateways; }
-    bool shedOfLate() const { return shedAt != Span{0} && now - shedAt < kFullFor; }
+    bool shedOfLate() const { return shedAt != Duration{0} && now - shedAt < kFullFor; }
     double chance() { return double(rng()) / 4294967296.0; }
     std::size_t any(std::size_t n) { return std::size_t(rng() % n); }
 
     // The part of its capacity that a server has by now, on the slowest path the settings allow.
     double warmth(const Server &s) const {
-        const Span age = s.age(now);
-        if (age >= v.warmWithin || v.warmWithin <= Span{0}) return 1;
+        const Duration age = s.age(now);
+        if (age >= v.warmWithin || v.warmWithin <= Duration{0}) return 1;
         return v.coldFrom + (1 - v.coldFrom) * std::max(0.0, secs(age) / secs(v.warmWithin));
     }
     // Whether it may not be warm yet, with a margin for the news of its start.
@@ -357,7 +365,8 @@
                 if (v.replacedInPlace || withinColdBudget(*s))
                     (isNew ? count.ready : count.others) += warmth(*s);
                 count.fresh += isNew;
-                if (isNew) count.lastStart = std::max(count.lastStart, s->entry.startedAt.value_or(Span{0}));
+                if (isNew)
+                    count.lastStart = std::max(count.lastStart, s->entry.startedAt.value_or(Duration{0}));
                 count.places += v.replacedInPlace || !isNew;
                 count.anyCold = count.anyCold || cold(*s);
                 if (s->age(now) >= coldEvidence() && !aside(*s)) slow.push_back(slowness(*s));
@@ -380,13 +389,14 @@
 
     // Exception where the platform's stages are shorter than those that the waits were tuned for: they shrink
     // alike, or no good build could be released before the next is due. Harm: less evidence on each stage.
-    Span paced(Span wait) const {
-        if (v.leastStage <= Span{0} || v.leastStage >= kStageTuned) return wait;
-        return Span{wait.count() * v.leastStage.count() / kStageTuned.count()};
+    Duration paced(Duration wait) const {
+        if (v.leastStage <= Duration{0} || v.leastStage >= kStageTuned) return wait;
+        return Duration{wait.count() * v.leastStage.count() / kStageTuned.count()};
     }
     // Answers of servers younger than this are no evidence; no longer than the settings call them cold.
-    Span coldEvidence() const {
-        return v.warmWithin > Span{0} ? std::min(kColdEvidence, v.warmWithin + kWindowSpan) : kColdEvidence;
+    Duration coldEvidence() const {
+        return v.warmWithin > Duration{0} ? std::min(kColdEvidence, v.warmWithin + kWindowSpan)
+                                          : kColdEvidence;
     }
 
     // ---- the rules: the one place that every send passes ----
@@ -422,7 +432,7 @@
         return withinColdBudget(s);  // cold servers
     }
 
-    std::deque<Span> &triesAt(BuildNo build, int route) {
+    std::deque<Duration> &triesAt(BuildNo build, int route) {
         return trials.try_emplace(build, routesCounted()).first->second[counted(route)];
     }
     // Counts tries over a tick more and accepted reqs over a tick less than the span: it may end anywhere.
@@ -440,11 +450,11 @@
     // sends a part of the tip multiple x its warmth x what a warm server has answered of this gateway's reqs
     // (no burst raises that); the broken part of a req by a chance drawn once a start. Harm: small stages.
     bool withinColdBudget(Server &s) const {
-        const Span age = s.age(now);
+        const Duration age = s.age(now);
         if (!cold(s)) return true;
         forget(s.coldSends, now - v.overloadFor);
         const double sent = double(s.coldSends.size());  // those of the span
-        const double run = secs(std::clamp(age, Span{0}, v.overloadFor)) / secs(v.overloadFor);
+        const double run = secs(std::clamp(age, Duration{0}, v.overloadFor)) / secs(v.overloadFor);
         return sent + 1 <= s.coldChance + v.tipMultiple * kColdMargin * warmth(s) * run * perServer;
     }
 
@@ -623,7 +633,7 @@
         const bool mayShed = rt.effect == Effect::retriable || !ran ||
                              (rt.effect == Effect::deduped && rt.group == Group::all);
         callOff(rq);
-        const Span back = v.retryAfterTold ? std::min<Span>(v.longestRetryAfter, 250ms) : Span{0};
+        const Duration back = v.retryAfterTold ? std::min<Duration>(v.longestRetryAfter, 250ms) : Duration{0};
         if (mayShed) out.push_back(Shed{rq.in.req, back});
         else out.push_back(EndErrored{rq.in.req});
     }
@@ -635,7 +645,7 @@
 
     void follow() {
         out.push_back(FollowList{true});
-        askAgainAt = now + std::max<Span>(v.askWithin / 2, kWindowSpan);
+        askAgainAt = now + std::max<Duration>(v.askWithin / 2, kWindowSpan);
     }
     void on(const ListFailed &) { askAgainAt = now + kWindowSpan / 2, following = false; }
     void on(const ListTold &list) {
@@ -662,7 +672,7 @@
         for (const auto &e : list.entries) {
             Server &s = servers[e.id];
             if (s.entry.startedAt != e.startedAt || s.entry.build != e.build) {
-                s.slowness = 1, s.unanswered = 0, s.asideUntil = s.asideFor = Span{0};
+                s.slowness = 1, s.unanswered = 0, s.asideUntil = s.asideFor = Duration{0};
                 s.coldSends.clear();
                 s.coldChance = chance();
             }
@@ -695,7 +705,7 @@
     // A req that can go nowhere waits while an answer in time can still be had, and no longer.
     void hold(std::map<ReqId, Req>::iterator it) {
         Req &rq = it->second;
-        const Span latest =
+        const Duration latest =
             std::min(rq.arrived + route(rq).latencyObjective - span(usualOf(rq)), rq.in.notAfter - 2 * kTick);
         if (now < latest && int(rq.tries.size()) < v.mostTries && mayGoAgain(rq)) return;
         giveUp(rq);
@@ -705,7 +715,7 @@
         const Try *ran = rq.firstThatMayHaveRun();
         const Route &rt = route(rq);
         if (!ran || rt.effect == Effect::retriable) return true;
-        const Span latest = ran->sent + rt.repeatWindow - v.sendsWithin - 2 * kTick;
+        const Duration latest = ran->sent + rt.repeatWindow - v.sendsWithin - 2 * kTick;
         return rt.effect == Effect::deduped && now <= latest;
     }
 
@@ -771,7 +781,7 @@
             const double keep = std::exp(-secs(now - s.slownessAt) / kLatencyFade);
             s.slowness = (1 - kLatencyGain) * (1 + (s.slowness - 1) * keep) + kLatencyGain * ratio;
             s.slownessAt = now;
-            s.unanswered = 0, s.asideFor = Span{0};
+            s.unanswered = 0, s.asideFor = Duration{0};
             if (!onTrial(t.build) && !t.cold && fullLoad()) {
                 const double gain = std::max(0.01, 1.0 / (1 + usualSeen[r]++));
                 usual[r] += gain * (took - usual[r]);
@@ -892,28 +902,28 @@
         countServers();
         if (fresh) {
             bad = eased = false, wrong = pairsTrial = pairsEarlier = triedTrial = ownErrors = 0;
-            lastEarlier = Arm{}, met.clear(), pooledUntil = Span{0};
+            lastEarlier = Arm{}, met.clear(), pooledUntil = Duration{0};
         }
         if (n.phase == Phase::goingBack || n.phase == Phase::withdrawn) {
             sentBack = n.build;
             std::erase_if(stays, [&](const auto &stay) { return stay.second >= n.build; });
             if (allStay >= n.build) allStay = 0;
         }
-        suspicion = Suspicion::none, slowSince = clearUntil = Span{0};
+        suspicion = Suspicion::none, slowSince = clearUntil = Duration{0};
         closeWindow();
         for (Arm *arm : {&trial, &earlier}) {  // the latest latencies stay, but for a new build
             auto kept = fresh ? decltype(arm->slowness){} : std::move(arm->slowness);
             *arm = Arm{}, arm->slowness = std::move(kept);
         }
         healthy = unhealthy = tallySick = 0;
-        tallyTrial = tallyEarlier = Arm{}, lastTrialFailure = Span{0};
+        tallyTrial = tallyEarlier = Arm{}, lastTrialFailure = Duration{0};
         wanted = bad ? Verdict::back : Verdict::none;
         standing = Verdict::none, voteDue = now, votePending = false;
     }
 
     bool fullLoad() const {  // whether the earlier build bears about all that the fleet gets
         if (!told || news.phase != Phase::onTrial) return true;
-        return suspicion == Suspicion::none && slowSince == Span{0} && trialShare() < 0.25;
+        return suspicion == Suspicion::none && slowSince == Duration{0} && trialShare() < 0.25;
     }
 
     // Exception for a build that slows the earlier one too, in step with its traffic: when the earlier
@@ -922,14 +932,14 @@
     // locks; a shared slowdown or burst is not cured by a pause. Harm: a good build waits if one ends then.
     void suspect() {
         if (pulse.size() < kPulseLeast || reference.size() < kPulseLeast) return;
-        const double slow = quantile(valuesSince(pulse, Span{0}), 0.5) / quantile(reference, 0.5);
+        const double slow = quantile(valuesSince(pulse, Duration{0}), 0.5) / quantile(reference, 0.5);
         // Machines replaced in place are missed until their successors are warm: that alone slows the rest.
         const bool warming = v.replacedInPlace && count.anyCold;
-        if (slow <= kFleetSlow + kPulseDoubt / std::sqrt(double(pulse.size()))) slowSince = Span{0};
-        else if (slowSince == Span{0}) slowSince = now;
-        const bool lasting = slowSince != Span{0} && now - slowSince >= kSlowFor && !warming;
+        if (slow <= kFleetSlow + kPulseDoubt / std::sqrt(double(pulse.size()))) slowSince = Duration{0};
+        else if (slowSince == Duration{0}) slowSince = now;
+        const bool lasting = slowSince != Duration{0} && now - slowSince >= kSlowFor && !warming;
         const auto turn = [&](Suspicion to, const char *words) {
-            suspicion = to, suspectedAt = now, slowSince = Span{0};
+            suspicion = to, suspectedAt = now, slowSince = Duration{0};
             log(words);
         };
         if (suspicion == Suspicion::none && lasting && now >= clearUntil && trialShare() > 0) {
@@ -958,11 +968,11 @@
         // Of the same time: what slowed both a while ago must not stay in the older, fewer answers.
         // At a late stage the earlier build has few of them: it is reached back for as many, within
         // kSlowSpan.
-        Span since = (trial.slowness.end() - kSlowLeast)->first;
+        Duration since = (trial.slowness.end() - kSlowLeast)->first;
         if (&base != &lastEarlier && int(base.slowness.size()) >= kSlowLeast)
             since = std::max(now - kSlowSpan, std::min(since, (base.slowness.end() - kSlowLeast)->first));
         const auto ours = valuesSince(trial.slowness, since);
-        const auto theirs = valuesSince(base.slowness, &base == &lastEarlier ? Span{0} : since);
+        const auto theirs = valuesSince(base.slowness, &base == &lastEarlier ? Duration{0} : since);
         trial.slowness.clear();  // the next window of a streak is judged on answers of its own
         const double p95 = quantile(ours, 0.95);
         const double unit = *std::min_element(usual.begin(), usual.end());
@@ -975,7 +985,7 @@
     }
 
     // When the clock of the stage has started, as far as the list tells; empty while machines are missing.
-    std::optional<Span> clockStart() const {
+    std::optional<Duration> clockStart() const {
         if (count.fresh + 0.5 >= stageShare() * count.places)
             return std::max(newsBegan, count.lastStart) + paced(kClockLag);
         if (now - newsBegan > kMachinesLate) return newsBegan + kMachinesLate;
@@ -1053,7 +1063,7 @@
             return want(unhealthy > 0 ? Verdict::hold : healthy > 0 ? Verdict::none : wanted, reason);
         const auto clock = clockStart();
         if (wanted == Verdict::on || !clock || now < *clock + paced(kPatience) || unhealthy > 0) return;
-        if (suspicion != Suspicion::none || (slowSince != Span{0} && now >= clearUntil)) return;
+        if (suspicion != Suspicion::none || (slowSince != Duration{0} && now >= clearUntil)) return;
         // Quiet is what this gateway has listened to. Guards against an 'on' of one that has started since,
         // or has seen no answer of the trial in a rough time. Harm: a restart delays its vote.
         const bool rough = earlier.losesMany() || shedOfLate();
@@ -1112,7 +1122,7 @@
     void watch(Req &rq) {
         const int last = int(rq.tries.size()) - 1;
         Try &t = rq.tries.back();
-        const Span most = span(kSilent * fleet * usualOf(rq));
+        const Duration most = span(kSilent * fleet * usualOf(rq));
         if (!t.out || t.calledOff || !silent(*t.server, t) || now - t.sent < most) return;
         if (last + 1 >= v.mostTries || !mayGoAgain(rq) || retryBudget < 1) return;
         if (now + span(usualOf(rq)) >= rq.arrived + route(rq).latencyObjective) return;
@@ -1127,7 +1137,7 @@
 Policy::Policy() = default;
 Policy::~Policy() = default;
 
-std::vector<Action> Policy::decide(InstanceId who, Span now, const std::vector<Event> &happened) {
+std::vector<Action> Policy::decide(InstanceId who, Duration now, const std::vector<Event> &happened) {
     std::vector<Action> out;
     for (const auto &event : happened) {
         if (std::holds_alternative<Stopped>(event)) records.erase(who);
--- a/src/resp/client.cpp
+++ b/src/resp/client.cpp
@@ -11,7 +11,7 @@
 ClientConnection::ClientConnection(asio::io_context &context, Limits limits)
     : socket(context), timer(context), parser(Parser::What::reply, limits) {}
 
-void ClientConnection::call(const tcp::endpoint &to, Span within, Bytes what, Done tell) {
+void ClientConnection::call(const tcp::endpoint &to, Duration within, Bytes what, Done tell) {
     done = std::move(tell), bytes = std::move(what), outgoing.clear(), written = 0;
     const auto no = ++callNo;
     if (connected) return begin();
--- a/src/resp/client.hpp
+++ b/src/resp/client.hpp
@@ -18,7 +18,7 @@
     // that is nothing, the call ends as one that could not be connected. Calls back once, never from within,
     // unless dropped before.
     using Bytes = std::function<std::string()>;
-    void call(const asio::ip::tcp::endpoint &to, Span connectWithin, Bytes bytes, Done done);
+    void call(const asio::ip::tcp::endpoint &to, Duration connectWithin, Bytes bytes, Done done);
     void drop();  // closes at once; no call back any more
     bool reusable() const { return connected && !closed && !done && !tainted; }
     // Looks whether the peer has closed or spoken while idle: then it is dropped and false.
@@ -29,7 +29,7 @@
     bool handedOver() const { return !outgoing.empty() && written == outgoing.size(); }
     std::uint64_t callNumber() const { return callNo; }
     std::function<void()> onIdleClosed;  // it has closed, or spoken, while idle
-    Span idleSince{};
+    Duration idleSince{};
 
   private:
     void begin();
--- a/src/resp/connection_admission.cpp
+++ b/src/resp/connection_admission.cpp
@@ -1,4 +1,4 @@
-#include "room.hpp"
+#include "connection_admission.hpp"
 
 namespace deckcart::resp {
 
@@ -23,7 +23,7 @@
     if (one.writing && one.stalledFor > limits.slowPeerFor) return Due::cut;
     if (one.inHand || one.writing) return Due::nothing;
     if (one.begun) return one.begunFor > limits.messageWithin ? Due::incomplete : Due::nothing;
-    const Span most = !one.spoke ? limits.silentFor : isPressed ? limits.pressedIdleFor : limits.idleFor;
+    const Duration most = !one.spoke ? limits.silentFor : isPressed ? limits.pressedIdleFor : limits.idleFor;
     return one.quietFor > most ? Due::linger : Due::nothing;
 }
 
--- a/src/resp/connection_admission.hpp
+++ b/src/resp/connection_admission.hpp
@@ -13,14 +13,14 @@
     std::size_t pipelined = 64;      // commands of one connection in hand; the door reads on as they end
     std::size_t readAheadBytes = 16384;  // while no command is taken up: the peer's close is seen behind them
     std::size_t waitingBytes = 256 * 1024;  // of answers for a slow reader; the door reads on as they go
-    Span silentFor = std::chrono::milliseconds(1500);      // from connecting to the first byte
-    Span messageWithin = std::chrono::milliseconds(1500);  // from a command's first byte to its last
-    Span idleFor = std::chrono::seconds(30);               // between commands
-    Span pressedIdleFor = std::chrono::seconds(2);         // the same from half of the connections on
-    Span slowPeerFor = std::chrono::seconds(5);          // a reader that takes nothing for so long is cut off
-    Span refusalAfter = std::chrono::milliseconds(250);  // of what can't be served: floods that come back
-    Span newcomerFor = std::chrono::milliseconds(300);   // who has just connected as a drain begins
-    Span lingerFor = std::chrono::milliseconds(500);     // for a peer to read the last answer before the end
+    Duration silentFor = std::chrono::milliseconds(1500);      // from connecting to the first byte
+    Duration messageWithin = std::chrono::milliseconds(1500);  // from a command's first byte to its last
+    Duration idleFor = std::chrono::seconds(30);               // between commands
+    Duration pressedIdleFor = std::chrono::seconds(2);         // the same from half of the connections on
+    Duration slowPeerFor = std::chrono::seconds(5);  // a reader that takes nothing for so long is cut off
+    Duration refusalAfter = std::chrono::milliseconds(250);  // of what can't be served: floods that come back
+    Duration newcomerFor = std::chrono::milliseconds(300);   // who has just connected as a drain begins
+    Duration lingerFor = std::chrono::milliseconds(500);  // for a peer to read the last answer before the end
 };
 
 // How a connection stands at a moment.
@@ -33,9 +33,9 @@
     bool unread = false;     // bytes of it wait to be read
     bool begun = false;      // half a command was read
     bool writing = false;    // it has not taken all that it was told
-    Span quietFor{};         // since it last asked, or was answered
-    Span begunFor{};         // since the command's first byte
-    Span stalledFor{};       // since it last took something
+    Duration quietFor{};     // since it last asked, or was answered
+    Duration begunFor{};     // since the command's first byte
+    Duration stalledFor{};   // since it last took something
 };
 
 // In a drain: nothing of it is in hand or half read, and it is no newcomer that is about to ask.
--- a/src/resp/server.cpp
+++ b/src/resp/server.cpp
@@ -67,7 +67,7 @@
     }
 
     Standing standing(Time now) const {
-        const auto span = [now](Time from) { return std::chrono::duration_cast<Span>(now - from); };
+        const auto span = [now](Time from) { return std::chrono::duration_cast<Duration>(now - from); };
         Standing out;
         out.inHand = !slots.empty(), out.refused = out.inHand && slots.front()->refused;
         out.errorDue = refuseAt != Time{} && now >= refuseAt;
--- a/src/resp/server.hpp
+++ b/src/resp/server.hpp
@@ -6,7 +6,7 @@
 #include <functional>
 #include <memory>
 
-#include "room.hpp"
+#include "connection_admission.hpp"
 
 namespace deckcart::resp {
 
--- a/src/scenarios/invariant_checker.cpp
+++ b/src/scenarios/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "audit.hpp"
+#include "invariant_checker.hpp"
 
 #include <algorithm>
 #include <set>
@@ -8,7 +8,7 @@
 namespace deckcart::rehearsal {
 namespace {
 
-std::string at(Span s) { return std::to_string(double(s.count() / 1000) / 1000) + " s"; }
+std::string at(Duration s) { return std::to_string(double(s.count() / 1000) / 1000) + " s"; }
 
 struct Auditor {
     const Records &r;
@@ -17,7 +17,7 @@
     std::unordered_map<std::string, const ClientRecord *> client;
     std::unordered_map<std::string, std::vector<const InstanceRecord *>> tries;  // of a req, by time
 
-    void breach(Rule rule, std::string req, Span when, std::string words) {
+    void breach(Rule rule, std::string req, Duration when, std::string words) {
         found.push_back({rule, std::move(req), when, std::move(words)});
     }
     const Route &route(const ClientRecord &c) const { return f.routes.at(std::size_t(c.route)); }
@@ -43,7 +43,7 @@
 
     void oneAnswer() {
         for (const auto &c : r.clients) {
-            if (c.sent == Span{0} || c.end == ClientEnd::unreached) continue;
+            if (c.sent == Duration{0} || c.end == ClientEnd::unreached) continue;
             if (c.answers > 1)
                 breach(Rule::oneAnswer, c.req, c.answered, std::to_string(c.answers) + " answers came");
             if (c.answers == 0 && !excused(c))
@@ -55,7 +55,7 @@
                 breach(Rule::oneAnswer, c.req, c.answered,
                        "answered after the client gave up at " + at(c.givesUp));
             const auto mine = tries.find(c.req);
-            if (mine == tries.end() || c.answered == Span{0}) continue;
+            if (mine == tries.end() || c.answered == Duration{0}) continue;
             for (const auto *t : mine->second)
                 if (t->received > c.answered + f.slack && !halted(c.gateway, c.answered, t->received))
                     breach(Rule::oneAnswer, c.req, t->received,
@@ -63,7 +63,7 @@
         }
     }
     // What a stopped gateway had handed to its sockets, an instance may read late.
-    bool halted(int gateway, Span from, Span until) const {
+    bool halted(int gateway, Duration from, Duration until) const {
         return std::ranges::any_of(r.halts, [&](const GatewayHalt &h) {
             return h.gateway == gateway && h.from <= until && h.until >= from;
         });
@@ -104,7 +104,7 @@
     }
 
     // Whether the gateway runs without a kill from one moment to the other: a killed one has forgotten.
-    bool sameLife(int gateway, Span from, Span until) const {
+    bool sameLife(int gateway, Duration from, Duration until) const {
         return std::ranges::none_of(r.halts, [&](const GatewayHalt &h) {
             return h.gateway == gateway && h.how == Halt::killed && h.from <= until && h.until >= from;
         });
@@ -167,15 +167,15 @@
         std::map<int, std::vector<ToldRelease>> news;
         for (const auto &t : r.releases) news[t.gateway].push_back(t);
         struct Sent {
-            Span at;
+            Duration at;
             const InstanceRecord *t;
             const ClientRecord *c;
         };
         std::map<std::tuple<int, BuildNo, int>, std::vector<Sent>> sent;  // gateway, build, route or -1
-        std::map<std::pair<int, int>, std::vector<Span>> taken;           // gateway, route or -1
+        std::map<std::pair<int, int>, std::vector<Duration>> taken;       // gateway, route or -1
         const auto counted = [&](int route) { return f.exposurePerRoute ? route : -1; };
         for (const auto &c : r.clients)
-            if (c.sent != Span{0} && c.end != ClientEnd::unreached)
+            if (c.sent != Duration{0} && c.end != ClientEnd::unreached)
                 taken[{c.gateway, counted(c.route)}].push_back(c.sent);
         for (auto &[who, times] : taken) std::ranges::sort(times);
         for (const auto &t : r.instances) {
@@ -190,7 +190,7 @@
             const auto &told = news[gateway];
             const auto &reqs = taken[{gateway, routeNo}];
             for (std::size_t k = 0; k < list.size(); ++k) {
-                const Span now = list[k].at;
+                const Duration now = list[k].at;
                 // The loosest of what it may go by: what it knew a grace ago, and all that it was told since.
                 const ToldRelease *before = nullptr;
                 std::vector<const ToldRelease *> valid;
@@ -212,7 +212,7 @@
                     breach(Rule::exposure, list[k].t->req, now,
                            "not retriable, sent to build " + std::to_string(build) + " in a guarded stage");
                 // Counted afresh from where a lower cap came to bind, or the build was not on trial before.
-                Span from = now - f.exposureSpan;
+                Duration from = now - f.exposureSpan;
                 for (std::size_t n = 0; n < told.size(); ++n) {
                     const ToldRelease *prior = n ? &told[n - 1] : nullptr;
                     if (told[n].at <= now && cap(&told[n], build) < cap(prior, build))
--- a/src/scenarios/invariant_checker.hpp
+++ b/src/scenarios/invariant_checker.hpp
@@ -19,9 +19,9 @@
     std::string req;  // its id, carried on every upstream try
     int route = 0, gateway = 0;
     std::string key;
-    Span sent{};  // the whole of it was handed to the connection; zero: never
-    Span givesUp{};
-    Span answered{};  // zero: never
+    Duration sent{};  // the whole of it was handed to the connection; zero: never
+    Duration givesUp{};
+    Duration answered{};  // zero: never
     ClientEnd end = ClientEnd::none;
     int answers = 0;    // final answers that came
     BuildNo build = 0;  // that the answer says it is from; told by the instance itself
@@ -33,13 +33,13 @@
     ServerId server;
     int zone = 0, cell = 0;
     BuildNo build = 0;
-    Span received{};
+    Duration received{};
     bool mayHaveRun = true;  // false: turned away unread, with the sign for it
 };
 
 struct ToldServer {
     int gateway = 0;
-    Span at{};
+    Duration at{};
     ServerId server;
     BuildNo build = 0;
     Readiness readiness = Readiness::live;
@@ -47,7 +47,7 @@
 };
 struct ToldRelease {
     int gateway = 0;
-    Span at{};
+    Duration at{};
     BuildNo build = 0;
     int step = 0;
     Phase phase = Phase::onTrial;
@@ -56,13 +56,13 @@
 // A cold instance fell over: it had got more in this window than the rule allows.
 struct FellOver {
     ServerId server;
-    Span from{}, until{};
+    Duration from{}, until{};
 };
 enum class Halt { killed, stopped };
 struct GatewayHalt {
     int gateway = 0;
     Halt how = Halt::killed;
-    Span from{}, until{};  // until it runs again
+    Duration from{}, until{};  // until it runs again
 };
 
 struct Records {
@@ -76,16 +76,16 @@
 
 struct RuleFigures {
     std::vector<Route> routes;
-    Span drainGrace{};
+    Duration drainGrace{};
     double spareTries = 0;
-    Span exposureSpan{};
+    Duration exposureSpan{};
     bool exposurePerRoute = false, keysStay = false;
     double firstCap = 0;
     int guardedStages = 0;
     BuildNo firstBuild = 0;  // builds above it are on trial until told otherwise
     // Two sockets do not see one moment: events this close are not told apart. Over the way between two
     // processes of one busy machine; harm: a breach shorter than it goes unseen.
-    Span slack = std::chrono::milliseconds(100);
+    Duration slack = std::chrono::milliseconds(100);
 };
 
 enum class Rule { oneAnswer = 1, noEffectTwice, drains, coldServers, exposure };
@@ -94,7 +94,7 @@
 struct Breach {
     Rule rule = Rule::oneAnswer;
     std::string req;  // or the instance, where no req is at fault
-    Span at{};
+    Duration at{};
     std::string words;
 };
 
--- a/src/scenarios/records.cpp
+++ b/src/scenarios/records.cpp
@@ -1,15 +1,15 @@
 // Records as JSON and back, so that a day can be judged again later or by hand.
 #include <stdexcept>
 
-#include "audit.hpp"
+#include "invariant_checker.hpp"
 
 namespace deckcart::rehearsal {
 namespace {
 
 using nlohmann::json;
 
-std::int64_t us(Span s) { return s.count(); }
-Span span(const json &from, const char *name) { return Span{from.at(name).get<std::int64_t>()}; }
+std::int64_t us(Duration s) { return s.count(); }
+Duration span(const json &from, const char *name) { return Duration{from.at(name).get<std::int64_t>()}; }
 template <class E> E within(const json &from, const char *name, E most) {
     const int n = from.at(name).get<int>();
     if (n < 0 || n > int(most))
--- a/src/scenarios/runner.cpp
+++ b/src/scenarios/runner.cpp
@@ -1,4 +1,4 @@
-#include "rehearse.hpp"
+#include "runner.hpp"
 
 #include <algorithm>
 #include <csignal>
@@ -10,9 +10,9 @@
 #include <unistd.h>
 
 #include "../base/address.hpp"
+#include "../fakes/clients.hpp"
+#include "../fakes/control_plane.hpp"
 #include "../http/fetch.hpp"
-#include "../standin/clients.hpp"
-#include "../standin/desk.hpp"
 
 extern char **environ;
 
@@ -22,8 +22,8 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
-constexpr Span kReadyWithin = std::chrono::seconds(20), kLookEvery = std::chrono::milliseconds(5),
-               kBeforeDay = std::chrono::milliseconds(700), kEndWithin = std::chrono::seconds(20);
+constexpr Duration kReadyWithin = std::chrono::seconds(20), kLookEvery = std::chrono::milliseconds(5),
+                   kBeforeDay = std::chrono::milliseconds(700), kEndWithin = std::chrono::seconds(20);
 
 // A gateway's process.
 struct Process {
@@ -145,7 +145,7 @@
     }
 
     void tick() {
-        const Span now = clock.now();
+        const Duration now = clock.now();
         switch (phase) {
         case Phase_::starting: {
             bool all = true;
@@ -240,13 +240,13 @@
     }
 
     struct Active {
-        Span until{};
+        Duration until{};
         std::function<void()> end;
         std::function<void()> again;
-        Span nextAgain{};
+        Duration nextAgain{};
     };
 
-    void troubles(Span at) {
+    void troubles(Duration at) {
         while (!pending.empty() && pending.front().at <= at) {
             begin(pending.front());
             pending.erase(pending.begin());
@@ -264,7 +264,7 @@
     }
 
     void begin(const Trouble &t) {
-        Active a{t.at + t.lasts, nullptr, nullptr, Span{0}};
+        Active a{t.at + t.lasts, nullptr, nullptr, Duration{0}};
         const auto hit = some(t);
         std::vector<ServerId> ids;
         for (const auto *i : hit) ids.push_back(i->id());
@@ -301,7 +301,8 @@
             world.fleetSlow = t.times, a.end = [this] { world.fleetSlow = 1; };
             break;
         case TroubleKind::listLate:
-            desk.listLate = Span{std::llround(t.times * 1e6)}, a.end = [this] { desk.listLate = Span{0}; };
+            desk.listLate = Duration{std::llround(t.times * 1e6)},
+            a.end = [this] { desk.listLate = Duration{0}; };
             break;
         case TroubleKind::listFails: desk.listFails = true, a.end = [this] { desk.listFails = false; }; break;
         case TroubleKind::deskStill:
@@ -310,15 +311,16 @@
         case TroubleKind::gatewayKilled:
             for (auto *p : someGateways(t.count)) {
                 p->signal(SIGKILL);
-                out.records.halts.push_back({p->no, Halt::killed, clock.now(), Span::max()});
-                down.push_back({p->no, clock.now() + std::max(t.lasts, Span{std::chrono::milliseconds(100)}),
+                out.records.halts.push_back({p->no, Halt::killed, clock.now(), Duration::max()});
+                down.push_back({p->no,
+                                clock.now() + std::max(t.lasts, Duration{std::chrono::milliseconds(100)}),
                                 out.records.halts.size() - 1, false});
             }
             break;
         case TroubleKind::gatewayStalled:
             for (auto *p : someGateways(t.count)) {
                 p->signal(SIGSTOP);
-                out.records.halts.push_back({p->no, Halt::stopped, clock.now(), Span::max()});
+                out.records.halts.push_back({p->no, Halt::stopped, clock.now(), Duration::max()});
                 const auto halt = out.records.halts.size() - 1;
                 a.end = [this, before = a.end, no = std::size_t(p->no), halt] {
                     if (before) before();
@@ -361,11 +363,11 @@
 
     struct Down {
         int no = 0;
-        Span startAt{};
+        Duration startAt{};
         std::size_t halt = 0;
         bool started = false;
     };
-    void revive(Span now) {
+    void revive(Duration now) {
         for (auto &d : down) {
             auto &p = processes[std::size_t(d.no)];
             if (!d.started && now >= d.startAt && p.over()) {
@@ -476,7 +478,7 @@
     std::unique_ptr<standin::Clients> clients;
     fs::path folder;
     enum class Phase_ { starting, settings, waiting, day, ending } phase = Phase_::starting;
-    Span deadline{}, began{};
+    Duration deadline{}, began{};
     std::size_t settled = 0;
     std::vector<Trouble> pending;
     std::vector<Active> active;
--- a/src/scenarios/runner.hpp
+++ b/src/scenarios/runner.hpp
@@ -4,8 +4,8 @@
 
 #include <filesystem>
 
-#include "audit.hpp"
-#include "day.hpp"
+#include "invariant_checker.hpp"
+#include "scenario.hpp"
 
 namespace deckcart::rehearsal {
 
--- a/src/scenarios/scenario.cpp
+++ b/src/scenarios/scenario.cpp
@@ -1,4 +1,4 @@
-#include "day.hpp"
+#include "scenario.hpp"
 
 #include <algorithm>
 
@@ -33,8 +33,8 @@
     {"fails", BadKind::fails}, {"slow", BadKind::slow},   {"busy", BadKind::busy},
     {"later", BadKind::later}, {"wrong", BadKind::wrong}, {"slows-all", BadKind::slowsAll}};
 
-Span ms(const json &from, const char *name, double otherwise) {
-    return Span{std::llround(from.value(name, otherwise) * 1000)};
+Duration ms(const json &from, const char *name, double otherwise) {
+    return Duration{std::llround(from.value(name, otherwise) * 1000)};
 }
 const json &part(const json &from, const char *name) {
     static const json none = json::object();
@@ -185,8 +185,8 @@
     d.voteLife = ms(r, "voteLifeMs", 6000), d.leastStage = ms(r, "leastStageMs", 1500);
     d.drainGrace = ms(r, "drainGraceMs", 500);
     const auto delay = r.value("newsDelayMs", std::vector<double>{50, 300});
-    d.leastNewsDelay = Span{std::llround(delay[0] * 1000)},
-    d.mostNewsDelay = Span{std::llround(delay[1] * 1000)};
+    d.leastNewsDelay = Duration{std::llround(delay[0] * 1000)},
+    d.mostNewsDelay = Duration{std::llround(delay[1] * 1000)};
     d.exposurePerRoute = r.value("exposurePerRoute", false), d.keysStay = r.value("keysStay", false);
     d.inPlace = r.value("replacedInPlace", false), d.guardedStages = r.value("guardedStages", 0);
     d.votesToGoBack = r.value("votesToGoBack", 1), d.toAdvance = r.value("toAdvance", 2);
@@ -232,7 +232,7 @@
 
 json settingsOf(const Day &d, int gateway, const std::string &deskAddress,
                 const std::vector<std::string> &nameServers) {
-    const auto inMs = [](Span s) { return s.count() / 1000; };
+    const auto inMs = [](Duration s) { return s.count() / 1000; };
     json routes = json::array(), accounts = json::array();
     for (const auto &r : d.routes) {
         const char *effect = r.rule.effect == Effect::retriable ? "retriable"
--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -15,7 +15,7 @@
 struct DayRoute {
     std::string name, method;
     Route rule;
-    Span routeTimeout{};
+    Duration routeTimeout{};
     double share = 1, benefit = 1;
     double leastWorkMs = 5, mostWorkMs = 10;  // on one core of an instance
 };
@@ -27,7 +27,7 @@
     int route = -1;     // -1: all of them
     double part = 0.5;  // of the reqs that fail or are answered wrong
     double times = 3;   // the work that it needs
-    Span after{};       // kind later: sound for so long after each instance's start
+    Duration after{};   // kind later: sound for so long after each instance's start
 };
 
 enum class TroubleKind {
@@ -55,7 +55,7 @@
 
 struct Trouble {
     TroubleKind kind = TroubleKind::hang;
-    Span at{}, lasts{};
+    Duration at{}, lasts{};
     int count = 1;            // instances or gateways that it hits
     std::string where;        // instances: "any", "trial" or "earlier"
     double times = 2;         // slower, or more reqs
@@ -65,29 +65,29 @@
 
 struct Day {
     std::string name, words;
-    Span lasts{};
+    Duration lasts{};
     std::uint64_t seed = 1;
     std::vector<double> gatewayWeights;  // parts of the traffic; one a gateway
     int gatewaysTold = 1;                // how many their settings speak of: the others are idle
     int instances = 8, cores = 2, queue = 64;
     std::vector<std::string> zones;
     double coldFrom = 0.4, tipMultiple = 3;
-    Span warmWithin{}, overloadFor{};
+    Duration warmWithin{}, overloadFor{};
     double reqsPerS = 100;
     int keys = 500, retries = 1;
     double leastPatience = 0.6;  // part of the route timeout that a client waits at least
     // The fleet is told by SRV records of so many name servers; 0: by the desk's list.
     int nameServers = 0;
-    Span recordLifetime{}, confirmAfter{};
+    Duration recordLifetime{}, confirmAfter{};
     std::vector<std::string> accounts;
     std::vector<double> accountShares;
     std::vector<DayRoute> routes;
     // release
-    std::optional<Span> releaseAt;
+    std::optional<Duration> releaseAt;
     nlohmann::json release;  // what the gateways are told, as /release of their settings
     std::vector<double> caps, shares;
     double spareTries = 2;
-    Span exposureSpan{}, voteLife{}, leastStage{}, drainGrace{}, leastNewsDelay{}, mostNewsDelay{};
+    Duration exposureSpan{}, voteLife{}, leastStage{}, drainGrace{}, leastNewsDelay{}, mostNewsDelay{};
     bool exposurePerRoute = false, keysStay = false, inPlace = false;
     int guardedStages = 0, votesToGoBack = 1, toAdvance = 2;
     double wrongReported = 0;
--- a/src/settings/gateway_settings.cpp
+++ b/src/settings/gateway_settings.cpp
@@ -1,6 +1,6 @@
 // The settings document to values, and its check against the rules: each rule that two fields can break
 // together is refused here, with the place of the field that has to give way.
-#include "orders.hpp"
+#include "gateway_settings.hpp"
 
 #include <algorithm>
 #include <cctype>
@@ -21,7 +21,7 @@
 template <class T> void take(const json &from, const char *name, T &into) {
     if (const auto it = from.find(name); it != from.end()) into = it->get<T>();
 }
-void take(const json &from, const char *name, Span &into) {
+void take(const json &from, const char *name, Duration &into) {
     if (const auto it = from.find(name); it != from.end())
         into = std::chrono::milliseconds(it->get<std::int64_t>());
 }
@@ -81,7 +81,7 @@
         if (rule.routeTimeout <= 2 * out.answerMargin)
             refuse(at + "/routeTimeoutMs",
                    "is not over twice /limits/answerMarginMs: no time is left for a try");
-        if (route.effect == Effect::deduped && route.repeatWindow <= Span{0})
+        if (route.effect == Effect::deduped && route.repeatWindow <= Duration{0})
             refuse(at + "/repeatWindowMs",
                    "is needed for a deduped route: after it a repeat would run twice");
         if (route.effect != Effect::deduped && (from.contains("repeatWindowMs") || from.contains("group")))
--- a/src/settings/gateway_settings.hpp
+++ b/src/settings/gateway_settings.hpp
@@ -19,7 +19,7 @@
 // A req belongs to the first rule whose method (empty: any) and path prefix fit.
 struct RouteRule {
     std::string name, method, pathPrefix;
-    Span routeTimeout{};  // when the client gives up
+    Duration routeTimeout{};  // when the client gives up
 };
 
 // The names of the fields that carry what the module wants to know.
@@ -30,17 +30,17 @@
 
 struct DeskCalls {
     asio::ip::tcp::endpoint address;
-    Span answerWithin{};  // a call that lists; votes have the module's own bound
-    Span silentFor{};     // a watch that has said nothing for so long is broken
+    Duration answerWithin{};  // a call that lists; votes have the module's own bound
+    Duration silentFor{};     // a watch that has said nothing for so long is broken
 };
 
 struct UpstreamLimits {
     std::size_t connections = 256;  // to one instance; beyond it a try counts as a failed connect
-    Span connectWithin = std::chrono::milliseconds(250);
-    Span idleFor = std::chrono::seconds(15);
+    Duration connectWithin = std::chrono::milliseconds(250);
+    Duration idleFor = std::chrono::seconds(15);
     std::size_t heldAnswerBytes = 64 * 1024;  // a shorter answer is passed on whole, so that it can't be cut
-    Span stalledFor = std::chrono::seconds(10);  // an answer that has begun and goes no further
-    Span probeWithin = std::chrono::milliseconds(500);
+    Duration stalledFor = std::chrono::seconds(10);  // an answer that has begun and goes no further
+    Duration probeWithin = std::chrono::milliseconds(500);
     std::string probePath = "/probe";
 };
 
@@ -60,9 +60,10 @@
     HeaderNames headers;
     http::DoorLimits door;
     std::size_t reqsInHand = 4096;
-    Span turnedAwayFor = std::chrono::seconds(1);       // a req over that bound is told to come back then
-    Span answerMargin = std::chrono::milliseconds(30);  // final answers leave so long before the client's end
-    Span standstill =
+    Duration turnedAwayFor = std::chrono::seconds(1);  // a req over that bound is told to come back then
+    Duration answerMargin =
+        std::chrono::milliseconds(30);  // final answers leave so long before the client's end
+    Duration standstill =
         std::chrono::milliseconds(200);  // a turn of the loop later than that found a stopped clock
     UpstreamLimits upstream;
     std::optional<DeskCalls> desk;
--- a/src/settings/schema.cpp
+++ b/src/settings/schema.cpp
@@ -1,6 +1,6 @@
 // The schema of the settings document: shapes, ranges and words. What the fields mean is in
 // docs/operate/gateway.md.
-#include "orders.hpp"
+#include "gateway_settings.hpp"
 
 namespace deckcart {
 
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "codec.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -34,9 +34,9 @@
     return it == from.end() || it->is_null() ? otherwise : as<T>(*it, name);
 }
 
-Span span(double seconds) { return Span{std::llround(seconds * 1e6)}; }
-Span needSpan(const json &from, const char *name) { return span(need<double>(from, name)); }
-Span maySpan(const json &from, const char *name) { return span(may<double>(from, name)); }
+Duration span(double seconds) { return Duration{std::llround(seconds * 1e6)}; }
+Duration needDuration(const json &from, const char *name) { return span(need<double>(from, name)); }
+Duration optionalDuration(const json &from, const char *name) { return span(may<double>(from, name)); }
 
 const json &part(const json &from, const char *name) {
     static const json none = json::object();
@@ -91,7 +91,7 @@
     v.zone = may<int>(from, "Locality");
     for (const auto &grade : rows(from, "Grades")) {
         Route route;
-        route.latencyObjective = needSpan(grade, "ObjectiveS");
+        route.latencyObjective = needDuration(grade, "ObjectiveS");
         route.effect = word<Effect>(grade, "Effect",
                                     {{"free", Effect::retriable},
                                      {"guarded", Effect::deduped},
@@ -99,17 +99,17 @@
         if (grade.contains("Group"))
             route.group = word<Group>(grade, "Group",
                                       {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
-        route.repeatWindow = maySpan(grade, "WindowS");
+        route.repeatWindow = optionalDuration(grade, "WindowS");
         v.routes.push_back(route);
     }
     for (const auto &realm : rows(from, "Realms")) v.accountShares.push_back(may<double>(realm, "Share"));
     v.mayCopy = may<bool>(limits, "MayDuplicate");
     v.mayCancel = may<bool>(limits, "Cancel");
     v.mostTries = may<int>(limits, "MostTries", 1);
-    v.longestRetryAfter = maySpan(limits, "MaxRetryAfterS");
+    v.longestRetryAfter = optionalDuration(limits, "MaxRetryAfterS");
     v.retryAfterTold = may<bool>(limits, "RetryAfter");
     v.listMustBeAsked = may<std::string>(from, "Discovery") == "subscribe";
-    v.askWithin = maySpan(safety, "AskWithinS");
+    v.askWithin = optionalDuration(safety, "AskWithinS");
     v.crossZoneFee = may<double>(part(from, "Fees"), "CrossZone");
     const json &report = part(from, "Report");
     const bool byProbe = may<bool>(limits, "Probes") && may<std::string>(report, "How") == "probe";
@@ -118,9 +118,9 @@
         if (as<std::string>(fields[k], "Fields") == "concurrent" && byProbe)
             v.inHandField = static_cast<int>(k);
     v.coldFrom = may<double>(safety, "ColdFrom", 1);
-    v.warmWithin = maySpan(safety, "WarmWithinS");
+    v.warmWithin = optionalDuration(safety, "WarmWithinS");
     v.tipMultiple = may<double>(safety, "TipMultiple", 1);
-    v.overloadFor = maySpan(safety, "OverloadForS");
+    v.overloadFor = optionalDuration(safety, "OverloadForS");
     if (family.contains("GateMode"))
         v.gate = word<Gate>(
             family, "GateMode",
@@ -130,12 +130,12 @@
     v.keysStay = may<bool>(family, "KeysStay");
     v.guardedStages = may<int>(family, "GuardedStages");
     v.spareTries = may<double>(family, "SpareTries");
-    v.exposureSpan = maySpan(family, "SpanS");
+    v.exposureSpan = optionalDuration(family, "SpanS");
     v.exposureCaps = numbers(family, "ExposureCaps");
     v.stageShares = numbers(family, "Shares");
-    v.leastStage = maySpan(family, "LeastStageS");
-    v.voteLife = maySpan(family, "BallotTtlS");
-    v.voteAnswerWithin = maySpan(family, "ApiTimeoutS");
+    v.leastStage = optionalDuration(family, "LeastStageS");
+    v.voteLife = optionalDuration(family, "BallotTtlS");
+    v.voteAnswerWithin = optionalDuration(family, "ApiTimeoutS");
     v.votesToGoBack = may<int>(family, "VotesToRevert", 1);
     v.wrongReported = may<double>(family, "ComplaintShare");
     return v;
@@ -151,20 +151,20 @@
         from, "Readiness",
         {{"live", Readiness::live}, {"quiescing", Readiness::draining}, {"dead", Readiness::gone}});
     e.weight = may<double>(from, "Scale", 1);
-    const Span started = maySpan(from, "StartedAtS");
-    if (started > Span{0}) e.startedAt = started;
+    const Duration started = optionalDuration(from, "StartedAtS");
+    if (started > Duration{0}) e.startedAt = started;
     return e;
 }
 
 template <class... F> struct Overload : F... { using F::operator()...; };
 template <class... F> Overload(F...) -> Overload<F...>;
 
-json seconds(Span s) { return static_cast<double>(s.count()) / 1e6; }
+json seconds(Duration s) { return static_cast<double>(s.count()) / 1e6; }
 
 }  // namespace
 
-Span BirthSettings::longestTimeout() const {
-    return routeTimeouts.empty() ? Span{0} : *std::ranges::max_element(routeTimeouts);
+Duration BirthSettings::longestTimeout() const {
+    return routeTimeouts.empty() ? Duration{0} : *std::ranges::max_element(routeTimeouts);
 }
 
 BirthSettings readSettings(const json &from, std::uint64_t seed) {
@@ -173,7 +173,7 @@
     out.start = startValues(from, seed);
     for (const auto &grade : rows(from, "Grades")) {
         out.routes.push_back(need<std::string>(grade, "Name"));
-        out.routeTimeouts.push_back(needSpan(grade, "DeadlineS"));
+        out.routeTimeouts.push_back(needDuration(grade, "DeadlineS"));
     }
     for (const auto &realm : rows(from, "Realms")) out.accounts.push_back(need<std::string>(realm, "Name"));
     for (const auto &zone : rows(from, "FailureDomains"))
@@ -181,7 +181,8 @@
     for (const auto &name : rows(part(from, "Report"), "Fields"))
         out.loadFields.push_back(as<std::string>(name, "Fields"));
     const json &limits = part(from, "Limits");
-    out.keptIdle = needSpan(limits, "KeepaliveS"), out.connectWithin = needSpan(limits, "ConnectTimeoutS");
+    out.keptIdle = needDuration(limits, "KeepaliveS"),
+    out.connectWithin = needDuration(limits, "ConnectTimeoutS");
     out.reqsInHand = std::size_t(std::max(1, may<int>(limits, "MostHeld", 4096)));
     if (out.routes.empty()) throw BadBatch("field Grades is empty");
     return out;
@@ -192,7 +193,7 @@
     if (root.is_discarded()) throw BadBatch("the line is not JSON");
     if (!root.is_object()) throw BadBatch("the line is not an object");
     Batch batch;
-    batch.now = needSpan(root, "TsS");
+    batch.now = needDuration(root, "TsS");
     const json &in = field(root, "in");
     if (!in.is_array()) throw BadBatch("field in is not an array");
     std::map<InstanceId, std::size_t> places;
@@ -224,7 +225,7 @@
             }
         } else if (kind == "CALL") {
             ReqArrived a{req(), may<std::string>(event, "Affinity"), may<int>(event, "Grade"),
-                         may<int>(event, "Project"), needSpan(event, "NotAfterS")};
+                         may<int>(event, "Project"), needDuration(event, "NotAfterS")};
             out.push_back(std::move(a));
         } else if (kind == "FIRST_BYTE") continue;  // a stream's end is its result
         else if (kind == "FINISHED")
@@ -239,12 +240,13 @@
             if (phase < 0 || phase > 3) throw BadBatch("field Standing holds an unknown number");
             out.push_back(StageNews{may<int>(event, "Sense") == 1, outcome(event), may<int>(event, "BuildNo"),
                                     may<int>(event, "Step"), static_cast<Phase>(phase),
-                                    may<double>(event, "Cap"), maySpan(event, "SinceS")});
+                                    may<double>(event, "Cap"), optionalDuration(event, "SinceS")});
         } else if (kind == "TALLY")
             out.push_back(TallyTold{may<int>(event, "BuildNo"), may<int>(event, "Grade"),
                                     may<int>(event, "Many"), may<int>(event, "Lost"),
-                                    maySpan(event, "SinceS")});
-        else if (kind == "REPORTED_WRONG") out.push_back(WrongReported{server(), maySpan(event, "SinceS")});
+                                    optionalDuration(event, "SinceS")});
+        else if (kind == "REPORTED_WRONG")
+            out.push_back(WrongReported{server(), optionalDuration(event, "SinceS")});
         else throw BadBatch("field m holds an unknown event " + kind);
     }
     return batch;
@@ -260,7 +262,7 @@
                               },
                               [](const Shed &a) {
                                   json j{{"m", "DENY"}, {"Req", a.req}};
-                                  if (a.retryIn > Span{0}) j["RetryInS"] = seconds(a.retryIn);
+                                  if (a.retryIn > Duration{0}) j["RetryInS"] = seconds(a.retryIn);
                                   return j;
                               },
                               [](const EndErrored &a) {
--- a/src/simulator/codec.hpp
+++ b/src/simulator/codec.hpp
@@ -18,7 +18,7 @@
     std::vector<Event> events;
 };
 struct Batch {
-    Span now{};
+    Duration now{};
     std::vector<Happened> instances;  // in the order of each one's first event
 };
 
@@ -27,13 +27,13 @@
 struct BirthSettings {
     StartValues start;
     std::vector<std::string> routes, accounts, zones;  // names, in the order of the module's numbers
-    std::vector<Span> routeTimeouts;
+    std::vector<Duration> routeTimeouts;
     std::vector<std::string> loadFields;  // of a load report, in order
-    Span keptIdle{};                      // connections to instances: closed when idle for so long
-    Span connectWithin{};
+    Duration keptIdle{};                  // connections to instances: closed when idle for so long
+    Duration connectWithin{};
     std::size_t reqsInHand = 0;
 
-    Span longestTimeout() const;
+    Duration longestTimeout() const;
 };
 // Throws BadBatch, which names the field.
 BirthSettings readSettings(const nlohmann::json &settings, std::uint64_t seed);
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,7 +1,7 @@
 // The host of the simulator's wire: batches on standard input, replies on standard output.
 #include <iostream>
 
-#include "../wire/wire.hpp"
+#include "../simulator/codec.hpp"
 
 int main() {
     std::ios::sync_with_stdio(false);
--- a/tests/path/cells_test.cpp
+++ b/tests/path/cells_test.cpp
@@ -1,6 +1,6 @@
 // The cells of the rule table (tests/rules/table.csv) that need sockets: one non-retriable req is brought to
 // a stage, a fault strikes, and what the client and the instances have seen is judged at the end.
-#include "bench.hpp"
+#include "gateway_fixture.hpp"
 
 namespace deckcart::test {
 namespace {
@@ -106,7 +106,7 @@
             listed(victim.id, as);
     if (fault == "coldStart") desk.list(other.id(), 2);
     if (fault == "listLost" || fault == "deskErrs" || fault == "deskSilent") desk.fails = true;
-    if (fault == "deskLate" || fault == "capLowered") desk.stage = {2, 0, Phase::onTrial, 0, Span{0}};
+    if (fault == "deskLate" || fault == "capLowered") desk.stage = {2, 0, Phase::onTrial, 0, Duration{0}};
     if (fault == "stalled") clock.ahead = 1500ms;
     if (fault == "settings") {
         document["release"] = {{"spareTries", 9}};
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <thread>
 
-#include "platform_bench.hpp"
+#include "platform_fixture.hpp"
 
 namespace deckcart::test {
 namespace {
--- a/tests/path/gateway_fixture.hpp
+++ b/tests/path/gateway_fixture.hpp
@@ -18,9 +18,9 @@
 
 class JumpingClock final : public Clock {
   public:
-    Span now() const override { return held.value_or(steady.now() + ahead); }
-    Span ahead{};
-    std::optional<Span> held;  // time does not pass
+    Duration now() const override { return held.value_or(steady.now() + ahead); }
+    Duration ahead{};
+    std::optional<Duration> held;  // time does not pass
 
   private:
     SteadyClock steady;
--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -1,5 +1,5 @@
 // The whole path on loopback sockets: real gateway, scripted instances and desk, faults byte by byte.
-#include "bench.hpp"
+#include "gateway_fixture.hpp"
 
 namespace deckcart::test {
 namespace {
@@ -591,7 +591,7 @@
 TEST_F(Path, AnAnswerReportedTwiceIsWrongOnce) {
     for (const BuildNo build : {1, 2})
         desk.list(instances.emplace_back(io, [](auto, auto &) { return ok(); }).id(), build);
-    desk.stage = {2, 2, Phase::onTrial, 1, Span{0}};
+    desk.stage = {2, 2, Phase::onTrial, 1, Duration{0}};
     start();
     std::vector<std::string> names;
     for (int k = 0; names.size() < 2 && k < 64; ++k) {
--- a/tests/path/platform_fixture.hpp
+++ b/tests/path/platform_fixture.hpp
@@ -2,8 +2,8 @@
 // gateway between them on loopback.
 #pragma once
 
-#include "../../src/platform/ways.hpp"
-#include "bench.hpp"
+#include "../../src/platform/transport.hpp"
+#include "gateway_fixture.hpp"
 
 namespace deckcart::test {
 
@@ -182,7 +182,7 @@
     }
     // `rest`: of a connection before it is used again, instead of the bounds' own: a test of many reqs takes
     // no longer than that.
-    void begin(std::size_t sockets = 256, std::optional<Span> rest = std::nullopt) {
+    void begin(std::size_t sockets = 256, std::optional<Duration> rest = std::nullopt) {
         configuration = platform::readStart(document(sockets).dump());
         auto bounds = platform::divide(sockets, 32, 1000, configuration.settings.keptIdle);
         if (rest) bounds.restFor = *rest;
--- a/tests/path/platform_test.cpp
+++ b/tests/path/platform_test.cpp
@@ -1,5 +1,5 @@
 // The platform's protocol through the real gateway on loopback: scripted instances, discovery and control.
-#include "platform_bench.hpp"
+#include "platform_fixture.hpp"
 
 namespace deckcart::test {
 namespace {
--- a/tests/path/sources_test.cpp
+++ b/tests/path/sources_test.cpp
@@ -1,7 +1,7 @@
 // SRV records and a node list as sources of a running gateway: real resolver, a stand-in name server that
 // misbehaves on loopback UDP and TCP.
-#include "../../src/standin/name_server.hpp"
-#include "bench.hpp"
+#include "../../src/fakes/name_server.hpp"
+#include "gateway_fixture.hpp"
 
 namespace deckcart::test {
 namespace {
--- a/tests/policy_script_runner.cpp
+++ b/tests/policy_script_runner.cpp
@@ -11,13 +11,13 @@
 #include <set>
 #include <sstream>
 
-#include "../src/rehearsal/audit.hpp"
+#include "../src/scenarios/invariant_checker.hpp"
 
 using namespace deckcart;
 
 namespace {
 
-Span span(double s) { return Span{std::llround(s * 1e6)}; }
+Duration span(double s) { return Duration{std::llround(s * 1e6)}; }
 
 struct Line {
     std::vector<std::string> words;
@@ -61,12 +61,12 @@
 
 struct World {
     Policy policy;
-    Span now = span(100);
+    Duration now = span(100);
     StartValues start;
     std::map<ServerId, ServerEntry> servers;
     std::map<ServerId, Answer> answers;
-    std::multimap<Span, std::function<void()>> due;
-    std::vector<std::pair<Span, std::string>> seen;
+    std::multimap<Duration, std::function<void()>> due;
+    std::vector<std::pair<Duration, std::string>> seen;
     std::map<ReqId, int> tries, routeOf, finals, open;
     std::map<std::pair<ReqId, int>, ServerId> sentTo;
     std::set<std::pair<ReqId, int>> over;  // tries that have ended
@@ -76,7 +76,7 @@
     rehearsal::Records records;
     std::map<ReqId, std::size_t> client;                      // its place in the records
     std::map<std::pair<ReqId, int>, std::size_t> receivedAs;  // a try's place, likewise
-    std::map<ServerId, std::vector<Span>> sends;
+    std::map<ServerId, std::vector<Duration>> sends;
 
     World() {
         start.seed = 7, start.gateways = 3, start.mostTries = 4, start.mayCancel = true;
@@ -143,7 +143,7 @@
     void sent(const ServerEntry &to) {
         auto &times = sends[to.id];
         times.push_back(now);
-        const auto within = [&](const std::vector<Span> &all) {
+        const auto within = [&](const std::vector<Duration> &all) {
             return double(all.end() - std::ranges::upper_bound(all, now - start.overloadFor));
         };
         double bears = 10 * std::chrono::duration<double>(start.overloadFor).count();
@@ -160,11 +160,12 @@
     }
     void audit() {
         rehearsal::RuleFigures figures;
-        figures.routes = start.routes, figures.drainGrace = Span{0}, figures.spareTries = start.spareTries;
+        figures.routes = start.routes, figures.drainGrace = Duration{0},
+        figures.spareTries = start.spareTries;
         figures.exposureSpan = start.exposureSpan, figures.keysStay = start.keysStay;
         figures.firstCap = start.exposureCaps.front(), figures.guardedStages = start.guardedStages;
         figures.exposurePerRoute = start.exposurePerRoute, figures.firstBuild = 1,
-        figures.slack = Span{0};  // one clock: to the microsecond
+        figures.slack = Duration{0};  // one clock: to the microsecond
         const auto found = rehearsal::audit(records, figures);
         for (const auto &b : found)
             std::cerr << "BROKEN: " << nameOf(b.rule) << ": req " << b.req << ": " << b.words << std::endl;
@@ -179,7 +180,7 @@
         assert(++finals[req] == 1 && "a second final answer");
         note(word + " req=" + std::to_string(req));
     }
-    void end(const SendTry &t, int tryNo, Outcome how, Span after) {
+    void end(const SendTry &t, int tryNo, Outcome how, Duration after) {
         due.emplace(now + after, [=, this, here = life] {
             if (here != life) return;
             auto &received = records.instances[receivedAs.at({t.req, tryNo})];
@@ -194,7 +195,7 @@
         });
     }
     // The instance stands still: what comes meanwhile is found all at once, by its clock at the end.
-    void stall(Span lasts) {
+    void stall(Duration lasts) {
         records.halts.push_back({0, rehearsal::Halt::stopped, now, now + lasts});
         now += lasts;
         std::vector<std::function<void()>> found;
@@ -226,7 +227,7 @@
         }
         give(n);
     }
-    void pass(Span until) {
+    void pass(Duration until) {
         while (!due.empty() && due.begin()->first <= until) {
             const auto [at, what] = *due.begin();
             due.erase(due.begin());
@@ -238,7 +239,7 @@
     void arrive(ReqId id, const Line &l) {
         routeOf[id] = static_cast<int>(l.number("route", 0));
         finals[id] = 0;
-        const Span until = now + span(l.number("until", 3));
+        const Duration until = now + span(l.number("until", 3));
         client[id] = records.clients.size();
         rehearsal::ClientRecord c;
         c.req = std::to_string(life) + "/" + std::to_string(id), c.route = routeOf[id], c.key = l.text("key");
@@ -246,7 +247,8 @@
         records.clients.push_back(c);
         give(ReqArrived{id, l.text("key"), routeOf[id], 0, until});
         due.emplace(until, [this, id] {  // as a gateway does: what is still out has timed out
-            for (int k = 0; k < tries[id]; ++k) end({id, sentTo.at({id, k})}, k, Outcome::timeout, Span{0});
+            for (int k = 0; k < tries[id]; ++k)
+                end({id, sentTo.at({id, k})}, k, Outcome::timeout, Duration{0});
         });
     }
     std::size_t count(const Line &l) const {
@@ -305,7 +307,7 @@
                       span(l.number("since", 0))});
         else if (verb == "req") arrive(std::stoull(l.words.at(1)), l);
         else if (verb == "reqs") {
-            const Span until = now + span(l.number("for", 1)), gap = span(1 / l.number("rate", 50));
+            const Duration until = now + span(l.number("for", 1)), gap = span(1 / l.number("rate", 50));
             const int keys = static_cast<int>(l.number("keys", 0));
             while (now < until) {
                 Line one = l;
@@ -336,7 +338,7 @@
             answers[l.words.at(1)].how = Outcome::connectFailed;
             for (const auto &[which, server] : sentTo)
                 if (server == l.words.at(1) && !over.count(which))
-                    end({which.first, server}, which.second, Outcome::reset, Span{0});
+                    end({which.first, server}, which.second, Outcome::reset, Duration{0});
         } else if (verb == "again") {  // the stage told last, once more: with another cap, or an older one
             StageNews n = told;
             n.cap = l.number("cap", n.cap), n.step = static_cast<int>(l.number("step", n.step));
--- a/tests/rules/memory.cpp
+++ b/tests/rules/memory.cpp
@@ -26,7 +26,7 @@
 int main(int argc, char **argv) {
     const std::string what = argc > 1 ? argv[1] : "";
     Policy policy;
-    Span now = 100s;
+    Duration now = 100s;
     StartValues v;
     v.routes = {{800ms, Effect::retriable, Group::all, 5s}};
     v.accountShares = {1}, v.keysStay = true, v.exposureSpan = 4s, v.exposureCaps = {0.2},
@@ -47,7 +47,7 @@
     for (int second = 0; second < 60 * kMinutes; ++second) {
         if (second % 60 == 0 && what == "servers") list(second / 60);
         if (second == 600) before = live;
-        for (int k = 0; k < kASecond; ++k, now += Span{1000000 / kASecond}) {
+        for (int k = 0; k < kASecond; ++k, now += Duration{1000000 / kASecond}) {
             const ReqId id = ReqId(second * kASecond + k);
             std::vector<Action> first =
                 give(ReqArrived{id, what == "keys" ? "k" + std::to_string(id) : "k", 0, 0, now + 3s});
