--- a/tests/unit/audit_test.cpp
+++ b/tests/unit/audit_test.cpp
@@ -1,6 +1,6 @@
 // The auditor, on records made by hand: each rule broken in each way is found, and the lawful neighbour is
 // not.
-#include "../../src/rehearsal/audit.hpp"
+#include "../../src/scenarios/invariant_checker.hpp"
 
 #include <gtest/gtest.h>
 
@@ -25,16 +25,16 @@
     return f;
 }
 
-ClientRecord asked(const char *req, int route, Span sent, ClientEnd end = ClientEnd::completed,
-                   Span took = 100ms) {
+ClientRecord asked(const char *req, int route, Duration sent, ClientEnd end = ClientEnd::completed,
+                   Duration took = 100ms) {
     ClientRecord c;
     c.req = req, c.route = route, c.sent = sent, c.givesUp = sent + 2s, c.end = end;
     const bool answered = end == ClientEnd::completed || end == ClientEnd::shed || end == ClientEnd::errored;
-    c.answers = answered, c.answered = answered ? sent + took : Span{0}, c.build = 1;
+    c.answers = answered, c.answered = answered ? sent + took : Duration{0}, c.build = 1;
     return c;
 }
-InstanceRecord tried(const char *req, Span at, const char *server = "s1", BuildNo build = 1, bool ran = true,
-                     int zone = 0) {
+InstanceRecord tried(const char *req, Duration at, const char *server = "s1", BuildNo build = 1,
+                     bool ran = true, int zone = 0) {
     return {req, server, zone, 0, build, at, ran};
 }
 
@@ -139,7 +139,7 @@
     EXPECT_TRUE(Found(r).none()) << "most came from a gateway that had not been told";
 }
 
-Records trialOf(int oneOf, int reqs, Span every = 10ms) {
+Records trialOf(int oneOf, int reqs, Duration every = 10ms) {
     Records r;
     static std::deque<std::string> names;  // outlives the records' users
     for (int k = 0; k < reqs; ++k) {
--- a/tests/unit/dns_test.cpp
+++ b/tests/unit/dns_test.cpp
@@ -2,7 +2,7 @@
 // time.
 #include <gtest/gtest.h>
 
-#include "../../src/dns/asking.hpp"
+#include "../../src/dns/query_schedule.hpp"
 #include "../../src/membership/claims.hpp"
 
 namespace deckcart::test {
@@ -275,23 +275,23 @@
     Refresh r({seconds(5), seconds(600), seconds(60)}, 1);
     Found found;
     found.kind = FoundKind::servers;
-    for (const auto &[said, is] : std::vector<std::pair<std::uint32_t, Span>>{
+    for (const auto &[said, is] : std::vector<std::pair<std::uint32_t, Duration>>{
              {0, seconds(5)}, {30, seconds(30)}, {0x7fffffff, seconds(600)}}) {
         found.seconds = said;
         EXPECT_EQ(r.lifetime(found), is);
     }
     found.kind = FoundKind::noName;
     EXPECT_EQ(r.lifetime(found), seconds(60));
-    Span least = seconds(100), most{};
+    Duration least = seconds(100), most{};
     for (int k = 0; k < 1000; ++k) {
-        const Span in = r.afterAnswer(seconds(100));
+        const Duration in = r.afterAnswer(seconds(100));
         least = std::min(least, in), most = std::max(most, in);
     }
     EXPECT_GE(least, seconds(70));
     EXPECT_LT(least, seconds(71));
     EXPECT_LE(most, seconds(90));
     EXPECT_GT(most, seconds(89));
-    Span last{};
+    Duration last{};
     for (int k = 0; k < 12; ++k) last = r.afterFailure();
     EXPECT_GE(last, seconds(15));
     EXPECT_LE(last, seconds(30));
@@ -299,11 +299,11 @@
 
 TEST(DnsAsking, CapsTheQuestionsASecond) {
     QuestionCap cap(10);
-    Span now{};
+    Duration now{};
     int sent = 0;
     while (now < seconds(10)) {
-        const Span wait = cap.take(now);
-        if (wait == Span{0}) ++sent;
+        const Duration wait = cap.take(now);
+        if (wait == Duration{0}) ++sent;
         now += wait;
     }
     EXPECT_GE(sent, 108);
--- a/tests/unit/documents_test.cpp
+++ b/tests/unit/documents_test.cpp
@@ -7,8 +7,8 @@
 
 #include "../../src/base/address.hpp"
 #include "../../src/base/snapshot.hpp"
-#include "../../src/rehearsal/day.hpp"
-#include "../../src/settings/orders.hpp"
+#include "../../src/scenarios/scenario.hpp"
+#include "../../src/settings/gateway_settings.hpp"
 
 namespace deckcart {
 namespace {
--- a/tests/unit/membership_reference.hpp
+++ b/tests/unit/membership_reference.hpp
@@ -20,13 +20,13 @@
     void took(std::size_t source, const Reading &r) {
         history[source].push_back({++toldSoFar, r.at, 'r', r, {}});
     }
-    void changed(std::size_t source, Span at, const std::vector<Claim> &c) {
+    void changed(std::size_t source, Duration at, const std::vector<Claim> &c) {
         history[source].push_back({++toldSoFar, at, 'c', {}, c});
     }
-    void lost(std::size_t source, Span at) { history[source].push_back({++toldSoFar, at, 'l', {}, {}}); }
+    void lost(std::size_t source, Duration at) { history[source].push_back({++toldSoFar, at, 'l', {}, {}}); }
 
     // What is routed to at this time; call it after each thing told and at each time something runs out.
-    std::map<ServerId, ServerEntry> at(Span now) {
+    std::map<ServerId, ServerEntry> at(Duration now) {
         std::vector<Belief> beliefs;
         std::set<ServerId> everyone;
         for (const auto &told : history) beliefs.push_back(believe(told));
@@ -112,7 +112,7 @@
             out[id] = e, out[id].readiness = Readiness::draining, leaving.erase(id);
         for (const auto &[id, e] : inSet) {
             if (out.contains(id) || goneNow.contains(id)) continue;
-            const Span since = leaving.try_emplace(id, now).first->second;
+            const Duration since = leaving.try_emplace(id, now).first->second;
             if (now - since >= rules.grace) continue;
             out[id] = e, out[id].readiness = Readiness::draining;
         }
@@ -131,7 +131,7 @@
   private:
     struct Told {
         int no = 0;
-        Span at{};
+        Duration at{};
         char kind;
         Reading reading;
         std::vector<Claim> claims;
@@ -139,14 +139,14 @@
     struct About {
         bool listed = false, withdrawn = false;
         Claim claim;
-        Span since{};
+        Duration since{};
         std::optional<Readiness> stop;
-        Span stopSince{};
-        std::optional<Span> missingSince;
+        Duration stopSince{};
+        std::optional<Duration> missingSince;
     };
     struct Belief {
         bool read = false;
-        Span freshUntil{};
+        Duration freshUntil{};
         std::map<ServerId, About> about;
     };
     static bool listed(const Belief &b, const ServerId &id) {
@@ -156,8 +156,8 @@
     Belief believe(const std::vector<Told> &told) const {
         Belief b;
         std::string trusted;
-        Span at{};
-        const auto say = [&](const Claim &c, Span when, bool first) {
+        Duration at{};
+        const auto say = [&](const Claim &c, Duration when, bool first) {
             About &a = b.about[c.entry.id];
             const bool wasLive = a.listed && a.claim.entry.readiness == Readiness::live;
             const auto startedBefore = a.claim.entry.startedAt;
@@ -217,7 +217,7 @@
     MergeRules rules;
     std::vector<std::vector<Told>> history;
     std::map<ServerId, ServerEntry> inSet;
-    std::map<ServerId, Span> leaving;
+    std::map<ServerId, Duration> leaving;
     std::map<BuildNo, int> openUpTo;
     int toldSoFar = 0;
     std::multimap<int, ServerId> forgotten;  // after which of the things told
--- a/tests/unit/merge_test.cpp
+++ b/tests/unit/merge_test.cpp
@@ -31,7 +31,8 @@
     c.priority = priority, c.as = "relay" + std::to_string(server);
     return c;
 }
-Reading reading(Span at, std::vector<Claim> claims, std::string from = "ns1", Span lifetime = seconds(30)) {
+Reading reading(Duration at, std::vector<Claim> claims, std::string from = "ns1",
+                Duration lifetime = seconds(30)) {
     return {at, lifetime, std::move(from), std::move(claims), false, {}};
 }
 std::vector<Claim> servers(int from, int to) {
@@ -43,12 +44,12 @@
 struct Both {
     explicit Both(MergeRules rules = threeSources()) : merge(rules), reference(rules) {}
     void took(std::size_t source, const Reading &r) { merge.took(source, r), reference.took(source, r); }
-    void changed(std::size_t source, Span at, const std::vector<Claim> &c) {
+    void changed(std::size_t source, Duration at, const std::vector<Claim> &c) {
         merge.tookChanges(source, at, c), reference.changed(source, at, c);
     }
-    void lost(std::size_t source, Span at) { merge.lost(source, at, "lost"), reference.lost(source, at); }
+    void lost(std::size_t source, Duration at) { merge.lost(source, at, "lost"), reference.lost(source, at); }
     // As words, so that a difference can be read: "1 live b1; 2 draining b1".
-    std::string at(Span now) {
+    std::string at(Duration now) {
         view = merge.at(now);
         std::string got, want;
         for (const auto &m : view.members)
@@ -291,7 +292,7 @@
     return claimOf(who / 64, flavour % 16 == 0 ? 2 : 1, readiness,
                    desk ? membership::kNoClass : (flavour % 3) * 10);
 }
-void carryOut(Both &b, const Step &s, Span &now, bool look = true) {
+void carryOut(Both &b, const Step &s, Duration &now, bool look = true) {
     now += seconds(s.span);
     std::vector<Claim> claims;
     for (const int w : s.who) claims.push_back(claimIn(w, s.source == 0));
@@ -306,7 +307,7 @@
 
 RC_GTEST_PROP(MergeDrawn, IsWhatTheReferencePredicts, (std::uint32_t seed)) {
     Both b;
-    Span now{};
+    Duration now{};
     for (const auto &s : drawn(seed % 0x7ffffffe + 1)) {
         carryOut(b, s, now);
         RC_ASSERT(b.same);
@@ -317,7 +318,7 @@
     // The same things told at the same times, the sources in another order, the claims too.
     std::minstd_rand chance(seed % 0x7ffffffe + 1);
     Merge one(threeSources()), other(threeSources());
-    Span now{};
+    Duration now{};
     for (int round = 0; round < 12; ++round) {
         now += seconds(1 + int(chance() % 40));
         std::vector<std::pair<std::size_t, Reading>> told;
@@ -345,7 +346,7 @@
 
 RC_GTEST_PROP(MergeDrawn, FailureNeverEmptiesTheSet, (std::uint32_t seed)) {
     Both b;
-    Span now{};
+    Duration now{};
     for (const auto &s : drawn(seed % 0x7ffffffe + 1, 20)) carryOut(b, s, now);
     const auto before = b.live();
     for (std::size_t k = 0; k < 3; ++k) b.lost(k, now);
@@ -359,7 +360,7 @@
 
 RC_GTEST_PROP(MergeDrawn, GoneStaysGoneWithoutANewSignOfLife, (std::uint32_t seed)) {
     Both b;
-    Span now{};
+    Duration now{};
     for (const auto &s : drawn(seed % 0x7ffffffe + 1, 20)) carryOut(b, s, now);
     // The records list it all along; the desk says gone, then fails.
     auto all = servers(0, 7);
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -4,7 +4,7 @@
 #include "../../src/base/address.hpp"
 #include "../../src/platform/commands.hpp"
 #include "../../src/platform/directory.hpp"
-#include "../../src/platform/front.hpp"
+#include "../../src/platform/downstream.hpp"
 #include "../../src/platform/json_values.hpp"
 #include "../../src/platform/limits.hpp"
 
@@ -67,9 +67,9 @@
     EXPECT_EQ(s.sockets, 256u);
     EXPECT_EQ(s.known.members.at(0).entry.zone, 1);
     EXPECT_EQ(s.news->build, 42);
-    EXPECT_EQ(s.news->since, Span{310ms});
-    EXPECT_EQ(s.settings.start.leastStage, Span{900ms});
-    EXPECT_EQ(s.settings.routeTimeouts.at(1), Span{2500ms});
+    EXPECT_EQ(s.news->since, Duration{310ms});
+    EXPECT_EQ(s.settings.start.leastStage, Duration{900ms});
+    EXPECT_EQ(s.settings.routeTimeouts.at(1), Duration{2500ms});
 }
 
 TEST(PlatformStart, NamesTheFieldThatIsWrong) {
@@ -102,11 +102,11 @@
     EXPECT_EQ(got.facts.account, 0);
     EXPECT_EQ(got.facts.key, "key");
     EXPECT_EQ(got.facts.name, "id1");
-    EXPECT_EQ(got.facts.wait, Span{480ms});
-    EXPECT_EQ(instanceCommand(got.command, Span{123456us}),
+    EXPECT_EQ(got.facts.wait, Duration{480ms});
+    EXPECT_EQ(instanceCommand(got.command, Duration{123456us}),
               resp::command({"Q.DO", "key", "id1", "c=order,t=acme,d=123,k=5c0f", "BODY"}));
     const auto capped = readCommand({"Q.ASK", "", "i", "r=1,c=lookup,t=none,d=99999"}, settings());
-    EXPECT_EQ(capped.facts.wait, Span{800ms}) << "no longer than the route's time-out";
+    EXPECT_EQ(capped.facts.wait, Duration{800ms}) << "no longer than the route's time-out";
     EXPECT_EQ(capped.facts.account, 1) << "one that is not named is past the end";
 }
 
@@ -213,14 +213,14 @@
         EXPECT_LE(b.clients + b.upstreams + b.reserve, sockets);
         EXPECT_GE(b.clients, sockets / 4);
         EXPECT_GE(b.upstreams * 4, sockets) << "who may hold a third for reqs can have them all sent";
-        EXPECT_LT(b.idleFor, Span{15s}) << "dropped before the other side would";
+        EXPECT_LT(b.idleFor, Duration{15s}) << "dropped before the other side would";
     }
     EXPECT_GE(divide(256, 32, 10, 15s).valueBytes, 200000u) << "values of 194 KB have been seen";
     EXPECT_LE(divide(1024, 100000, 10, 15s).valueBytes, 1048576u);
     EXPECT_EQ(divide(256, 8, 10, 15s).bodyBytes, 65536u);
     EXPECT_EQ(divide(256, 32, 10, 15s).reqsInHand, 10u);
-    EXPECT_LT(ending(10s).answersBy, Span{3700ms}) << "before the kill";
-    EXPECT_EQ(ending(1s).acceptsFor, Span{500ms}) << "while connections still come";
+    EXPECT_LT(ending(10s).answersBy, Duration{3700ms}) << "before the kill";
+    EXPECT_EQ(ending(1s).acceptsFor, Duration{500ms}) << "while connections still come";
 }
 
 TEST(PlatformFront, AnIdIsKnownWhileOpenAndForAWhileAfter) {
@@ -231,8 +231,8 @@
     EXPECT_FALSE(names.open("a", 2s)) << "ended a moment ago: an instance would answer with an error";
     EXPECT_TRUE(names.open("a", 4s));
     for (int k = 0; k < 10000; ++k) {
-        names.open("n" + std::to_string(k), Span{k * 10ms});
-        names.ended("n" + std::to_string(k), Span{k * 10ms});
+        names.open("n" + std::to_string(k), Duration{k * 10ms});
+        names.ended("n" + std::to_string(k), Duration{k * 10ms});
     }
     EXPECT_LT(names.size(), 300u) << "it does not grow with ids";
 }
@@ -245,7 +245,7 @@
     const auto read = wire::readSettings(settings, 7);
     Policy policy;
     std::string out;
-    const auto happen = [&](Span now, Event event) {
+    const auto happen = [&](Duration now, Event event) {
         for (const auto &action : policy.decide(1, now, {event})) {
             out += std::to_string(action.index());
             if (const auto *send = std::get_if<SendTry>(&action))
@@ -260,9 +260,9 @@
         list.entries.push_back(e);
     }
     happen(10s, list);
-    happen(10s, StageNews{false, Outcome::ok, 2, 0, Phase::onTrial, 0.3, Span{0}});
+    happen(10s, StageNews{false, Outcome::ok, 2, 0, Phase::onTrial, 0.3, Duration{0}});
     for (int k = 0; k < 400; ++k) {
-        const Span now = 10s + k * 10ms;
+        const Duration now = 10s + k * 10ms;
         const std::string id = "r" + std::to_string(k);
         auto command = readCommand(
             k % 3 ? std::vector<std::string>{"Q.ASK", "k" + id, id, "c=" + ask + ",t=" + tenant + ",d=700"}
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -22,7 +22,7 @@
         for (int k = 0; k < earlier; ++k)
             list.entries.push_back({"e" + std::to_string(k), 0, 0, 1, Readiness::live, 1, {}});
         for (int k = 0; k < trial; ++k)
-            list.entries.push_back({"t" + std::to_string(k), 0, 0, 2, Readiness::live, 1, Span{90s}});
+            list.entries.push_back({"t" + std::to_string(k), 0, 0, 2, Readiness::live, 1, Duration{90s}});
         list.complete = true;
         tell(Started{v});
         tell(list);
@@ -43,19 +43,19 @@
         now += 20ms;
         return sent(tell(TryEnded{req, tryNo, how == Outcome::ok, how}));
     }
-    void tick(Span span) {
-        for (const Span until = now + span; now < until; now += 20ms) note(tell(TimerFired{}));
+    void tick(Duration span) {
+        for (const Duration until = now + span; now < until; now += 20ms) note(tell(TimerFired{}));
     }
     void note(const std::vector<Action> &actions) {
         for (const auto &a : actions)
             if (const auto *vote = std::get_if<Vote>(&a);
-                vote && vote->verdict == Verdict::on && onAt == Span{})
+                vote && vote->verdict == Verdict::on && onAt == Duration{})
                 onAt = now;
     }
     StartValues v;
     ListTold list;
     Policy policy;
-    Span now = 100s, onAt{};
+    Duration now = 100s, onAt{};
     ReqId req = 0;
 };
 
@@ -106,12 +106,12 @@
     EXPECT_GT(atTrial, 0.05 * asked);
 }
 
-Span castAfter(Span leastStage) {
+Duration castAfter(Duration leastStage) {
     Module m;
     m.v.leastStage = leastStage;
     m.start(18, 2);
     m.now += 3s;  // the trial's machines are long there
-    const Span began = m.now;
+    const Duration began = m.now;
     m.tell(StageNews{false, Outcome::ok, 3, 0, Phase::onTrial, 0.12, 0s});
     m.list.entries[18].build = m.list.entries[19].build = 3;
     m.tell(m.list);
@@ -120,13 +120,13 @@
 }
 
 TEST(PolicyPace, ShorterStagesShortenTheWaitsForThem) {
-    const Span tuned = castAfter(1500ms), untold = castAfter(0s), shorter = castAfter(900ms),
-               longer = castAfter(3s);
-    EXPECT_GE(tuned, Span{5s});
+    const Duration tuned = castAfter(1500ms), untold = castAfter(0s), shorter = castAfter(900ms),
+                   longer = castAfter(3s);
+    EXPECT_GE(tuned, Duration{5s});
     EXPECT_EQ(untold, tuned);
     EXPECT_EQ(longer, tuned);
-    EXPECT_LT(shorter, Span{4s});
-    EXPECT_GE(shorter, Span{3s});
+    EXPECT_LT(shorter, Duration{4s});
+    EXPECT_GE(shorter, Duration{3s});
 }
 
 }  // namespace
--- a/tests/unit/scripts_test.cpp
+++ b/tests/unit/scripts_test.cpp
@@ -5,9 +5,9 @@
 #include <filesystem>
 #include <fstream>
 
-#include "../../src/dns/asking.hpp"
+#include "../../src/dns/query_schedule.hpp"
+#include "../../src/fakes/name_server.hpp"
 #include "../../src/membership/claims.hpp"
-#include "../../src/standin/name_server.hpp"
 #include "membership_reference.hpp"
 
 namespace deckcart::test {
@@ -22,7 +22,7 @@
 std::optional<dns::Message> ask(const dns::Question &question,
                                 std::vector<std::unique_ptr<NameServer>> &servers,
                                 const std::vector<standin::NameFaults> &faults, dns::ServerMemory &memory,
-                                Span now, std::size_t &answeredBy) {
+                                Duration now, std::size_t &answeredBy) {
     dns::Asking asking(memory.order(now), 1);
     dns::Message m;
     m.id = 1, m.question = question;
@@ -67,10 +67,10 @@
     dns::Refresh refresh({}, 7);
     dns::ServerMemory memory(servers.size());
     std::size_t step = 0, sets = 0, last = 0, by = 0;
-    Span nextAsk{}, lookAt = Span::max();
-    const Span end = script.steps.back().at + 300s;
+    Duration nextAsk{}, lookAt = Duration::max();
+    const Duration end = script.steps.back().at + 300s;
     std::string before;
-    for (Span now{}; now < end; now = std::min({nextAsk, lookAt, end})) {
+    for (Duration now{}; now < end; now = std::min({nextAsk, lookAt, end})) {
         for (; step < script.steps.size() && script.steps[step].at <= now; ++step)
             for (std::size_t k = 0; k < servers.size(); ++k) {
                 const auto &s = script.steps[step];
@@ -88,7 +88,7 @@
                 }
             ASSERT_TRUE(lookup.over());
             const auto &found = lookup.found();
-            const Span lifetime = refresh.lifetime(found);
+            const Duration lifetime = refresh.lifetime(found);
             if (found.kind == dns::FoundKind::failed) nextAsk = now + refresh.afterFailure();
             else {
                 const auto r =
@@ -99,7 +99,7 @@
         }
         const auto view = merge.at(now);
         for (const auto &[source, at] : view.confirm) nextAsk = std::min(nextAsk, std::max(at, now + 1s));
-        lookAt = view.changesAt.value_or(Span::max());
+        lookAt = view.changesAt.value_or(Duration::max());
         std::string got, want;
         const auto words = [](const ServerEntry &e) {
             return e.id + (e.readiness == Readiness::live ? " live; " : " draining; ");
