--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -1,6 +1,6 @@
 // Load by hand, one process a role: `instance` answers at once; `load` keeps connections busy (closed loop)
-// or sends on a schedule (open loop, latencies from when each req was due, so a stall is not left out). See
-// bench/run-gateway.
+// or sends on a schedule (open loop, latencies from when each request was due, so a stall is not left out).
+// See bench/run-gateway.
 #include <CLI/CLI.hpp>
 
 #include <algorithm>
@@ -84,8 +84,8 @@
     std::deque<Duration> waiting;  // due, no caller free
     double episodesOverMs = 0;     // 0: not told
     std::vector<double> tookMs;
-    // What happened within each 10 ms, so that an episode can be told from single slow reqs: worst latency,
-    // how late the tool's own timer came, how many due reqs found no free caller.
+    // What happened within each 10 ms, so that an episode can be told from single slow requests: worst
+    // latency, how late the tool's own timer came, how many due requests found no free caller.
     struct Stretch {
         double worstMs = 0, lateMs = 0;
         std::uint64_t due = 0, done = 0, waiting = 0, bad = 0;
--- a/include/deckcart/policy.hpp
+++ b/include/deckcart/policy.hpp
@@ -18,7 +18,7 @@
 // A point in time: the duration since the clock's start. The same type for now.
 using TimePoint = Duration;
 using InstanceId = std::int64_t;  // one running gateway
-using ReqId = std::uint64_t;
+using RequestId = std::uint64_t;
 using ServerId = std::string;
 using BuildNo = int;
 
@@ -47,14 +47,14 @@
     // what is allowed
     bool mayCopy = false;
     bool mayCancel = false;
-    int mostTries = 1;
+    int maxAttempts = 1;
     Duration longestRetryAfter{};
     Duration sendsWithin{};  // a try may reach its server so much later than it was decided
     bool retryAfterTold = false;
     bool listMustBeAsked = false;
     Duration askWithin{};
     double crossZoneFee = 0;
-    int inHandField = -1;  // place of the reqs in hand in a report to a probe; -1: not told, or no probes
+    int inHandField = -1;  // place of the requests in hand in a report to a probe; -1: not told, or no probes
     // figures of the rules
     double coldFrom = 1;
     Duration warmWithin{};
@@ -66,7 +66,7 @@
     bool exposurePerRoute = false;
     bool keysStay = false;
     int guardedStages = 0;
-    double spareTries = 0;
+    double exposureAllowance = 0;
     Duration exposureSpan{};
     std::vector<double> exposureCaps;
     std::vector<double> stageShares;
@@ -97,21 +97,21 @@
     std::vector<ServerEntry> entries;
 };
 struct ListFailed {};
-struct ReqArrived {
-    ReqId req = 0;
+struct RequestArrived {
+    RequestId requestId = 0;
     std::string key;
     int route = 0;
     int account = 0;
     Duration notAfter{};
 };
-struct TryEnded {
-    ReqId req = 0;
-    int tryNo = 0;
-    bool reqOver = false;
+struct AttemptEnded {
+    RequestId requestId = 0;
+    int attemptNumber = 0;
+    bool requestEnded = false;
     Outcome how = Outcome::ok;
 };
-struct ReqGone {
-    ReqId req = 0;
+struct RequestAbandoned {
+    RequestId requestId = 0;
 };
 struct TimerFired {};
 struct ProbeEnded {
@@ -138,24 +138,24 @@
     ServerId server;
     Duration since{};  // its try was sent
 };
-using Event = std::variant<Started, Stopped, ListTold, ListFailed, ReqArrived, TryEnded, ReqGone, TimerFired,
-                           ProbeEnded, StageNews, TallyTold, WrongReported>;
+using Event = std::variant<Started, Stopped, ListTold, ListFailed, RequestArrived, AttemptEnded,
+                           RequestAbandoned, TimerFired, ProbeEnded, StageNews, TallyTold, WrongReported>;
 
 // ---- what is to be done ----
-struct SendTry {
-    ReqId req = 0;
+struct SendAttempt {
+    RequestId requestId = 0;
     ServerId server;
 };
-struct CancelTry {
-    ReqId req = 0;
-    int tryNo = 0;
+struct CancelAttempt {
+    RequestId requestId = 0;
+    int attemptNumber = 0;
 };
 struct Shed {
-    ReqId req = 0;
+    RequestId requestId = 0;
     Duration retryIn{};
 };
 struct EndErrored {
-    ReqId req = 0;
+    RequestId requestId = 0;
 };
 struct SetTimer {
     Duration after{};
@@ -174,7 +174,8 @@
 struct LogLine {
     std::string words;
 };
-using Action = std::variant<SendTry, CancelTry, Shed, EndErrored, SetTimer, Probe, FollowList, Vote, LogLine>;
+using Action =
+    std::variant<SendAttempt, CancelAttempt, Shed, EndErrored, SetTimer, Probe, FollowList, Vote, LogLine>;
 
 // The records of the instances that one process hosts. They share nothing.
 class Policy {
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -39,8 +39,9 @@
     bool platform = false;
     auto *onPlatform = gateway->add_flag(
         "--platform", platform, "serve as the platform's configuration, the file EDGE_CONFIG names, says");
-    double reqSample = 0;
-    gateway->add_option("--req-sample", reqSample, "under --platform: part of the reqs that are logged")
+    double requestLogSample = 0;
+    gateway
+        ->add_option("--req-sample", requestLogSample, "under --platform: part of the reqs that are logged")
         ->check(CLI::Range(0.0, 1.0));
     gateway->add_option("--listen", listen, "where clients connect; port 0 picks one")
         ->excludes(onPlatform)
@@ -100,7 +101,7 @@
     if (gateway->parsed() && platform) {
         const char *config = std::getenv("EDGE_CONFIG");
         if (!config) return std::cerr << "deckcart: EDGE_CONFIG is not set\n", 2;
-        return deckcart::platform::runGateway(config, logs, reqSample);
+        return deckcart::platform::runGateway(config, logs, requestLogSample);
     }
     if (gateway->parsed()) {
         if (listen.empty() || api.empty())
--- a/src/cli/scenario_command.cpp
+++ b/src/cli/scenario_command.cpp
@@ -80,7 +80,7 @@
         const auto breaches = rehearsal::audit(rehearsal::readRecords(*document), rehearsal::figuresOf(*day));
         for (const auto &b : breaches)
             fmt::print("rule {} ({}), {:.3f} s, {}: {}\n", int(b.rule), rehearsal::nameOf(b.rule),
-                       double(b.at.count()) / 1e6, b.req, b.words);
+                       double(b.at.count()) / 1e6, b.requestId, b.words);
         fmt::print("{} breaches\n", breaches.size());
         return breaches.empty() ? 0 : kRuleBroken;
     } catch (const std::exception &fault) {
--- a/src/dns/query_schedule.cpp
+++ b/src/dns/query_schedule.cpp
@@ -28,12 +28,12 @@
 constexpr int kMuchFaster = 2;
 
 // Asked again after 70 to 90 % of the lifetime: the spread parts the gateways, the tenth that is left is
-// enough for two more tries before the view is stale.
+// enough for two more attempts before the view is stale.
 constexpr double kAheadFrom = 0.7, kAheadTo = 0.9;
 // After failures: 1 s doubling to 30 s, drawn between half and the whole ("full jitter" would let a few ask
 // at once). The bound keeps the view no more than half a minute behind servers that come back.
 constexpr Duration kBackOffFirst = seconds(1), kBackOffMost = seconds(30);
-// A start without a view has reqs waiting for it; one with a saved view can leave the servers their time.
+// A start without a view has requests waiting for it; one with a saved view can leave the servers their time.
 constexpr Duration kStartSpread = milliseconds(100), kStartSpreadWithView = seconds(3);
 
 }  // namespace
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -11,8 +11,8 @@
 
 constexpr auto kGraceToHear = std::chrono::milliseconds(20);  // a client hangs up so long after its time
 
-struct Clients::Req {
-    int route = 0, tries = 0, mostTries = 1;
+struct Clients::Request {
+    int route = 0, attempts = 0, maxAttempts = 1;
     std::string key, account, mark;
     double workMs = 0;
     Duration asked{}, givesUp{};
@@ -20,7 +20,8 @@
 
 class Clients::Call : public http::CallSink, public std::enable_shared_from_this<Call> {
   public:
-    Call(Clients &of, std::shared_ptr<Req> what) : clients(of), req(std::move(what)), timer(of.context) {}
+    Call(Clients &of, std::shared_ptr<Request> what)
+        : clients(of), request(std::move(what)), timer(of.context) {}
     void onAnswerHead(const http::AnswerHead &head) override { answer = head; }
     void onAnswerBody(std::string_view) override {}
     void onCallEnd(http::CallEnd how) override {
@@ -30,7 +31,7 @@
     }
 
     Clients &clients;
-    std::shared_ptr<Req> req;
+    std::shared_ptr<Request> request;
     std::uint64_t no = 0;
     std::size_t record = 0;
     int gateway = 0;
@@ -58,40 +59,41 @@
 }
 
 void Clients::arrive() {
-    nextAt += Duration{std::llround(-std::log(1 - chance01()) / (world.day.reqsPerS * burst) * 1e6)};
+    nextAt += Duration{std::llround(-std::log(1 - chance01()) / (world.day.requestsPerSecond * burst) * 1e6)};
     if (nextAt >= until) return void(ended = true);
     next.expires_after(std::max(Duration{0}, nextAt - world.clock.now()));
     next.async_wait([this, here = std::weak_ptr(alive)](asio::error_code fault) {
         if (fault || here.expired()) return;
         const auto &d = world.day;
-        const auto req = std::make_shared<Req>();
+        const auto request = std::make_shared<Request>();
         double sum = 0;
         for (const auto &r : d.routes) sum += r.share;
         double at = chance01() * sum;
-        while (req->route + 1 < int(d.routes.size()) && at >= d.routes[std::size_t(req->route)].share)
-            at -= d.routes[std::size_t(req->route++)].share;
-        const auto &r = d.routes[std::size_t(req->route)];
+        while (request->route + 1 < int(d.routes.size()) && at >= d.routes[std::size_t(request->route)].share)
+            at -= d.routes[std::size_t(request->route++)].share;
+        const auto &r = d.routes[std::size_t(request->route)];
         // A few keys are far more popular than the rest.
-        req->key = "k" + std::to_string(int(d.keys * std::pow(chance01(), 3)));
+        request->key = "k" + std::to_string(int(d.keys * std::pow(chance01(), 3)));
         double who = chance01();
         for (std::size_t k = 0; k < d.accounts.size(); ++k)
             if ((who -= d.accountShares[k]) < 0 || k + 1 == d.accounts.size()) {
-                req->account = d.accounts[k];
+                request->account = d.accounts[k];
                 break;
             }
-        req->mark = "m" + std::to_string(++named);
-        req->workMs = r.leastWorkMs + (r.mostWorkMs - r.leastWorkMs) * chance01();
-        req->asked = world.clock.now(), req->givesUp = req->asked + r.routeTimeout;
-        req->mostTries = 1 + d.retries;
-        const bool heedless = heedlessTimes > 1 && !d.accounts.empty() && req->account == d.accounts.front();
-        if (heedless) req->mostTries = int(heedlessTimes);
-        service[std::size_t(req->route)].asked += 1;
-        ask(req);
+        request->mark = "m" + std::to_string(++named);
+        request->workMs = r.leastWorkMs + (r.mostWorkMs - r.leastWorkMs) * chance01();
+        request->asked = world.clock.now(), request->givesUp = request->asked + r.routeTimeout;
+        request->maxAttempts = 1 + d.retries;
+        const bool heedless =
+            heedlessTimes > 1 && !d.accounts.empty() && request->account == d.accounts.front();
+        if (heedless) request->maxAttempts = int(heedlessTimes);
+        service[std::size_t(request->route)].asked += 1;
+        ask(request);
         arrive();
     });
 }
 
-void Clients::ask(std::shared_ptr<Req> req, int avoid) {
+void Clients::ask(std::shared_ptr<Request> request, int avoid) {
     const auto &d = world.day;
     const Duration now = world.clock.now();
     double sum = 0;
@@ -103,16 +105,16 @@
         gateway = int(k);
         if ((at -= gateways[k].weight) < 0) break;
     }
-    const auto call = std::make_shared<Call>(*this, req);
+    const auto call = std::make_shared<Call>(*this, request);
     call->no = ++named, call->gateway = gateway, call->record = world.records.clients.size();
-    ++req->tries;
-    const auto &r = d.routes[std::size_t(req->route)];
+    ++request->attempts;
+    const auto &r = d.routes[std::size_t(request->route)];
     const Duration patience = Duration{std::llround(double(r.routeTimeout.count()) *
                                                     (d.leastPatience + (1 - d.leastPatience) * chance01()))};
     ClientRecord record;
-    record.req = "r" + std::to_string(call->no), record.route = req->route, record.gateway = gateway,
-    record.key = req->key;
-    record.sent = now, record.givesUp = std::min(now + patience, req->givesUp);
+    record.requestId = "r" + std::to_string(call->no), record.route = request->route,
+    record.gateway = gateway, record.key = request->key;
+    record.sent = now, record.givesUp = std::min(now + patience, request->givesUp);
     const Duration left = record.givesUp - now;
     auto &idle = idleTo[std::size_t(gateway)];
     while (!idle.empty() && !idle.back()->reusable()) idle.pop_back();
@@ -120,15 +122,15 @@
         call->connection = std::make_shared<http::ClientConnection>(context, std::size_t{16384});
     else call->connection = idle.back(), idle.pop_back(), call->connection->onIdleClosed = nullptr;
     http::RequestHead head;
-    head.method = r.method, head.target = "/" + r.name + "/" + req->key;
+    head.method = r.method, head.target = "/" + r.name + "/" + request->key;
     head.headers = {{"Host", "relay"},
-                    {"X-Request-Id", record.req},
-                    {"X-Key", req->key},
-                    {"Idempotency-Key", req->mark},
-                    {"X-Work-Ms", std::to_string(req->workMs)},
+                    {"X-Request-Id", record.requestId},
+                    {"X-Key", request->key},
+                    {"Idempotency-Key", request->mark},
+                    {"X-Work-Ms", std::to_string(request->workMs)},
                     {"X-Remaining-Ms", std::to_string(left.count() / 1000)}};
-    if (!req->account.empty()) head.headers.push_back({"X-Account", req->account});
-    if (req->tries > 1) head.headers.push_back({"X-Repeat", "1"});
+    if (!request->account.empty()) head.headers.push_back({"X-Account", request->account});
+    if (request->attempts > 1) head.headers.push_back({"X-Repeat", "1"});
     head.length = 5;
     world.records.clients.push_back(std::move(record));
     calls[call->no] = call;
@@ -151,7 +153,7 @@
     call.timer.cancel();
     const Duration now = world.clock.now();
     auto &record = world.records.clients[call.record];
-    const auto req = call.req;
+    const auto request = call.request;
     const auto *said = call.answer.find("Deckcart-End");
     bool wrong = false;
     Duration back = std::chrono::milliseconds(100);
@@ -180,11 +182,11 @@
         record.end = unread ? ClientEnd::unreached : ClientEnd::cut;
     }
     const auto &d = world.day;
-    const auto &rule = d.routes[std::size_t(req->route)].rule;
+    const auto &rule = d.routes[std::size_t(request->route)].rule;
     if (wrong && d.wrongReported > 0 && chance01() < d.wrongReported) {
         const auto timer =
             std::make_shared<asio::steady_timer>(context, Duration{std::llround(4e5 + 1.5e6 * chance01())});
-        timer->async_wait([this, timer, id = record.req, gateway = call.gateway,
+        timer->async_wait([this, timer, id = record.requestId, gateway = call.gateway,
                            here = std::weak_ptr(alive)](asio::error_code) {
             if (here.expired()) return;
             http::RequestHead head;
@@ -197,24 +199,24 @@
     // May it be asked again: safe by its route, or by what the answer says.
     const bool safe = rule.effect == Effect::retriable || record.end == ClientEnd::shed ||
                       record.end == ClientEnd::unreached ||
-                      (rule.effect == Effect::deduped && now + back <= req->asked + rule.repeatWindow);
-    if (done || !safe || req->tries >= req->mostTries || now + back >= req->givesUp)
-        return settle(*req, record.end, wrong, now);
-    const bool heedless = req->mostTries > 1 + d.retries;
+                      (rule.effect == Effect::deduped && now + back <= request->asked + rule.repeatWindow);
+    if (done || !safe || request->attempts >= request->maxAttempts || now + back >= request->givesUp)
+        return settle(*request, record.end, wrong, now);
+    const bool heedless = request->maxAttempts > 1 + d.retries;
     const int avoid = record.end == ClientEnd::unreached && gateways.size() > 1 ? call.gateway : -1;
     ++waiting;
     const auto timer = std::make_shared<asio::steady_timer>(context, heedless ? Duration{0} : back);
-    timer->async_wait([this, timer, req, avoid, here = std::weak_ptr(alive)](asio::error_code) {
+    timer->async_wait([this, timer, request, avoid, here = std::weak_ptr(alive)](asio::error_code) {
         if (here.expired()) return;
         --waiting;
-        ask(req, avoid);
+        ask(request, avoid);
     });
 }
 
-void Clients::settle(const Req &req, ClientEnd end, bool wrong, Duration at) {
-    auto &s = service[std::size_t(req.route)];
-    const auto &r = world.day.routes[std::size_t(req.route)];
-    const bool inTime = end == ClientEnd::completed && at <= req.asked + r.rule.latencyObjective;
+void Clients::settle(const Request &request, ClientEnd end, bool wrong, Duration at) {
+    auto &s = service[std::size_t(request.route)];
+    const auto &r = world.day.routes[std::size_t(request.route)];
+    const bool inTime = end == ClientEnd::completed && at <= request.asked + r.rule.latencyObjective;
     if (wrong) s.wrong += 1;
     else if (inTime) s.inTime += 1;
     else if (end == ClientEnd::completed) s.late += 1;
@@ -222,7 +224,7 @@
     else if (end == ClientEnd::errored) s.errored += 1;
     else s.none += 1;
     auto &second =
-        seconds[std::min(seconds.size() - 1, std::size_t((req.asked - begun) / std::chrono::seconds(1)))];
+        seconds[std::min(seconds.size() - 1, std::size_t((request.asked - begun) / std::chrono::seconds(1)))];
     second.asked += r.benefit, second.inTime += inTime && !wrong ? r.benefit : 0;
 }
 
--- a/src/fakes/clients.hpp
+++ b/src/fakes/clients.hpp
@@ -1,5 +1,5 @@
-// Stand-ins for clinics' and shops' systems: an open loop of reqs with keys, accounts, marks and time-outs of
-// their own, each tried again at most once, and a record of what came back.
+// Stand-ins for clinics' and shops' systems: an open loop of requests with keys, accounts, marks and
+// time-outs of their own, each tried again at most once, and a record of what came back.
 #pragma once
 
 #include "../http/client.hpp"
@@ -19,9 +19,9 @@
     void start(Duration until);
     bool idle() const { return ended && calls.empty() && waiting == 0; }
     double burst = 1;          // times the usual rate
-    double heedlessTimes = 1;  // tries of the first account's clients for each req
+    double heedlessTimes = 1;  // attempts of the first account's clients for each request
 
-    // By route, of the reqs asked: how they ended, retries counted as part of the first try.
+    // By route, of the requests asked: how they ended, retries counted as part of the first try.
     struct Service {
         double asked = 0, inTime = 0, late = 0, shed = 0, errored = 0, none = 0, wrong = 0;
     };
@@ -32,12 +32,12 @@
     std::vector<Second> seconds;  // since the start
 
   private:
-    struct Req;
+    struct Request;
     class Call;
     void arrive();
-    void ask(std::shared_ptr<Req> req, int avoid = -1);
+    void ask(std::shared_ptr<Request> request, int avoid = -1);
     void over(Call &call);
-    void settle(const Req &req, rehearsal::ClientEnd end, bool wrong, Duration at);
+    void settle(const Request &request, rehearsal::ClientEnd end, bool wrong, Duration at);
     double chance01() { return std::generate_canonical<double, 32>(chance); }
 
     asio::io_context &context;
--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -345,7 +345,7 @@
     }
 }
 
-// What the platform counts: tries of a second, by build and route, told a little later.
+// What the platform counts: attempts of a second, by build and route, told a little later.
 void Desk::tally() {
     const Duration at = world.clock.now();
     tallyAt = at + std::chrono::seconds(1);
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr auto kCountedFor = std::chrono::seconds(1);  // of the trial's traffic, for a build that slows all
-constexpr double kPushSlack = 5;  // reqs' worth of chance that no cold instance falls over by
+constexpr double kPushSlack = 5;  // requests' worth of chance that no cold instance falls over by
 
 double textNumber(const http::Head &head, const char *name) {
     const std::string *text = head.find(name);
@@ -102,9 +102,9 @@
     Job job{exchange, 0, textNumber(exchange->head, "X-Work-Ms"), world.clock.now()};
     const std::string path = exchange->head.target.substr(1, exchange->head.target.find('/', 1) - 1);
     job.route = std::max(0, world.day.routeNo(path));
-    const std::string *req = exchange->head.find("X-Request-Id");
+    const std::string *request = exchange->head.find("X-Request-Id");
     const bool full = int(waiting.size()) >= world.day.queue;
-    world.records.instances.push_back({req ? *req : "", name, where, 0, runs, job.came, !full});
+    world.records.instances.push_back({request ? *request : "", name, where, 0, runs, job.came, !full});
     world.allWork.push_back(job.came);
     if (runs == world.trial) world.trialWork.push_back(job.came);
     if (pushedOver(job.workMs)) {
--- a/src/fakes/endpoint.hpp
+++ b/src/fakes/endpoint.hpp
@@ -24,7 +24,7 @@
     rehearsal::Records &records;
     BuildNo trial = 2;
     double fleetSlow = 1;
-    std::deque<Duration> trialWork;  // tries at the trial build of late, for one that slows all
+    std::deque<Duration> trialWork;  // attempts at the trial build of late, for one that slows all
     std::deque<Duration> allWork;
     struct Done {
         BuildNo build = 0;
@@ -32,8 +32,8 @@
         bool lost = false;
     };
     std::vector<Done> finished;             // since the platform counted last
-    std::map<std::string, Duration> marks;  // of deduped reqs: when each was taken up
-    std::map<std::string, int> effects;     // how often each mark of a req with an effect has run
+    std::map<std::string, Duration> marks;  // of deduped requests: when each was taken up
+    std::map<std::string, int> effects;     // how often each mark of a request with an effect has run
 };
 
 class Instance {
--- a/src/fakes/name_server.cpp
+++ b/src/fakes/name_server.cpp
@@ -131,13 +131,13 @@
       chance(seed) {
     // Both take the same port: one that is free for streams may be taken for datagrams, then another is
     // tried.
-    constexpr int kTries = 50;
+    constexpr int kAttempts = 50;
     for (int k = 1;; ++k) try {
             acceptor = tcp::acceptor(io, tcp::endpoint(listen.address(), listen.port()));
             datagrams = udp::socket(io, udp::endpoint(listen.address(), acceptor.local_endpoint().port()));
             break;
         } catch (const std::system_error &) {
-            if (listen.port() != 0 || k == kTries) throw;
+            if (listen.port() != 0 || k == kAttempts) throw;
         }
     receive();
     accept();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -12,16 +12,16 @@
 // What the call of one try tells.
 class Gateway::Sink : public CallOwner {
   public:
-    Sink(Gateway &of, ReqId req, int no) : gateway(of), id(req), tryNo(no) {}
+    Sink(Gateway &of, RequestId request, int no) : gateway(of), id(request), attemptNumber(no) {}
     void onAnswer(std::string_view part) override;
     void onCallEnd(Outcome how) override;
 
     Gateway &gateway;
-    ReqId id;
-    int tryNo;
+    RequestId id;
+    int attemptNumber;
 };
 
-struct Gateway::Try {
+struct Gateway::Attempt {
     ServerId server;
     BuildNo build = 0;
     std::shared_ptr<Call> call;
@@ -32,20 +32,20 @@
     std::string held;
 };
 
-struct Gateway::Req {
-    Req(asio::io_context &io) : timer(io) {}
-    ReqId id = 0;
+struct Gateway::Request {
+    Request(asio::io_context &io) : timer(io) {}
+    RequestId id = 0;
     InstanceId record = 0;
-    std::shared_ptr<TakenReq> taken;
+    std::shared_ptr<DownstreamRequest> taken;
     std::string name;                      // the client's own id of it
     Duration came{}, clientEnd{}, told{};  // told: the end that the module works to
-    std::vector<Try> tries;
+    std::vector<Attempt> attempts;
     bool answered = false;
     int streaming = -1;  // the try whose answer the client is getting
     asio::steady_timer timer;
 
     bool outstanding() const {
-        return std::ranges::any_of(tries, [](const Try &t) { return !t.over; });
+        return std::ranges::any_of(attempts, [](const Attempt &t) { return !t.over; });
     }
 };
 
@@ -74,17 +74,18 @@
 // ---- the calls to instances ----
 
 void Gateway::Sink::onAnswer(std::string_view part) {
-    if (const auto it = gateway.reqs.find(id); it != gateway.reqs.end())
-        gateway.pass(*it->second, tryNo, part);
+    if (const auto it = gateway.requests.find(id); it != gateway.requests.end())
+        gateway.pass(*it->second, attemptNumber, part);
 }
 
 void Gateway::Sink::onCallEnd(Outcome how) {
     gateway.turn();
     ++gateway.socketEvents;
-    const auto it = gateway.reqs.find(id);
-    if (it == gateway.reqs.end()) return;
-    if (how == Outcome::ok) return gateway.complete(*it->second, tryNo);
-    gateway.later([g = &gateway, req = id, no = tryNo, how] { g->tryEnded(req, no, how); });
+    const auto it = gateway.requests.find(id);
+    if (it == gateway.requests.end()) return;
+    if (how == Outcome::ok) return gateway.complete(*it->second, attemptNumber);
+    gateway.later(
+        [g = &gateway, request = id, no = attemptNumber, how] { g->attemptEnded(request, no, how); });
 }
 
 nlohmann::json countsOf(const Gateway &gateway) {
@@ -95,7 +96,7 @@
             {"errored", c.errored},
             {"gone", c.gone},
             {"inHand", gateway.inHand()},
-            {"tries", c.tries},
+            {"tries", c.attempts},
             {"overdue", c.overdue},
             {"standstills", c.standstills},
             {"turnedAway", c.turnedAway},
@@ -112,10 +113,11 @@
 Gateway::Gateway(asio::io_context &io, const Clock &time, GatewayOrders with, std::uint64_t seeded, Log to,
                  const Ways &ways, ShellFaults wrong)
     : context(io), clock(time), given(std::move(with)), seed(seeded), log(std::move(to)), faults(wrong),
-      chance(seeded), nextReq((seeded & 0xffffff) << 24), lastSeen(time.now()),
+      chance(seeded), nextRequestId((seeded & 0xffffff) << 24), lastSeen(time.now()),
       upstreams(ways.upstreams(given)), sweeper(io),
-      front(ways.front(given, {[this](std::shared_ptr<TakenReq> taken) { arrived(std::move(taken)); },
-                               [this] { ++counted.unrouted; }})) {
+      front(
+          ways.front(given, {[this](std::shared_ptr<DownstreamRequest> taken) { arrived(std::move(taken)); },
+                             [this] { ++counted.unrouted; }})) {
     desk = ways.desk(given, {[this] { return turn(); },
                              [this](Event event) {
                                  ++socketEvents;
@@ -134,9 +136,9 @@
 
 Gateway::~Gateway() {
     *alive = false;
-    for (auto &[id, rq] : reqs) {
-        rq->taken->onGone = nullptr, rq->taken->onDrained = nullptr;
-        for (Try &t : rq->tries)
+    for (auto &[id, request] : requests) {
+        request->taken->onGone = nullptr, request->taken->onDrained = nullptr;
+        for (Attempt &t : request->attempts)
             if (!t.over) t.call->release(lastSeen);
     }
 }
@@ -184,7 +186,7 @@
 void Gateway::apply(GatewayOrders orders, bool newModule, bool sourcesMoved) {
     const bool deskMoved = orders.desk.has_value() != given.desk.has_value() ||
                            (orders.desk && orders.desk->address != given.desk->address);
-    // A req in hand keeps its rule's number: rules only change with the module, which then starts anew.
+    // A request in hand keeps its rule's number: rules only change with the module, which then starts anew.
     given = std::move(orders);
     front->limit();
     if (newModule) {
@@ -217,17 +219,17 @@
 
 void Gateway::endInHand() {
     ended = true;
-    endOverdue([](const Req &) { return true; });
+    endOverdue([](const Request &) { return true; });
 }
 
-// Answers reqs for the module: it hears of them as gone.
-void Gateway::endOverdue(const std::function<bool(const Req &)> &which) {
-    std::vector<ReqId> overdue;
-    for (const auto &[id, rq] : reqs)
-        if (!rq->answered && which(*rq)) overdue.push_back(id);
-    for (const ReqId id : overdue) {
+// Answers requests for the module: it hears of them as gone.
+void Gateway::endOverdue(const std::function<bool(const Request &)> &which) {
+    std::vector<RequestId> overdue;
+    for (const auto &[id, request] : requests)
+        if (!request->answered && which(*request)) overdue.push_back(id);
+    for (const RequestId id : overdue) {
         ++counted.overdue;
-        finish(*reqs.at(id), "errored", true, Duration{0});
+        finish(*requests.at(id), "errored", true, Duration{0});
         later([this, id] { clientGone(id); });
     }
 }
@@ -246,7 +248,7 @@
         frozen = true, frozenAt = real - gap;
         ++counted.standstills;
         log.warn("standstill", {{"ms", milliseconds(gap)}});
-        endOverdue([real](const Req &rq) { return rq.streaming < 0 && real >= rq.told; });
+        endOverdue([real](const Request &request) { return request.streaming < 0 && real >= request.told; });
         thawSoon(0);
     }
     return frozen ? frozenAt : lastSeen;
@@ -273,14 +275,14 @@
     else what();
 }
 
-// ---- reqs from clients ----
+// ---- requests from clients ----
 
-void Gateway::arrived(std::shared_ptr<TakenReq> taken) {
+void Gateway::arrived(std::shared_ptr<DownstreamRequest> taken) {
     turn();
     ++socketEvents;
-    if (ended || unanswered >= given.reqsInHand) {
+    if (ended || unanswered >= given.maxRequestsInFlight) {
         ++counted.turnedAway;
-        return taken->shed(taken->facts.name, given.turnedAwayFor);
+        return taken->shed(taken->attributes.name, given.turnedAwayFor);
     }
     // What is read after a standstill came at some time during it: the earliest is taken, as its client may
     // wait since.
@@ -289,128 +291,131 @@
     later([this, taken = std::move(taken), came] { take(taken, came); });
 }
 
-void Gateway::take(std::shared_ptr<TakenReq> taken, Duration came) {
-    const ReqId id = ++nextReq & ((ReqId{1} << 52) - 1);
-    auto made = std::make_unique<Req>(context);
-    Req &rq = *made;
-    rq.id = id, rq.record = current, rq.taken = std::move(taken);
-    const ReqFacts &facts = rq.taken->facts;
-    rq.came = came, rq.clientEnd = came + facts.wait, rq.told = rq.clientEnd - given.answerMargin;
-    ReqArrived in{id, facts.key, int(facts.route), facts.account, rq.told};
-    rq.name = facts.name;
-    if (rq.name.empty()) rq.name = given.id + "-" + std::to_string(id);
-    reqs.emplace(id, std::move(made));
+void Gateway::take(std::shared_ptr<DownstreamRequest> taken, Duration came) {
+    const RequestId id = ++nextRequestId & ((RequestId{1} << 52) - 1);
+    auto made = std::make_unique<Request>(context);
+    Request &request = *made;
+    request.id = id, request.record = current, request.taken = std::move(taken);
+    const RequestAttributes &attributes = request.taken->attributes;
+    request.came = came, request.clientEnd = came + attributes.wait,
+    request.told = request.clientEnd - given.answerMargin;
+    RequestArrived in{id, attributes.key, int(attributes.route), attributes.account, request.told};
+    request.name = attributes.name;
+    if (request.name.empty()) request.name = given.id + "-" + std::to_string(id);
+    requests.emplace(id, std::move(made));
     ++records[current], ++counted.taken;
-    if (!rq.taken->open()) {  // its client left while the clock stood
-        rq.answered = true, --unanswered, ++counted.gone;
-        return forget(rq);
+    if (!request.taken->open()) {  // its client left while the clock stood
+        request.answered = true, --unanswered, ++counted.gone;
+        return forget(request);
     }
-    if (lastSeen >= rq.told) {  // nothing was sent for it: saying so lets the client come back
-        finish(rq, "shed", false, given.module.longestRetryAfter);
-        return forget(rq);
+    if (lastSeen >= request.told) {  // nothing was sent for it: saying so lets the client come back
+        finish(request, "shed", false, given.module.longestRetryAfter);
+        return forget(request);
     }
-    rq.taken->onGone = [this, id] {
+    request.taken->onGone = [this, id] {
         turn();
         ++socketEvents;
         later([this, id] { clientGone(id); });
     };
-    watchDeadline(rq);
-    happened(std::move(in), rq.record);
+    watchDeadline(request);
+    happened(std::move(in), request.record);
 }
 
-void Gateway::clientGone(ReqId id) {
-    const auto it = reqs.find(id);
-    if (it == reqs.end()) return;
-    Req &rq = *it->second;
-    if (!rq.answered) {
-        rq.answered = true, --unanswered, ++counted.gone;
-        logReq(rq, "gone");
+void Gateway::clientGone(RequestId id) {
+    const auto it = requests.find(id);
+    if (it == requests.end()) return;
+    Request &request = *it->second;
+    if (!request.answered) {
+        request.answered = true, --unanswered, ++counted.gone;
+        logRequest(request, "gone");
     }
-    happened(ReqGone{id}, rq.record);
-    // A stream has no reader any more; other tries end by the module's word, or by their time.
-    const auto again = reqs.find(id);
-    if (again == reqs.end()) return;
-    if (rq.streaming >= 0 && !rq.tries[std::size_t(rq.streaming)].over)
-        return tryEnded(id, rq.streaming, Outcome::cancelled);
+    happened(RequestAbandoned{id}, request.record);
+    // A stream has no reader any more; other attempts end by the module's word, or by their time.
+    const auto again = requests.find(id);
+    if (again == requests.end()) return;
+    if (request.streaming >= 0 && !request.attempts[std::size_t(request.streaming)].over)
+        return attemptEnded(id, request.streaming, Outcome::cancelled);
     // What no instance can have got whole does not go out for it any more, whatever the settings say of those
     // that have been handed over.
-    for (std::size_t k = 0; k < rq.tries.size(); ++k)
-        if (!rq.tries[k].over && !rq.tries[k].call->handedOver()) {
-            tryEnded(id, int(k), Outcome::moot);
-            if (!reqs.contains(id)) return;
+    for (std::size_t k = 0; k < request.attempts.size(); ++k)
+        if (!request.attempts[k].over && !request.attempts[k].call->handedOver()) {
+            attemptEnded(id, int(k), Outcome::moot);
+            if (!requests.contains(id)) return;
         }
-    if (!rq.outstanding()) forget(rq);
+    if (!request.outstanding()) forget(request);
 }
 
-void Gateway::watchDeadline(Req &rq) { wakeIn(rq, rq.told - lastSeen); }
+void Gateway::watchDeadline(Request &request) { wakeIn(request, request.told - lastSeen); }
 
-void Gateway::wakeIn(Req &rq, Duration after) {
-    rq.timer.expires_after(std::max(Duration{0}, after));
-    rq.timer.async_wait([this, id = rq.id, here = std::weak_ptr(alive)](asio::error_code fault) {
+void Gateway::wakeIn(Request &request, Duration after) {
+    request.timer.expires_after(std::max(Duration{0}, after));
+    request.timer.async_wait([this, id = request.id, here = std::weak_ptr(alive)](asio::error_code fault) {
         if (fault || here.expired()) return;
         later([this, id] { deadline(id); });
     });
 }
 
-void Gateway::deadline(ReqId id) {
-    const auto it = reqs.find(id);
-    if (it == reqs.end()) return;
-    Req &rq = *it->second;
+void Gateway::deadline(RequestId id) {
+    const auto it = requests.find(id);
+    if (it == requests.end()) return;
+    Request &request = *it->second;
     const Duration at = lastSeen;
-    for (std::size_t k = 0; k < rq.tries.size(); ++k)
-        if (at >= rq.told) {
+    for (std::size_t k = 0; k < request.attempts.size(); ++k)
+        if (at >= request.told) {
             stillOut(id, k);  // what has come in time is no time-out
-            if (!reqs.contains(id)) return;
+            if (!requests.contains(id)) return;
         }
-    for (std::size_t k = 0; k < rq.tries.size(); ++k)
-        if (!rq.tries[k].over && !rq.tries[k].streaming && at >= rq.told) {
-            tryEnded(id, int(k), Outcome::timeout);
-            if (!reqs.contains(id)) return;
+    for (std::size_t k = 0; k < request.attempts.size(); ++k)
+        if (!request.attempts[k].over && !request.attempts[k].streaming && at >= request.told) {
+            attemptEnded(id, int(k), Outcome::timeout);
+            if (!requests.contains(id)) return;
         }
-    if (rq.answered || rq.streaming >= 0) return;
-    if (at < rq.told) return watchDeadline(rq);
+    if (request.answered || request.streaming >= 0) return;
+    if (at < request.told) return watchDeadline(request);
     // The module's own turn to answer comes first.
-    if (at < rq.told + given.answerMargin / 2) return wakeIn(rq, rq.told + given.answerMargin / 2 - at);
-    // Guards the client against a module that holds a req too long: it never should.
+    if (at < request.told + given.answerMargin / 2)
+        return wakeIn(request, request.told + given.answerMargin / 2 - at);
+    // Guards the client against a module that holds a request too long: it never should.
     ++counted.overdue;
-    finish(rq, "errored", true, Duration{0});
+    finish(request, "errored", true, Duration{0});
     clientGone(id);
 }
 
-void Gateway::finish(Req &rq, const char *end, bool late, Duration retryIn) {
-    if (rq.answered) return;
-    rq.answered = true, --unanswered;
+void Gateway::finish(Request &request, const char *end, bool late, Duration retryIn) {
+    if (request.answered) return;
+    request.answered = true, --unanswered;
     const bool shed = end[0] == 's';
     ++(shed ? counted.shed : counted.errored);
-    if (rq.streaming >= 0) rq.taken->abort();
-    else if (shed) rq.taken->shed(rq.name, retryIn);
-    else rq.taken->errored(rq.name, late);
-    logReq(rq, end);
+    if (request.streaming >= 0) request.taken->abort();
+    else if (shed) request.taken->shed(request.name, retryIn);
+    else request.taken->errored(request.name, late);
+    logRequest(request, end);
     checkDrained();
 }
 
-void Gateway::logReq(const Req &rq, const char *end) {
-    if (!log.on() || given.reqSample <= 0 || std::generate_canonical<double, 32>(chance) >= given.reqSample)
+void Gateway::logRequest(const Request &request, const char *end) {
+    if (!log.on() || given.requestLogSample <= 0 ||
+        std::generate_canonical<double, 32>(chance) >= given.requestLogSample)
         return;
-    nlohmann::json tries = nlohmann::json::array();
-    for (const Try &t : rq.tries)
-        tries.push_back({{"instance", t.server},
-                         {"build", t.build},
-                         {"outcome", t.over ? nameOf(t.how) : "out"},
-                         {"sentMs", milliseconds(t.sent - rq.came)}});
-    log.info("req", {{"req", rq.name},
-                     {"key", rq.taken->facts.key},
-                     {"route", given.routes[rq.taken->facts.route].name},
+    nlohmann::json attempts = nlohmann::json::array();
+    for (const Attempt &t : request.attempts)
+        attempts.push_back({{"instance", t.server},
+                            {"build", t.build},
+                            {"outcome", t.over ? nameOf(t.how) : "out"},
+                            {"sentMs", milliseconds(t.sent - request.came)}});
+    log.info("req", {{"req", request.name},
+                     {"key", request.taken->attributes.key},
+                     {"route", given.routes[request.taken->attributes.route].name},
                      {"end", end},
-                     {"tries", std::move(tries)},
-                     {"ms", milliseconds(lastSeen - rq.came)}});
+                     {"tries", std::move(attempts)},
+                     {"ms", milliseconds(lastSeen - request.came)}});
 }
 
-void Gateway::forget(Req &rq) {
-    if (rq.outstanding() || !rq.answered) return;
-    const InstanceId record = rq.record;
-    rq.taken->onGone = nullptr, rq.taken->onDrained = nullptr;
-    reqs.erase(rq.id);
+void Gateway::forget(Request &request) {
+    if (request.outstanding() || !request.answered) return;
+    const InstanceId record = request.record;
+    request.taken->onGone = nullptr, request.taken->onDrained = nullptr;
+    requests.erase(request.id);
     if (--records[record] == 0 && record != current) records.erase(record), happened(Stopped{}, record);
     checkDrained();
 }
@@ -432,25 +437,25 @@
     for (const auto &[record, n] : records) queue.emplace_back(record, event);
     decide();
     if (std::holds_alternative<ListTold>(event))
-        endUnsent([this](const Try &t) {
+        endUnsent([this](const Attempt &t) {
             const auto entry = list.find(t.server);
             return entry != list.end() && entry->second.readiness == Readiness::live &&
                    entry->second.build == t.build;
         });
-    if (lower) endUnsent([lower](const Try &t) { return t.build != *lower; });
+    if (lower) endUnsent([lower](const Attempt &t) { return t.build != *lower; });
 }
 
 // A try that is still on its way when its instance is told to drain, to run another build, or its build to
 // have a lower cap, would break what has just been told: it ends as one that could not be connected, and
-// where the req goes then is the module's.
-void Gateway::endUnsent(const std::function<bool(const Try &)> &stays) {
-    std::vector<std::pair<ReqId, int>> unsent;
-    for (const auto &[id, rq] : reqs)
-        for (std::size_t k = 0; k < rq->tries.size(); ++k) {
-            const Try &t = rq->tries[k];
+// where the request goes then is the module's.
+void Gateway::endUnsent(const std::function<bool(const Attempt &)> &stays) {
+    std::vector<std::pair<RequestId, int>> unsent;
+    for (const auto &[id, request] : requests)
+        for (std::size_t k = 0; k < request->attempts.size(); ++k) {
+            const Attempt &t = request->attempts[k];
             if (!t.over && !stays(t) && !t.call->handedOver()) unsent.push_back({id, int(k)});
         }
-    for (const auto &[id, no] : unsent) tryEnded(id, no, Outcome::connectFailed);
+    for (const auto &[id, no] : unsent) attemptEnded(id, no, Outcome::connectFailed);
 }
 
 void Gateway::happened(Event event, InstanceId record) {
@@ -480,26 +485,26 @@
 void Gateway::carryOut(InstanceId record, const Action &action) {
     std::visit(
         Overload{
-            [&](const SendTry &a) { send(record, a); },
-            [&](const CancelTry &a) {
+            [&](const SendAttempt &a) { send(record, a); },
+            [&](const CancelAttempt &a) {
                 // What has come is no longer withdrawn, nor is an answer that the client is getting.
-                if (!stillOut(a.req, std::size_t(a.tryNo))) return;
-                const Req &rq = *reqs.at(a.req);
-                if (!rq.tries[std::size_t(a.tryNo)].streaming || rq.answered)
-                    tryEnded(a.req, a.tryNo, Outcome::cancelled);
+                if (!stillOut(a.requestId, std::size_t(a.attemptNumber))) return;
+                const Request &request = *requests.at(a.requestId);
+                if (!request.attempts[std::size_t(a.attemptNumber)].streaming || request.answered)
+                    attemptEnded(a.requestId, a.attemptNumber, Outcome::cancelled);
             },
             [&](const Shed &a) {
-                const auto it = reqs.find(a.req);
-                if (it == reqs.end()) return;
+                const auto it = requests.find(a.requestId);
+                if (it == requests.end()) return;
                 finish(*it->second, "shed", false, a.retryIn);
                 forget(*it->second);
             },
             [&](const EndErrored &a) {
-                const auto it = reqs.find(a.req);
-                if (it == reqs.end()) return;
-                const auto &tries = it->second->tries;
-                const bool late = !tries.empty() && (tries.back().how == Outcome::timeout ||
-                                                     tries.back().how == Outcome::cancelled);
+                const auto it = requests.find(a.requestId);
+                if (it == requests.end()) return;
+                const auto &attempts = it->second->attempts;
+                const bool late = !attempts.empty() && (attempts.back().how == Outcome::timeout ||
+                                                        attempts.back().how == Outcome::cancelled);
                 finish(*it->second, "errored", late, Duration{0});
                 forget(*it->second);
             },
@@ -527,133 +532,133 @@
         action);
 }
 
-void Gateway::send(InstanceId record, const SendTry &what) {
-    const auto it = reqs.find(what.req);
-    if (it == reqs.end()) return;
-    Req &rq = *it->second;
-    const int no = int(rq.tries.size());
+void Gateway::send(InstanceId record, const SendAttempt &what) {
+    const auto it = requests.find(what.requestId);
+    if (it == requests.end()) return;
+    Request &request = *it->second;
+    const int no = int(request.attempts.size());
     ServerId server = what.server;
     if (faults.sendsAfterDrain && !drainingServer.empty() && no == 0) server = drainingServer;
     const auto moot = [&](Outcome how, bool over = false) {
-        Try none;
+        Attempt none;
         none.server = what.server, none.over = true, none.how = how, none.sent = turn();
-        rq.tries.push_back(std::move(none));
-        happened(TryEnded{what.req, no, over || rq.answered, how}, record);
+        request.attempts.push_back(std::move(none));
+        happened(AttemptEnded{what.requestId, no, over || request.answered, how}, record);
     };
     // Its client has closed, and this loop has not come to read that yet.
-    if (!rq.answered && !rq.taken->clientThere()) return moot(Outcome::moot, true);
-    // The req is over, or bound to an answer that has begun, or its end has passed on the real clock.
-    if (rq.answered || rq.streaming >= 0 || lastSeen >= rq.told) return moot(Outcome::moot);
+    if (!request.answered && !request.taken->clientThere()) return moot(Outcome::moot, true);
+    // The request is over, or bound to an answer that has begun, or its end has passed on the real clock.
+    if (request.answered || request.streaming >= 0 || lastSeen >= request.told) return moot(Outcome::moot);
     const auto call = upstreams->take(server);
     if (!call) return moot(Outcome::connectFailed);  // no address, or its connections are all in use
-    ++counted.tries;
-    Try t;
+    ++counted.attempts;
+    Attempt t;
     t.server = server, t.call = call, t.sent = turn(), t.progress = t.sent;
     if (const auto entry = list.find(server); entry != list.end()) t.build = entry->second.build;
-    t.sink = std::make_unique<Sink>(*this, rq.id, no);
+    t.sink = std::make_unique<Sink>(*this, request.id, no);
     Sink *sink = t.sink.get();
     const BuildNo build = t.build;
-    rq.tries.push_back(std::move(t));
+    request.attempts.push_back(std::move(t));
     call->start(
-        *rq.taken, rq.name, [this, id = rq.id] { return handOver(id); }, build, sink);
+        *request.taken, request.name, [this, id = request.id] { return handOver(id); }, build, sink);
 }
 
 // The last look before a try's first byte: its connection may have taken a while.
-std::optional<Duration> Gateway::handOver(ReqId id) {
-    const auto it = reqs.find(id);
-    if (it == reqs.end()) return std::nullopt;
-    const Req &rq = *it->second;
+std::optional<Duration> Gateway::handOver(RequestId id) {
+    const auto it = requests.find(id);
+    if (it == requests.end()) return std::nullopt;
+    const Request &request = *it->second;
     const Duration now = clock.now();
-    if (rq.answered || now >= rq.told || !rq.taken->clientThere()) return std::nullopt;
-    return rq.clientEnd - now;
+    if (request.answered || now >= request.told || !request.taken->clientThere()) return std::nullopt;
+    return request.clientEnd - now;
 }
 
-// Whether a try is out, once what has come of its answer is read: that may end it, and its req.
-bool Gateway::stillOut(ReqId id, std::size_t no) {
+// Whether a try is out, once what has come of its answer is read: that may end it, and its request.
+bool Gateway::stillOut(RequestId id, std::size_t no) {
     const auto out = [&] {
-        const auto it = reqs.find(id);
-        return it != reqs.end() && no < it->second->tries.size() && !it->second->tries[no].over;
+        const auto it = requests.find(id);
+        return it != requests.end() && no < it->second->attempts.size() && !it->second->attempts[no].over;
     };
     if (!out()) return false;
-    const auto call = reqs.at(id)->tries[no].call;  // it may go with its req
+    const auto call = requests.at(id)->attempts[no].call;  // it may go with its request
     call->look();
     return out();
 }
 
-void Gateway::tryEnded(ReqId id, int tryNo, Outcome how) {
-    const auto it = reqs.find(id);
-    if (it == reqs.end()) return;
-    Req &rq = *it->second;
-    Try &t = rq.tries[std::size_t(tryNo)];
+void Gateway::attemptEnded(RequestId id, int attemptNumber, Outcome how) {
+    const auto it = requests.find(id);
+    if (it == requests.end()) return;
+    Request &request = *it->second;
+    Attempt &t = request.attempts[std::size_t(attemptNumber)];
     if (t.over) return;
     t.over = true, t.how = how;
     // Nothing may come of a try whose outcome has been told: a connection in the middle of one is closed.
     t.call->release(lastSeen);
     t.held.clear();
-    bool over = rq.answered;
-    if (rq.streaming == tryNo && !rq.answered) {
+    bool over = request.answered;
+    if (request.streaming == attemptNumber && !request.answered) {
         // The answer broke off in the middle: only a cut connection tells the client.
-        finish(rq, "errored", false, Duration{0});
+        finish(request, "errored", false, Duration{0});
         over = true;
     }
     if (faults.repeatsNonRetriable && how == Outcome::reset)
         if (const auto again = upstreams->take(t.server)) {
             again->start(
-                *rq.taken, rq.name, [most = given.upstream.stalledFor] { return std::optional(most); },
-                t.build, &nobody);
+                *request.taken, request.name,
+                [most = given.upstream.stalledFor] { return std::optional(most); }, t.build, &nobody);
             repeats.push_back(again);
         }
-    happened(TryEnded{id, tryNo, over, how}, rq.record);
-    if (const auto left = reqs.find(id); left != reqs.end()) forget(*left->second);
+    happened(AttemptEnded{id, attemptNumber, over, how}, request.record);
+    if (const auto left = requests.find(id); left != requests.end()) forget(*left->second);
 }
 
 // A part of an answer: held back while it is short enough to be passed on whole, else streamed as it comes.
-void Gateway::pass(Req &rq, int tryNo, std::string_view part) {
+void Gateway::pass(Request &request, int attemptNumber, std::string_view part) {
     turn();
     ++socketEvents;
-    Try &t = rq.tries[std::size_t(tryNo)];
+    Attempt &t = request.attempts[std::size_t(attemptNumber)];
     t.progress = lastSeen;
     if (!t.streaming) {
         t.held.append(part);
-        if (t.held.size() <= given.upstream.heldAnswerBytes || rq.answered || rq.streaming >= 0) {
+        if (t.held.size() <= given.upstream.heldAnswerBytes || request.answered || request.streaming >= 0) {
             if (t.held.size() > given.upstream.heldAnswerBytes) t.held.clear();  // nobody will get it
             return;
         }
-        rq.streaming = tryNo, t.streaming = true;
-        rq.timer.cancel();
-        rq.taken->onDrained = [this, id = rq.id, tryNo] {
-            const auto it = reqs.find(id);
-            if (it == reqs.end()) return;
-            Try &paused = it->second->tries[std::size_t(tryNo)];
+        request.streaming = attemptNumber, t.streaming = true;
+        request.timer.cancel();
+        request.taken->onDrained = [this, id = request.id, attemptNumber] {
+            const auto it = requests.find(id);
+            if (it == requests.end()) return;
+            Attempt &paused = it->second->attempts[std::size_t(attemptNumber)];
             if (!paused.over) paused.progress = turn(), paused.call->resume();
         };
-        rq.taken->begin(*t.call);
-        rq.taken->write(std::exchange(t.held, {}));
-    } else rq.taken->write(part);
+        request.taken->begin(*t.call);
+        request.taken->write(std::exchange(t.held, {}));
+    } else request.taken->write(part);
     // A reader slower than the instance holds the instance back, not this process's memory.
-    if (rq.taken->waiting() > given.door.waitingBytes) t.call->pause();
+    if (request.taken->waiting() > given.door.waitingBytes) t.call->pause();
 }
 
-void Gateway::complete(Req &rq, int tryNo) {
-    Try &t = rq.tries[std::size_t(tryNo)];
+void Gateway::complete(Request &request, int attemptNumber) {
+    Attempt &t = request.attempts[std::size_t(attemptNumber)];
     if (t.over) return;
     t.over = true, t.how = Outcome::ok;
     t.call->release(lastSeen);
-    const bool first = !rq.answered && (rq.streaming < 0 || rq.streaming == tryNo);
+    const bool first = !request.answered && (request.streaming < 0 || request.streaming == attemptNumber);
     if (first) {
-        if (rq.streaming == tryNo) rq.taken->end();
-        else rq.taken->completed(*t.call, t.held);
-        if (faults.answersTwice) rq.taken->answerTwice();
-        rq.answered = true, --unanswered, ++counted.completed;
-        logReq(rq, "completed");
-        if (given.passedKept > 0 && passed.try_emplace(rq.name, Passed{t.server, t.sent}).second)
-            passedOrder.push_back(rq.name);
+        if (request.streaming == attemptNumber) request.taken->end();
+        else request.taken->completed(*t.call, t.held);
+        if (faults.answersTwice) request.taken->answerTwice();
+        request.answered = true, --unanswered, ++counted.completed;
+        logRequest(request, "completed");
+        if (given.passedKept > 0 && passed.try_emplace(request.name, Passed{t.server, t.sent}).second)
+            passedOrder.push_back(request.name);
         if (passedOrder.size() > given.passedKept) passed.erase(passedOrder.front()), passedOrder.pop_front();
     }
-    const ReqId id = rq.id;
+    const RequestId id = request.id;
     t.held = {};
-    happened(TryEnded{id, tryNo, true, Outcome::ok}, rq.record);
-    if (const auto left = reqs.find(id); left != reqs.end()) forget(*left->second);
+    happened(AttemptEnded{id, attemptNumber, true, Outcome::ok}, request.record);
+    if (const auto left = requests.find(id); left != requests.end()) forget(*left->second);
 }
 
 // ---- probes, lists ----
@@ -690,8 +695,8 @@
     return out;
 }
 
-bool Gateway::wrongAnswer(const std::string &reqId) {
-    const auto it = passed.find(reqId);
+bool Gateway::wrongAnswer(const std::string &requestId) {
+    const auto it = passed.find(requestId);
     if (it == passed.end()) return false;
     if (std::exchange(it->second.reported, true)) return true;  // known: one answer is wrong once
     const Passed what = it->second;
@@ -703,15 +708,15 @@
     const Duration now = turn();
     if (!frozen) {
         upstreams->sweep(now);
-        std::vector<std::pair<ReqId, int>> stalled;
-        for (const auto &[id, rq] : reqs)
-            if (rq->streaming >= 0) {
-                const Try &t = rq->tries[std::size_t(rq->streaming)];
-                const bool slowReader = rq->taken->waiting() > 0;  // the door ends those
+        std::vector<std::pair<RequestId, int>> stalled;
+        for (const auto &[id, request] : requests)
+            if (request->streaming >= 0) {
+                const Attempt &t = request->attempts[std::size_t(request->streaming)];
+                const bool slowReader = request->taken->waiting() > 0;  // the door ends those
                 if (!t.over && !slowReader && now - t.progress > given.upstream.stalledFor)
-                    stalled.push_back({id, rq->streaming});
+                    stalled.push_back({id, request->streaming});
             }
-        for (const auto &[id, no] : stalled) tryEnded(id, no, Outcome::timeout);
+        for (const auto &[id, no] : stalled) attemptEnded(id, no, Outcome::timeout);
     }
     sweeper.expires_after(upstreams->sweepEvery());
     sweeper.async_wait([this, here = std::weak_ptr(alive)](asio::error_code fault) {
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -19,14 +19,14 @@
 
 // Faults of the shell that a rehearsal asks for, to show that its auditor finds them. Never set in service.
 struct ShellFaults {
-    bool sendsAfterDrain = false;      // first tries go to what was listed as draining last
+    bool sendsAfterDrain = false;      // first attempts go to what was listed as draining last
     bool answersTwice = false;         // writes a second answer behind each first one
-    bool repeatsNonRetriable = false;  // sends a try of a non-retriable req again by itself
+    bool repeatsNonRetriable = false;  // sends a try of a non-retriable request again by itself
 };
 
 struct GatewayCounts {
     std::uint64_t taken = 0, completed = 0, shed = 0, errored = 0, gone = 0;
-    std::uint64_t tries = 0, overdue = 0, standstills = 0, turnedAway = 0, unrouted = 0;
+    std::uint64_t attempts = 0, overdue = 0, standstills = 0, turnedAway = 0, unrouted = 0;
     std::uint64_t decisions = 0;
     Duration deciding{}, longestDeciding{};  // spent in the module: in all, on one event at most
 };
@@ -45,25 +45,26 @@
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
-    // The list of before, told to the module as its last known one. Call it before the first req.
+    // The list of before, told to the module as its last known one. Call it before the first request.
     void remember(const std::vector<ListedServer> &saved);
     void remember(const ListTold &known) { happened(known); }
     void tell(const StageNews &news) { happened(news); }  // as last known
     // The same where the list has sources of its own; read with readSaved() on this gateway's clock.
     void remember(const std::vector<membership::SavedSource> &saved);
-    // Takes new orders while reqs go on. A new start of the module (newModule) takes the reqs that come from
-    // now on; those in hand end under the old one. Only where one build is listed: see mayRestartModule().
+    // Takes new orders while requests go on. A new start of the module (newModule) takes the requests that
+    // come from now on; those in hand end under the old one. Only where one build is listed: see
+    // mayRestartModule().
     void apply(GatewayOrders orders, bool newModule, bool sourcesMoved = false);
     bool mayRestartModule() const;
-    // Refuses new reqs, finishes those in hand, then calls back.
+    // Refuses new requests, finishes those in hand, then calls back.
     void drain(std::function<void()> done);
     void endInHand();  // answers whatever is still in hand, as errored; sheds what comes from now on
-    bool
-    wrongAnswer(const std::string &reqId);  // a client's report on an answer it got here; false: not known
+    bool wrongAnswer(
+        const std::string &requestId);  // a client's report on an answer it got here; false: not known
 
     asio::ip::tcp::endpoint address() const { return front->address(); }
     const GatewayCounts &counts() const { return counted; }
-    std::size_t inHand() const { return reqs.size(); }
+    std::size_t inHand() const { return requests.size(); }
     std::size_t connections() const { return front->connections(); }
     const GatewayOrders &orders() const { return given; }
     std::vector<ListedServer> listed() const;
@@ -72,43 +73,43 @@
     MemberFeed *members() { return feed.get(); }  // none: the desk's list is taken as it is
 
   private:
-    struct Try;
-    struct Req;
+    struct Attempt;
+    struct Request;
     class Sink;
 
     // ---- time: a stopped clock is found here ----
     Duration turn();
-    void endOverdue(const std::function<bool(const Req &)> &which);
+    void endOverdue(const std::function<bool(const Request &)> &which);
     void thawSoon(int rounds);
     void thaw();
     void later(std::function<void()> what);  // now, or once what came during a standstill is told
 
-    void arrived(std::shared_ptr<TakenReq> taken);
-    void take(std::shared_ptr<TakenReq> taken, Duration came);
-    void clientGone(ReqId id);
-    void watchDeadline(Req &rq);
-    void wakeIn(Req &rq, Duration after);
-    void deadline(ReqId id);
+    void arrived(std::shared_ptr<DownstreamRequest> taken);
+    void take(std::shared_ptr<DownstreamRequest> taken, Duration came);
+    void clientGone(RequestId id);
+    void watchDeadline(Request &request);
+    void wakeIn(Request &request, Duration after);
+    void deadline(RequestId id);
     void checkDrained();
-    std::optional<Duration> handOver(ReqId id);
+    std::optional<Duration> handOver(RequestId id);
     void happened(Event event, InstanceId record);
     void happened(Event event);  // to every record
-    void endUnsent(const std::function<bool(const Try &)> &stays);
+    void endUnsent(const std::function<bool(const Attempt &)> &stays);
     void decide();
     void carryOut(InstanceId record, const Action &action);
-    void send(InstanceId record, const SendTry &what);
-    bool stillOut(ReqId id, std::size_t tryNo);
-    void tryEnded(ReqId id, int tryNo, Outcome how);
-    void pass(Req &rq, int tryNo, std::string_view part);
-    void complete(Req &rq, int tryNo);
-    void finish(Req &rq, const char *end, bool late, Duration retryIn);
-    void forget(Req &rq);
+    void send(InstanceId record, const SendAttempt &what);
+    bool stillOut(RequestId id, std::size_t attemptNumber);
+    void attemptEnded(RequestId id, int attemptNumber, Outcome how);
+    void pass(Request &request, int attemptNumber, std::string_view part);
+    void complete(Request &request, int attemptNumber);
+    void finish(Request &request, const char *end, bool late, Duration retryIn);
+    void forget(Request &request);
     void probe(InstanceId record, const Probe &what);
     void sweep();
     void note(const ListTold &list);
     void startModule();
     void startFeed(const std::vector<membership::SavedSource> &saved);
-    void logReq(const Req &rq, const char *end);
+    void logRequest(const Request &request, const char *end);
 
     asio::io_context &context;
     const Clock &clock;
@@ -119,15 +120,15 @@
     std::mt19937_64 chance;
 
     Policy policy;
-    InstanceId current = 0;                     // the record that takes new reqs
-    std::map<InstanceId, std::size_t> records;  // reqs in hand of each
+    InstanceId current = 0;                     // the record that takes new requests
+    std::map<InstanceId, std::size_t> records;  // requests in hand of each
     std::deque<std::pair<InstanceId, Event>> queue;
     std::vector<Event> one;  // the event in hand
     bool deciding = false;
 
-    std::unordered_map<ReqId, std::unique_ptr<Req>> reqs;
-    ReqId nextReq = 0;
-    std::size_t unanswered = 0;  // of reqs in hand
+    std::unordered_map<RequestId, std::unique_ptr<Request>> requests;
+    RequestId nextRequestId = 0;
+    std::size_t unanswered = 0;  // of requests in hand
 
     Duration lastSeen{}, frozenAt{};
     bool frozen = false;
@@ -151,7 +152,7 @@
     asio::steady_timer sweeper;
     GatewayCounts counted;
     std::function<void()> drained;
-    bool frontEnded = false, ended = false;  // no req can come; what still comes is shed at once
+    bool frontEnded = false, ended = false;  // no request can come; what still comes is shed at once
     ServerId drainingServer;                 // for the fault that sends after a drain
     struct Nobody : CallOwner {
         void onAnswer(std::string_view) override {}
--- a/src/gateway/http_transport.cpp
+++ b/src/gateway/http_transport.cpp
@@ -32,11 +32,11 @@
 
 class HttpCall;
 
-// ---- reqs ----
+// ---- requests ----
 
-class HttpReq : public TakenReq {
+class HttpRequest : public DownstreamRequest {
   public:
-    HttpReq(std::shared_ptr<http::Exchange> e, const GatewayOrders &with)
+    HttpRequest(std::shared_ptr<http::Exchange> e, const GatewayOrders &with)
         : exchange(std::move(e)), orders(with) {
         exchange->onGone = [this] {
             if (const auto tell = onGone) tell();
@@ -45,7 +45,7 @@
             if (const auto tell = onDrained) tell();
         };
     }
-    ~HttpReq() override { exchange->onGone = nullptr, exchange->onDrained = nullptr; }
+    ~HttpRequest() override { exchange->onGone = nullptr, exchange->onDrained = nullptr; }
 
     bool open() const override { return exchange->open(); }
     void shed(const std::string &name, Duration retryIn) override {
@@ -70,7 +70,8 @@
     void refuse(int status, const char *end, const std::string &name, std::vector<http::Header> more) {
         http::AnswerHead answer;
         answer.status = status;
-        answer.headers = {{kEndHeader, end}, {orders.headers.reqId, name}, {"Content-Type", "text/plain"}};
+        answer.headers = {
+            {kEndHeader, end}, {orders.headers.requestId, name}, {"Content-Type", "text/plain"}};
         answer.headers.insert(answer.headers.end(), more.begin(), more.end());
         exchange->answer(std::move(answer), std::string(end) + "\n");
     }
@@ -114,15 +115,16 @@
             const std::string *found = head.find(name);
             return found ? *found : std::string{};
         };
-        ReqFacts facts;
-        facts.route = rule, facts.key = text(orders.headers.key), facts.name = text(orders.headers.reqId);
-        facts.account = accountNo(orders.accounts, text(orders.headers.account));
-        facts.wait = orders.routes[rule].routeTimeout;
+        RequestAttributes attributes;
+        attributes.route = rule, attributes.key = text(orders.headers.key),
+        attributes.name = text(orders.headers.requestId);
+        attributes.account = accountNo(orders.accounts, text(orders.headers.account));
+        attributes.wait = orders.routes[rule].routeTimeout;
         if (const auto left = wholeNumber(text(orders.headers.remaining)); left && *left >= 0)
-            facts.wait = std::min(facts.wait, Duration{std::llround(std::min(*left, 1e9) * 1000)});
-        auto req = std::make_shared<HttpReq>(std::move(exchange), orders);
-        req->facts = std::move(facts);
-        owner.arrived(std::move(req));
+            attributes.wait = std::min(attributes.wait, Duration{std::llround(std::min(*left, 1e9) * 1000)});
+        auto request = std::make_shared<HttpRequest>(std::move(exchange), orders);
+        request->attributes = std::move(attributes);
+        owner.arrived(std::move(request));
     }
 
     const GatewayOrders &orders;
@@ -137,10 +139,10 @@
     HttpCall(Pool &of, const GatewayOrders &with, ServerId to, std::shared_ptr<http::ClientConnection> over)
         : pool(of), orders(with), server(std::move(to)), connection(std::move(over)) {}
 
-    void start(const TakenReq &req, const std::string &name, HandOver handOver, BuildNo of,
+    void start(const DownstreamRequest &request, const std::string &name, HandOver handOver, BuildNo of,
                CallOwner *to) override {
         owner = to, build = of;
-        const auto &exchange = *static_cast<const HttpReq &>(req).exchange;
+        const auto &exchange = *static_cast<const HttpRequest &>(request).exchange;
         const auto &in = exchange.head;
         http::RequestHead out;
         out.method = in.method, out.target = in.target;
@@ -148,7 +150,7 @@
         for (const auto &h : in.headers)
             if (http::travels(in, h.first) && !http::sameName(h.first, orders.headers.remaining))
                 out.headers.push_back(h);
-        if (!in.find(orders.headers.reqId)) out.headers.push_back({orders.headers.reqId, name});
+        if (!in.find(orders.headers.requestId)) out.headers.push_back({orders.headers.requestId, name});
         // What is left of the client's wait, as it is now. None: it ends as its connection is made, by its
         // time.
         const Duration left = handOver().value_or(Duration{0});
@@ -179,7 +181,7 @@
   private:
     void onAnswerHead(const http::AnswerHead &came) override { head = came; }
     void onAnswerBody(std::string_view part) override {
-        // An error's body goes nowhere: the req may still be done elsewhere.
+        // An error's body goes nowhere: the request may still be done elsewhere.
         if (head.status < 500) owner->onAnswer(part);
     }
     void onCallEnd(http::CallEnd how) override {
@@ -188,7 +190,7 @@
             return owner->onCallEnd(head.status < 500 ? Outcome::ok : full ? Outcome::full : Outcome::error);
         }
         // Whether it may have run is told by the bytes that were handed over. An idle connection that closes
-        // as the req goes out has taken them: it may have run.
+        // as the request goes out has taken them: it may have run.
         const bool none = how == http::CallEnd::connectFailed || !connection->handedOver();
         owner->onCallEnd(none                            ? Outcome::connectFailed
                          : how == http::CallEnd::garbage ? Outcome::unreadable
@@ -204,7 +206,7 @@
     http::AnswerHead head;
 };
 
-void HttpReq::completed(Call &from, std::string_view answer) {
+void HttpRequest::completed(Call &from, std::string_view answer) {
     const auto &call = static_cast<HttpCall &>(from);
     http::AnswerHead head = call.passedHead();
     if (exchange->head.method != "HEAD" || !call.length()) return exchange->answer(std::move(head), answer);
@@ -212,7 +214,7 @@
     exchange->begin(std::move(head));
     exchange->end();
 }
-void HttpReq::begin(Call &from) {
+void HttpRequest::begin(Call &from) {
     http::AnswerHead head = static_cast<HttpCall &>(from).passedHead();
     head.chunked = !head.length;
     exchange->begin(std::move(head));
--- a/src/gateway/transport.hpp
+++ b/src/gateway/transport.hpp
@@ -1,6 +1,7 @@
-// The ways in and out of a gateway: a req taken, a call to an instance, a probe, list and votes. What crosses
-// them is the same whatever the protocol; HTTP's stand in http_transport.cpp, a platform's in src/platform/.
-// Nothing behind them chooses an instance, sends again by itself, or holds a final answer back.
+// The ways in and out of a gateway: a request taken, a call to an instance, a probe, list and votes. What
+// crosses them is the same whatever the protocol; HTTP's stand in http_transport.cpp, a platform's in
+// src/platform/. Nothing behind them chooses an instance, sends again by itself, or holds a final answer
+// back.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -15,19 +16,19 @@
 
 class Call;
 
-// What the module and the data path want to know of a req.
-struct ReqFacts {
+// What the module and the data path want to know of a request.
+struct RequestAttributes {
     std::size_t route = 0;  // of GatewayOrders::routes
     int account = 0;        // past the end of the shares: one that is not named
     std::string key, name;  // name: the client's own id of it; empty: it gave none
     Duration wait{};        // from when it came until the client gives up
 };
 
-// A req that a client has sent; answered once: by shed, errored, completed, or begin, write and end. What is
-// written after the client has gone goes nowhere.
-class TakenReq {
+// A request that a client has sent; answered once: by shed, errored, completed, or begin, write and end. What
+// is written after the client has gone goes nowhere.
+class DownstreamRequest {
   public:
-    virtual ~TakenReq() = default;
+    virtual ~DownstreamRequest() = default;
 
     virtual bool open() const = 0;  // the client is there and no final answer has ended
     // Looks at the client's socket as well: its close may not have been read yet.
@@ -43,7 +44,7 @@
     virtual std::size_t waiting() const = 0;  // bytes that the client has not taken yet
     virtual void answerTwice() {}             // a fault that rehearsals ask for
 
-    ReqFacts facts;
+    RequestAttributes attributes;
     std::function<void()> onGone;     // the client has left before the answer's end
     std::function<void()> onDrained;  // what was waiting has been taken
 };
@@ -65,8 +66,8 @@
   public:
     virtual ~Call() = default;
     // Sends what the client has sent. Never calls back from within.
-    virtual void start(const TakenReq &req, const std::string &name, HandOver handOver, BuildNo build,
-                       CallOwner *owner) = 0;
+    virtual void start(const DownstreamRequest &request, const std::string &name, HandOver handOver,
+                       BuildNo build, CallOwner *owner) = 0;
     // Whether the instance may have got the whole of it. What was not handed over can be withdrawn.
     virtual bool handedOver() const = 0;
     // Of a call that has ended its connection may serve on; else it is closed at once.
@@ -94,13 +95,13 @@
     virtual ~Front() = default;
     virtual asio::ip::tcp::endpoint address() const = 0;
     virtual void limit() = 0;  // the orders' bounds have changed
-    // Takes no more; reqs in hand are answered, each with its connection closed. `ended`, which may be called
-    // from within: no req of its clients can come any more.
+    // Takes no more; requests in hand are answered, each with its connection closed. `ended`, which may be
+    // called from within: no request of its clients can come any more.
     virtual void drain(std::function<void()> ended) = 0;
     virtual std::size_t connections() const = 0;
 };
 struct FrontOwner {
-    std::function<void(std::shared_ptr<TakenReq>)> arrived;
+    std::function<void(std::shared_ptr<DownstreamRequest>)> arrived;
     std::function<void()> unrouted;  // one came that no route takes; it is answered
 };
 
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -159,7 +159,7 @@
 
 std::size_t Parser::headPart(std::string_view bytes) {
     std::size_t n = 0;
-    // An empty line before a req is skipped (RFC 9112, 2.2), as the parser does.
+    // An empty line before a request is skipped (RFC 9112, 2.2), as the parser does.
     if (stage == Stage::start && kind == Kind::request)
         while (bytes.substr(n, 2) == "\r\n" && headBytes + n < 8) n += 2;
     if (n == bytes.size()) return headBytes += n, n;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -88,7 +88,8 @@
 
     void read() {
         if (closed || reading || refused) return;
-        if (current && pending.size() >= door->limits.pipelinedBytes) return;  // goes on with the next req
+        if (current && pending.size() >= door->limits.pipelinedBytes)
+            return;  // goes on with the next request
         reading = true;
         socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](asio::error_code fault) {
             self->reading = false;
@@ -149,7 +150,7 @@
         door->handler(handed);
     }
 
-    // A req that is refused at the door: the rest of what this peer sends can't be trusted to be in step.
+    // A request that is refused at the door: the rest of what this peer sends can't be trusted to be in step.
     void refuse(int status, std::string_view words) {
         refused = closing = true;
         AnswerHead head;
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,6 +1,6 @@
-// The listening side of HTTP/1.1 on Asio: accepts, reads reqs within stated limits, answers them in order.
-// The gateway, its API and the stand-ins all stand behind this door; what a req means is its owner's
-// business.
+// The listening side of HTTP/1.1 on Asio: accepts, reads requests within stated limits, answers them in
+// order. The gateway, its API and the stand-ins all stand behind this door; what a request means is its
+// owner's business.
 #pragma once
 
 #include <asio.hpp>
@@ -19,16 +19,17 @@
     std::size_t connections = 4096;  // beyond it the door stops accepting until one has closed
     std::size_t headBytes = 16 * 1024;
     std::size_t bodyBytes = 1024 * 1024;
-    std::size_t pipelinedBytes = 16 * 1024;  // read ahead while a req is in hand; then the door stops reading
-    std::size_t waitingBytes = 256 * 1024;   // of an answer for a slow reader: a writer should pause beyond
-    Duration messageWithin = std::chrono::seconds(10);  // from a req's first byte to its last
-    Duration idleFor = std::chrono::seconds(60);        // between reqs
+    std::size_t pipelinedBytes =
+        16 * 1024;  // read ahead while a request is in hand; then the door stops reading
+    std::size_t waitingBytes = 256 * 1024;  // of an answer for a slow reader: a writer should pause beyond
+    Duration messageWithin = std::chrono::seconds(10);  // from a request's first byte to its last
+    Duration idleFor = std::chrono::seconds(60);        // between requests
     Duration slowPeerFor = std::chrono::seconds(10);    // a reader that takes nothing for so long is cut off
 };
 
 class ServerConnection;
 
-// One req on the listening side. Answered once: by answer(), or by begin(), write() and end(). What is
+// One request on the listening side. Answered once: by answer(), or by begin(), write() and end(). What is
 // written after the peer has gone goes nowhere.
 class Exchange {
   public:
@@ -70,7 +71,8 @@
 
     asio::ip::tcp::endpoint address() const;
     void limit(const DoorLimits &limits);
-    // Accepts no more and ends idle connections; reqs in hand are answered, each with its connection closed.
+    // Accepts no more and ends idle connections; requests in hand are answered, each with its connection
+    // closed.
     void drain();
     // Cuts everything at once.
     void close();
--- a/src/membership/merge.hpp
+++ b/src/membership/merge.hpp
@@ -27,7 +27,7 @@
         std::chrono::hours(1);  // beyond the end of a reading's lifetime; then its source has failed
     double confirmShare = 0.3;  // 0 to 1: a loss of more than this part of what a source listed is held
     Duration confirmAfter = std::chrono::seconds(5);  // a held loss told again so much later is believed
-    // Longer than the usual route timeout, so that reqs in hand end.
+    // Longer than the usual route timeout, so that requests in hand end.
     Duration grace = std::chrono::seconds(30);  // what leaves the set is draining for so long, then gone
     // Of each build: the next class of priority opens while fewer live instances than reserveBelow are in the
     // open ones, and closes once those before it have reserveUntil. 1 <= reserveBelow <= reserveUntil.
--- a/src/platform/commands.cpp
+++ b/src/platform/commands.cpp
@@ -20,7 +20,9 @@
 
 }  // namespace
 
-bool asksForReq(const std::vector<std::string> &args) { return args[0] == "Q.ASK" || args[0] == "Q.DO"; }
+bool isRequestCommand(const std::vector<std::string> &args) {
+    return args[0] == "Q.ASK" || args[0] == "Q.DO";
+}
 
 CommandRead readCommand(std::vector<std::string> args, const wire::BirthSettings &settings) {
     CommandRead out;
@@ -49,16 +51,17 @@
     if (!route || !wait) return refuse("no class, or no time to wait");
     const auto named = std::ranges::find(settings.routes, *route);
     if (named == settings.routes.end()) return refuse("no such class");
-    out.facts.route = std::size_t(named - settings.routes.begin());
-    const Effect effect = settings.start.routes[out.facts.route].effect;
+    out.attributes.route = std::size_t(named - settings.routes.begin());
+    const Effect effect = settings.start.routes[out.attributes.route].effect;
     if (asks != (effect == Effect::retriable)) return refuse("not the command of this class");
     if (effect == Effect::deduped && (!repeat || repeat->empty())) return refuse("no mark against repeats");
     const auto ms = plainNumber(*wait);
     if (!ms || *ms < 0 || *ms > kMostWaitMs) return refuse("the time to wait is no number");
-    out.facts.wait = std::min(settings.routeTimeouts[out.facts.route], Duration{std::llround(*ms * 1000)});
-    if (account) out.facts.account = accountNo(settings.accounts, *account);
+    out.attributes.wait =
+        std::min(settings.routeTimeouts[out.attributes.route], Duration{std::llround(*ms * 1000)});
+    if (account) out.attributes.account = accountNo(settings.accounts, *account);
     out.command.waitAt = std::size_t(wait->data() - args[3].data()), out.command.waitLength = wait->size();
-    out.facts.key = args[1], out.facts.name = args[2];
+    out.attributes.key = args[1], out.attributes.name = args[2];
     out.command.args = std::move(args);
     return out;
 }
--- a/src/platform/commands.hpp
+++ b/src/platform/commands.hpp
@@ -1,5 +1,5 @@
-// The platform's commands and replies in terms of the gateway: a client's command to a req's facts, a req to
-// an instance's command, an instance's reply to an outcome. Pure.
+// The platform's commands and replies in terms of the gateway: a client's command to a request's facts, a
+// request to an instance's command, an instance's reply to an outcome. Pure.
 #pragma once
 
 #include "../gateway/transport.hpp"
@@ -16,12 +16,12 @@
     std::size_t waitAt = 0, waitLength = 0;  // where the wait's figure stands in the list
 };
 struct CommandRead {
-    ReqFacts facts;
+    RequestAttributes attributes;
     Command command;
     std::string refusal;  // not empty: the words of an error, and the others mean nothing
 };
 CommandRead readCommand(std::vector<std::string> args, const wire::BirthSettings &settings);
-bool asksForReq(const std::vector<std::string> &args);
+bool isRequestCommand(const std::vector<std::string> &args);
 
 std::string instanceCommand(const Command &from, Duration wait);
 
--- a/src/platform/downstream.cpp
+++ b/src/platform/downstream.cpp
@@ -2,18 +2,18 @@
 
 namespace deckcart::platform {
 
-class RespReq : public TakenReq {
+class RespRequest : public DownstreamRequest {
   public:
     using Names = std::shared_ptr<OpenNames>;
-    RespReq(const Clock &time, std::shared_ptr<resp::Exchange> e, CommandRead read, Names open)
+    RespRequest(const Clock &time, std::shared_ptr<resp::Exchange> e, CommandRead read, Names open)
         : command(std::move(read.command)), clock(time), exchange(std::move(e)), names(std::move(open)) {
-        facts = std::move(read.facts);
+        attributes = std::move(read.attributes);
         exchange->onGone = [this] {
             free();
             if (const auto tell = onGone) tell();
         };
     }
-    ~RespReq() override {
+    ~RespRequest() override {
         exchange->onGone = nullptr;
         free();
     }
@@ -41,7 +41,7 @@
         exchange->answer(std::move(bytes));
     }
     void free() {
-        if (!std::exchange(freed, true)) names->ended(facts.name, clock.now());
+        if (!std::exchange(freed, true)) names->ended(attributes.name, clock.now());
     }
     const Clock &clock;
     std::shared_ptr<resp::Exchange> exchange;
@@ -49,7 +49,9 @@
     bool freed = false;
 };
 
-const Command &commandOf(const TakenReq &req) { return static_cast<const RespReq &>(req).command; }
+const Command &commandOf(const DownstreamRequest &request) {
+    return static_cast<const RespRequest &>(request).command;
+}
 
 RespFront::RespFront(asio::io_context &io, const Clock &time, const asio::ip::tcp::endpoint &at,
                      const resp::DoorLimits &limits, const wire::BirthSettings &with, FrontOwner to)
@@ -59,19 +61,19 @@
 
 void RespFront::arrived(const std::shared_ptr<resp::Exchange> &exchange) {
     auto &args = exchange->args;
-    if (!asksForReq(args)) {
+    if (!isRequestCommand(args)) {
         if (args[0] == "PING" && args.size() == 1) return exchange->answer("+PONG\r\n");
         if (args[0] == "CLIENT" || args[0] == "SELECT") return exchange->answer("+OK\r\n");
         return exchange->refuse("ERR unknown command");
     }
     CommandRead read = readCommand(std::move(args), settings);
-    if (read.refusal.empty() && !names->open(read.facts.name, clock.now()))
+    if (read.refusal.empty() && !names->open(read.attributes.name, clock.now()))
         read.refusal = "ERR the id is of another request";
     if (!read.refusal.empty()) {
         owner.unrouted();
         return exchange->refuse(read.refusal);
     }
-    owner.arrived(std::make_shared<RespReq>(clock, exchange, std::move(read), names));
+    owner.arrived(std::make_shared<RespRequest>(clock, exchange, std::move(read), names));
 }
 
 }  // namespace deckcart::platform
--- a/src/platform/downstream.hpp
+++ b/src/platform/downstream.hpp
@@ -1,4 +1,4 @@
-// Clients' commands as reqs of the gateway: see gateway/transport.hpp.
+// Clients' commands as requests of the gateway: see gateway/transport.hpp.
 #pragma once
 
 #include "../base/clock.hpp"
@@ -8,7 +8,7 @@
 
 namespace deckcart::platform {
 
-class RespReq;
+class RespRequest;
 
 class RespFront : public Front {
   public:
@@ -31,7 +31,7 @@
     resp::Door door;
 };
 
-// The client's command of a req that this front has taken.
-const Command &commandOf(const TakenReq &req);
+// The client's command of a request that this front has taken.
+const Command &commandOf(const DownstreamRequest &request);
 
 }  // namespace deckcart::platform
--- a/src/platform/limits.cpp
+++ b/src/platform/limits.cpp
@@ -9,8 +9,8 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kReserveLeast = 24,
-                      kReservePart = 12;  // one in so many: streams, votes, half-closed ones
-constexpr std::size_t kReqsPerMb = 32;    // 32 KiB a req: most hold far less, some two values of 64 KiB
+                      kReservePart = 12;    // one in so many: streams, votes, half-closed ones
+constexpr std::size_t kRequestsPerMb = 32;  // 32 KiB a request: most hold far less, some two values of 64 KiB
 // Values are stated to hold 64 KiB at most, but days have shown three times that. One in 64 of the memory for
 // an answer, as some tens come at a time; one in 256 for a command, as all clients may be bad ones at once.
 constexpr std::size_t kValueLeast = 65536, kValueMost = 1048576, kAnswersAtOnce = 64, kCommandsAtOnce = 256;
@@ -21,22 +21,24 @@
 constexpr Duration kSweepLeast = std::chrono::milliseconds(50), kSweepMost = std::chrono::seconds(1);
 constexpr std::size_t kReplyItems = 4;  // three are stated
 // What comes behind an answer came up to 3.8 ms later on the days that play it (31 of one day); a network's
-// delays differ. Taken for an answer it would be another req's. Harm: some more connections where a gateway
-// is busy.
+// delays differ. Taken for an answer it would be another request's. Harm: some more connections where a
+// gateway is busy.
 constexpr Duration kRest = std::chrono::milliseconds(10);
 
-Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t mostReqs, Duration keptIdle) {
+Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t maxRequests, Duration keptIdle) {
     Bounds out;
     out.reserve = std::max(kReserveLeast, sockets / kReservePart);
     const std::size_t rest = sockets > out.reserve ? sockets - out.reserve : 2;
-    // Clients with reqs hold a third of all at most; the others are room for those who only stay connected.
+    // Clients with requests hold a third of all at most; the others are room for those who only stay
+    // connected.
     out.upstreams = std::max<std::size_t>(1, std::min(rest / 2, sockets / 3 + sockets / 12));
     out.clients = std::max<std::size_t>(1, rest - out.upstreams);
-    out.reqsInHand = std::max<std::size_t>(1, std::min(mostReqs, memoryMb * kReqsPerMb));
+    out.maxRequestsInFlight = std::max<std::size_t>(1, std::min(maxRequests, memoryMb * kRequestsPerMb));
     const std::size_t memory = memoryMb * 1048576;
     out.valueBytes = std::clamp(memory / kAnswersAtOnce, kValueLeast, kValueMost);
     out.bodyBytes = std::clamp(memory / kCommandsAtOnce, kValueLeast, kValueMost);
-    out.idleFor = keptIdle / 2;  // the machine closes at the latest then: a req written late would be lost
+    out.idleFor =
+        keptIdle / 2;  // the machine closes at the latest then: a request written late would be lost
     out.sweepEvery = std::clamp(out.idleFor / 4, kSweepLeast, kSweepMost);
     out.restFor = kRest;
     return out;
--- a/src/platform/limits.hpp
+++ b/src/platform/limits.hpp
@@ -10,7 +10,7 @@
     std::size_t clients = 0;    // connections of clients
     std::size_t upstreams = 0;  // connections to instances, probes among them
     std::size_t reserve = 0;    // discovery, control, signals, logs, what is being closed
-    std::size_t reqsInHand = 0;
+    std::size_t maxRequestsInFlight = 0;
     std::size_t valueBytes = 0;  // of an instance's answer at most
     std::size_t bodyBytes = 0;   // of a client's command at most
     Duration idleFor{};          // a connection to an instance is kept idle
@@ -42,6 +42,6 @@
 Duration probeWithin(Duration connectWithin);
 resp::DoorLimits doorLimits(const Bounds &bounds);
 resp::Limits replyLimits(const Bounds &bounds);
-Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t mostReqs, Duration keptIdle);
+Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t maxRequests, Duration keptIdle);
 
 }  // namespace deckcart::platform
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -21,7 +21,7 @@
 class Service {
   public:
     Service(std::string from, LogForm form, double sample)
-        : file(std::move(from)), reqSample(sample), log(form, "gateway"),
+        : file(std::move(from)), requestLogSample(sample), log(form, "gateway"),
           signals(context, SIGTERM, SIGINT, SIGHUP), listWithin(context), acceptsUntil(context),
           answersUntil(context), stopsAt(context), reporter(context) {}
 
@@ -33,10 +33,11 @@
             log.warn("configuration", {{"file", file}, {"fault", fault.what()}});
             return 2;
         }
-        bounds = divide(start.sockets, start.memoryMb, start.settings.reqsInHand, start.settings.keptIdle);
+        bounds = divide(start.sockets, start.memoryMb, start.settings.maxRequestsInFlight,
+                        start.settings.keptIdle);
         ways = std::make_unique<PlatformWays>(context, clock, start, bounds, log);
         GatewayOrders orders = ordersOf(start, bounds);
-        orders.reqSample = reqSample;
+        orders.requestLogSample = requestLogSample;
         if (!open(orders)) return 1;
         gateway->remember(listTold(start.known));
         if (start.news) gateway->tell(*start.news);
@@ -76,7 +77,7 @@
                            {"known", start.known.members.size()},
                            {"clients", bounds.clients},
                            {"upstreams", bounds.upstreams},
-                           {"reqs", bounds.reqsInHand},
+                           {"reqs", bounds.maxRequestsInFlight},
                            {"cores", start.cores}});
     }
     nlohmann::json counts() const {
@@ -134,7 +135,7 @@
     }
 
     std::string file;
-    double reqSample;
+    double requestLogSample;
     Log log;
     SteadyClock clock;
     asio::io_context context{1};
@@ -149,8 +150,8 @@
 
 }  // namespace
 
-int runGateway(const std::string &file, LogForm logs, double reqSample) {
-    return Service(file, logs, reqSample).run();
+int runGateway(const std::string &file, LogForm logs, double requestLogSample) {
+    return Service(file, logs, requestLogSample).run();
 }
 
 }  // namespace deckcart::platform
--- a/src/platform/transport.cpp
+++ b/src/platform/transport.cpp
@@ -29,9 +29,9 @@
     out.module.sendsWithin = s.connectWithin;
     for (std::size_t k = 0; k < s.routes.size(); ++k)
         out.routes.push_back({s.routes[k], "", "", s.routeTimeouts[k]});
-    out.reqsInHand = bounds.reqsInHand;
+    out.maxRequestsInFlight = bounds.maxRequestsInFlight;
     out.upstream.heldAnswerBytes = bounds.valueBytes;  // passed on whole
-    out.passedKept = 0;                                // the platform tells of no wrong answers by req
+    out.passedKept = 0;                                // the platform tells of no wrong answers by request
     return out;
 }
 
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -10,15 +10,15 @@
         : upstreams(of), alive(std::move(here)), server(std::move(to)), connection(std::move(over)) {}
     ~RespCall() override { release({}); }
 
-    void start(const TakenReq &req, const std::string &, HandOver handOver, BuildNo,
+    void start(const DownstreamRequest &request, const std::string &, HandOver handOver, BuildNo,
                CallOwner *owner) override {
         // What the try was decided for is what it goes to: an id may come back elsewhere, or as another
         // build.
-        const auto bytes = [this, &req, handOver = std::move(handOver)]() -> std::string {
+        const auto bytes = [this, &request, handOver = std::move(handOver)]() -> std::string {
             const auto *now = upstreams.directory.find(server);
             if (!now || !(*now == connection->place)) return {};
             const auto left = handOver();
-            return left ? instanceCommand(commandOf(req), *left) : std::string{};
+            return left ? instanceCommand(commandOf(request), *left) : std::string{};
         };
         connection->call(connection->place.address, upstreams.settings.connectWithin, bytes,
                          [this, owner](CallEnd how, resp::Value reply) {
--- a/src/platform/upstream_pool.hpp
+++ b/src/platform/upstream_pool.hpp
@@ -1,5 +1,5 @@
-// Calls to instances over RESP2, one req at a time on a connection, within bounds for all of them together.
-// Whom to call is not decided here.
+// Calls to instances over RESP2, one request at a time on a connection, within bounds for all of them
+// together. Whom to call is not decided here.
 #pragma once
 
 #include "../base/clock.hpp"
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,9 +1,9 @@
 // The decision module. Callers reach it by Policy::decide, once for each instance and batch, with what
 // happened; it returns what that instance does now. The interface is include/deckcart/policy.hpp.
 //
-// A req goes through: place() picks the build (sticky hash under 0.7 of the cap), pick() the server (lower
-// of two), send() passes passes() - the one place that holds the rules - and settle() reads how a try ended.
-// judge() compares the trial build with the earlier one, window by window, and sets the vote.
+// A request goes through: place() picks the build (sticky hash under 0.7 of the cap), pick() the server
+// (lower of two), send() passes passes() - the one place that holds the rules - and settle() reads how a try
+// ended. judge() compares the trial build with the earlier one, window by window, and sets the vote.
 #include <algorithm>
 #include <cmath>
 #include <deckcart/policy.hpp>
@@ -46,26 +46,30 @@
 constexpr Duration kClockLag = 1s,
                    kMachinesLate = 8s;  // a stage's clock: after its last machine; at the latest
 constexpr double kColdMargin = 0.5;     // part of the tip multiple that is used: unequal gateways add up
-constexpr double kRetryRate = 0.2, kRetryBurst = 10;  // further tries a req, more would feed a jam; saved up
+constexpr double kRetryRate = 0.2,
+                 kRetryBurst = 10;  // further attempts a request, more would feed a jam; saved up
 constexpr double kLatencyGain = 0.25,
                  kLatencyFade = 4;  // of a new latency; seconds until it has mostly faded
-constexpr int kEjectAfter = 2;      // unanswered tries in a row that put a server aside
+constexpr int kEjectAfter = 2;      // unanswered attempts in a row that put a server aside
 constexpr double kMostAside = 0.4;  // part of a build put aside at most: beyond it is no machine's trouble
 constexpr double kSilent = 4;  // times the usual latency, fleet's slowness included, that tell of silence
 constexpr double kShedFrom = 0.45, kShedSpan = 0.5;  // of the objective: half a mean's head-room, evenly more
 constexpr Duration kPaceSpan =
     1s;  // answers of this long give the pace: some latencies, not a surge's length
 constexpr Duration kFateSpan = 4s;  // ends of this long show a jam: some answers of a small gateway
-constexpr double kThrottle = 2;  // reqs let through for each that ends in time: a fleet that heals is found
+constexpr double kThrottle =
+    2;  // requests let through for each that ends in time: a fleet that heals is found
 constexpr double kFewUnderWay = 4,
-                 kOverShare = 1.25;  // reqs that are no jam; times its share that are excess
+                 kOverShare = 1.25;  // requests that are no jam; times its share that are excess
 constexpr Duration kEjectFirst = 1s, kEjectMost = 8s;  // time aside, doubled each time in a row
-constexpr int kPairsBack = 3, kWrongBack = 2;  // reqs failed on trial only, reports of wrong answers: 'back'
-constexpr double kAtHome = 0.6;      // of other zones' choices passed over: one zone of three keeps over half
-constexpr int kManyGateways = 16;    // from so many on, own in-flight is a small part of what a server holds
-constexpr double kFleetLoses = 0.2;  // of the earlier build's tries: then failures are not the trial's alone
-constexpr int kPooledVotes = 4;      // where 'back' takes so many votes, each may rest on little evidence
-constexpr double kPooledFails = 0.1;  // of its trial tries failed or wrong: two of a good build's are rare
+constexpr int kPairsBack = 3,
+              kWrongBack = 2;      // requests failed on trial only, reports of wrong answers: 'back'
+constexpr double kAtHome = 0.6;    // of other zones' choices passed over: one zone of three keeps over half
+constexpr int kManyGateways = 16;  // from so many on, own in-flight is a small part of what a server holds
+constexpr double kFleetLoses =
+    0.2;                         // of the earlier build's attempts: then failures are not the trial's alone
+constexpr int kPooledVotes = 4;  // where 'back' takes so many votes, each may rest on little evidence
+constexpr double kPooledFails = 0.1;  // of its trial attempts failed or wrong: two of a good build's are rare
 constexpr double kPooledSlow = 1.4, kPooledLeast = 4;  // slower by this factor, on so many answers of each
 constexpr double kPooledHold = 1, kPooledBack = 2;     // and by so many standard errors: no quiet; 'back'
 constexpr Duration kStageTuned =
@@ -79,7 +83,7 @@
 bool provesNotRun(Outcome how) {
     return how == Outcome::full || how == Outcome::connectFailed || how == Outcome::moot;
 }
-// Refusals and failed connects are capacity or machine trouble; cancelled tries were our own doing.
+// Refusals and failed connects are capacity or machine trouble; cancelled attempts were our own doing.
 bool isFailure(Outcome how) {
     return how == Outcome::error || how == Outcome::timeout || how == Outcome::reset;
 }
@@ -87,17 +91,17 @@
 // One record a server, found by its id.
 struct Server {
     ServerEntry entry;
-    std::set<std::pair<Duration, ReqId>> out;  // tries under way, oldest first
-    double slowness = 1;                       // latency over the route's usual one, decaying
+    std::set<std::pair<Duration, RequestId>> out;  // attempts under way, oldest first
+    double slowness = 1;                           // latency over the route's usual one, decaying
     Duration slownessAt{};
     Duration answeredAt{};  // the latest answer of any kind
-    int unanswered = 0;     // tries in a row without an answer
+    int unanswered = 0;     // attempts in a row without an answer
     Duration asideUntil{};
     Duration asideFor{};
     std::deque<Duration> coldSends;
     BuildNo ranBefore = 0;  // the build that the id was listed with until then
     Duration changedAt{};
-    double inHand = 0;  // reqs that it holds, of all gateways, as last told
+    double inHand = 0;  // requests that it holds, of all gateways, as last told
     Duration inHandAt{};
     int given = 0;          // its answers among the record's `done`
     Duration goneAt{};      // left the list then
@@ -107,7 +111,7 @@
     Duration age(Duration now) const { return entry.startedAt ? now - *entry.startedAt : Duration{1h}; }
 };
 
-struct Try {
+struct Attempt {
     Server *server;
     BuildNo build;
     int zone, cell;
@@ -120,18 +124,18 @@
     bool mayHaveRun() const { return out || !provesNotRun(how); }
 };
 
-struct Req {
-    ReqArrived in;
+struct Request {
+    RequestArrived in;
     Duration arrived;
-    std::vector<Try> tries;
+    std::vector<Attempt> attempts;
     bool answered = false;
     std::vector<Server *> asked;  // the two choices while their load is asked for
     std::size_t waiting = 0;      // of these, not answered yet
 
-    bool outstanding() const { return std::ranges::any_of(tries, &Try::out); }
-    const Try *firstThatMayHaveRun() const {
-        const auto it = std::ranges::find_if(tries, &Try::mayHaveRun);
-        return it == tries.end() ? nullptr : &*it;
+    bool outstanding() const { return std::ranges::any_of(attempts, &Attempt::out); }
+    const Attempt *firstThatMayHaveRun() const {
+        const auto it = std::ranges::find_if(attempts, &Attempt::mayHaveRun);
+        return it == attempts.end() ? nullptr : &*it;
     }
 };
 
@@ -145,10 +149,11 @@
 // What one build did in a window, by route.
 struct Arm {
     struct Cell {
-        double n = 0, fails = 0, errors = 0, slow = 0;  // slow: sum of the completed tries' slowness
+        double n = 0, fails = 0, errors = 0, slow = 0;  // slow: sum of the completed attempts' slowness
     };
     std::map<int, Cell> routes;
-    std::deque<std::pair<Duration, double>> slowness;  // of completed tries, over the route's usual latency
+    std::deque<std::pair<Duration, double>>
+        slowness;  // of completed attempts, over the route's usual latency
     std::map<ServerId, Cell> servers;
 
     double sum(double Cell::*what) const {
@@ -232,24 +237,26 @@
     bool following = false;
     Duration askAgainAt{};
 
-    std::map<ReqId, Req> reqs;
-    std::vector<std::deque<Duration>> taken;  // accepted reqs by route, within the exposure span
-    std::map<BuildNo, std::vector<std::deque<Duration>>> trials;  // tries at a build by route, likewise
+    std::map<RequestId, Request> requests;
+    std::vector<std::deque<Duration>> taken;  // accepted requests by route, within the exposure span
+    std::map<BuildNo, std::vector<std::deque<Duration>>> trials;  // attempts at a build by route, likewise
     std::vector<double> usual;                                    // by route: usual seconds of an answer
     std::vector<int> usualSeen;
     std::deque<std::pair<Duration, Server *>> done;  // answers of warm servers within the overload span
     std::deque<Duration> ends;                       // answers within the last kPaceSpan
     double perServer = 0;                            // of these, what one warm server has given
     double fleet = 1;                                // median slowness of the warm servers
-    std::deque<std::pair<Duration, std::pair<int, bool>>> fates;  // reqs that ended: account, whether in time
-    std::map<int, std::pair<double, double>> fateOf;              // of these, by account: all, in time
-    std::deque<std::pair<Duration, int>> recent;  // accepted reqs and their accounts, of the overload span
-    std::vector<double> recentOf;                 // of these, by account that has a share
+    std::deque<std::pair<Duration, std::pair<int, bool>>>
+        fates;                                        // requests that ended: account, whether in time
+    std::map<int, std::pair<double, double>> fateOf;  // of these, by account: all, in time
+    std::deque<std::pair<Duration, int>>
+        recent;                    // accepted requests and their accounts, of the overload span
+    std::vector<double> recentOf;  // of these, by account that has a share
     double retryBudget = kRetryBurst;
     std::map<std::string, BuildNo> stays;  // keys that a build has answered
     BuildNo allStay = 0;                   // all keys stay from this one on
     std::map<std::pair<std::string, BuildNo>, int>
-        asking;  // tries under way by key and build, where keys stay
+        asking;  // attempts under way by key and build, where keys stay
 
     bool told = false;         // stage news has come since the start
     StageNews news, lastTold;  // the furthest stage of the newest build; what was told last, be it older
@@ -261,11 +268,11 @@
     Duration windowBegan{};
     int healthy = 0, unhealthy = 0;
     Duration lastTrialFailure{};
-    int pairsTrial = 0, pairsEarlier = 0, wrong = 0, triedTrial = 0;
+    int pairsTrial = 0, pairsEarlier = 0, wrong = 0, canaryAttempts = 0;
     std::deque<std::pair<Duration, double>>
-        met;  // trial tries of the last vote life; over 0: as many bad ones
+        met;  // trial attempts of the last vote life; over 0: as many bad ones
     bool bad = false, eased = false, votePending = false;
-    Duration easedAt{}, shedAt{}, pooledUntil{};  // shedAt: when a req was last shed for want of pace
+    Duration easedAt{}, shedAt{}, pooledUntil{};  // shedAt: when a request was last shed for want of pace
     Verdict wanted = Verdict::none, standing = Verdict::none;
     Verdict lastVote = Verdict::none;
     Duration voteDue{}, voteSent{};
@@ -276,7 +283,7 @@
     enum class Suspicion { none, paused, resumed } suspicion = Suspicion::none;
     Duration suspectedAt{}, slowSince{}, clearUntil{};
     double slowAtPause = 0;
-    std::vector<double> reference;  // slowness of the earlier build while it bore about all the reqs
+    std::vector<double> reference;  // slowness of the earlier build while it bore about all the requests
 
     Record(const StartValues &start, Duration at)
         : v(start), now(at), rng(static_cast<std::mt19937::result_type>(start.seed ^ (start.seed >> 32))),
@@ -289,10 +296,10 @@
 
     std::size_t routesCounted() const { return v.exposurePerRoute ? v.routes.size() : 1; }
     std::size_t counted(int route) const { return v.exposurePerRoute ? std::size_t(route) : 0; }
-    const Route &route(const Req &rq) const { return v.routes.at(std::size_t(rq.in.route)); }
+    const Route &route(const Request &request) const { return v.routes.at(std::size_t(request.in.route)); }
     void log(const std::string &words) { out.push_back(LogLine{words}); }
     void timer() { out.push_back(SetTimer{kTick}); }
-    double usualOf(const Req &rq) const { return usual[std::size_t(rq.in.route)]; }
+    double usualOf(const Request &request) const { return usual[std::size_t(request.in.route)]; }
     bool many() const { return v.gateways >= kManyGateways; }
     bool shedOfLate() const { return shedAt != Duration{0} && now - shedAt < kFullFor; }
     double chance() { return double(rng()) / 4294967296.0; }
@@ -310,8 +317,8 @@
         const double keep = std::exp(-secs(now - s.slownessAt) / kLatencyFade);
         double figure = 1 + (s.slowness - 1) * keep;
         // The oldest try under way tells of a server that answers nothing before any time-out does.
-        const auto oldest = s.out.empty() ? reqs.end() : reqs.find(s.out.begin()->second);
-        if (oldest != reqs.end())
+        const auto oldest = s.out.empty() ? requests.end() : requests.find(s.out.begin()->second);
+        if (oldest != requests.end())
             figure = std::max(figure, 0.5 * secs(now - s.out.begin()->first) / usualOf(oldest->second));
         return figure;
     }
@@ -354,7 +361,7 @@
         // back.
         if (v.keysStay && told && news.phase == Phase::released && oldestListed() == news.build)
             allStay = news.build, stays.clear();
-        // Here, since nobody may read them for long: with no build on trial they grew with every req.
+        // Here, since nobody may read them for long: with no build on trial they grew with every request.
         for (auto &queue : taken) forget(queue, now - v.exposureSpan + kTick);
         forget(pulse, now - kPulseSpan), forget(met, now - v.voteLife);
         count = {};
@@ -400,15 +407,15 @@
     }
 
     // ---- the rules: the one place that every send passes ----
-    bool passes(const Req &rq, Server &s) {
-        const Route &rt = route(rq);
-        // every req one timely answer
-        if (rq.answered || now >= rq.in.notAfter) return false;
-        if (int(rq.tries.size()) >= v.mostTries) return false;
-        if (!v.mayCopy && rq.outstanding()) return false;
+    bool passes(const Request &request, Server &s) {
+        const Route &rt = route(request);
+        // every request one timely answer
+        if (request.answered || now >= request.in.notAfter) return false;
+        if (int(request.attempts.size()) >= v.maxAttempts) return false;
+        if (!v.mayCopy && request.outstanding()) return false;
         // no effect twice
-        if (!mayGoAgain(rq)) return false;
-        const Try *ran = rq.firstThatMayHaveRun();
+        if (!mayGoAgain(request)) return false;
+        const Attempt *ran = request.firstThatMayHaveRun();
         if (ran && rt.effect == Effect::deduped) {
             if (rt.group != Group::all && ran->zone != s.entry.zone) return false;
             if (rt.group == Group::cell && ran->cell != s.entry.cell) return false;
@@ -418,37 +425,39 @@
         const BuildNo build = s.entry.build;
         if (bound(build)) {
             if (step(build) < v.guardedStages && rt.effect != Effect::retriable) return false;
-            if (!withinCap(build, rq.in.route)) return false;
+            if (!withinCap(build, request.in.route)) return false;
         }
-        const auto stay = stays.find(rq.in.key);
+        const auto stay = stays.find(request.in.key);
         if (build < allStay || (stay != stays.end() && build < stay->second)) return false;
         // Nor while a newer build is asked: its answer may be written and not read. Guards against answers
-        // that are late, or lost on a connection that fell silent. Harm: such reqs wait for the newer build's
-        // cap.
-        for (auto at = asking.upper_bound({rq.in.key, build}); at != asking.end(); ++at) {
-            if (at->first.first != rq.in.key) break;
+        // that are late, or lost on a connection that fell silent. Harm: such requests wait for the newer
+        // build's cap.
+        for (auto at = asking.upper_bound({request.in.key, build}); at != asking.end(); ++at) {
+            if (at->first.first != request.in.key) break;
             if (at->first.second != sentBack) return false;
         }
         return withinColdBudget(s);  // cold servers
     }
 
-    std::deque<Duration> &triesAt(BuildNo build, int route) {
+    std::deque<Duration> &attemptsAt(BuildNo build, int route) {
         return trials.try_emplace(build, routesCounted()).first->second[counted(route)];
     }
-    // Counts tries over a tick more and accepted reqs over a tick less than the span: it may end anywhere.
+    // Counts attempts over a tick more and accepted requests over a tick less than the span: it may end
+    // anywhere.
     bool withinCap(BuildNo build, int route) {
         const double share = cap(build);
         if (share <= 0) return false;
         const std::size_t c = counted(route);
-        auto &tries = triesAt(build, route);
-        forget(tries, now - v.exposureSpan - kTick);
+        auto &attempts = attemptsAt(build, route);
+        forget(attempts, now - v.exposureSpan - kTick);
         forget(taken[c], now - v.exposureSpan + kTick);
-        return double(tries.size()) + 1 <= v.spareTries + share * double(taken[c].size());
+        return double(attempts.size()) + 1 <= v.exposureAllowance + share * double(taken[c].size());
     }
 
     // Guards a cold server against all gateways together: over the stated span, as far as it has run, each
-    // sends a part of the tip multiple x its warmth x what a warm server has answered of this gateway's reqs
-    // (no burst raises that); the broken part of a req by a chance drawn once a start. Harm: small stages.
+    // sends a part of the tip multiple x its warmth x what a warm server has answered of this gateway's
+    // requests (no burst raises that); the broken part of a request by a chance drawn once a start. Harm:
+    // small stages.
     bool withinColdBudget(Server &s) const {
         const Duration age = s.age(now);
         if (!cold(s)) return true;
@@ -461,32 +470,32 @@
     bool aside(const Server &s) const { return now < s.asideUntil; }
 
     // Inside a build: the lower of two random servers by (in-flight + 1) x decaying latency / weight.
-    std::vector<Server *> two(const Req &rq, BuildNo build, bool desperate) {
+    std::vector<Server *> two(const Request &request, BuildNo build, bool desperate) {
         std::vector<Server *> chosen;
         const auto at = live.find(build);
         const std::size_t n = at == live.end() ? 0 : at->second.size();
         for (std::size_t i = 0; i < n && chosen.size() < 2; ++i) {
             std::swap(at->second[i], at->second[i + any(n - i)]);
             Server &s = *at->second[i];
-            const bool tried = std::ranges::count(rq.tries, &s, &Try::server) > 0;
+            const bool tried = std::ranges::count(request.attempts, &s, &Attempt::server) > 0;
             // A price on crossing zones keeps most choices at home where load is asked for; score() does the
             // rest.
             const bool away = v.crossZoneFee > 0 && asksLoad() && s.entry.zone != v.zone;
             if (!desperate && away && chance() < kAtHome) continue;
-            if ((desperate || (!aside(s) && !tried)) && passes(rq, s)) chosen.push_back(&s);
+            if ((desperate || (!aside(s) && !tried)) && passes(request, s)) chosen.push_back(&s);
         }
         return chosen;
     }
     // Exception where servers tell their load to probes and gateways are many, so own in-flight says nothing:
     // the two are asked. Covers uneven gateways, crowded machines. Harm: price and delay.
     bool asksLoad() const { return v.inHandField >= 0 && many(); }
-    bool ask(Req &rq) {
+    bool ask(Request &request) {
         if (!asksLoad()) return false;
-        for (const BuildNo build : place(rq))
-            if (rq.asked.empty()) rq.asked = two(rq, build, false);
-        if (rq.asked.size() < 2) return false;
-        for (const Server *s : rq.asked) out.push_back(Probe{s->entry.id});
-        rq.waiting = rq.asked.size();
+        for (const BuildNo build : place(request))
+            if (request.asked.empty()) request.asked = two(request, build, false);
+        if (request.asked.size() < 2) return false;
+        for (const Server *s : request.asked) out.push_back(Probe{s->entry.id});
+        request.waiting = request.asked.size();
         return true;
     }
     void on(const ProbeEnded &p) {
@@ -494,10 +503,11 @@
         if (at == servers.end()) return;
         if (asksLoad() && std::size_t(v.inHandField) < p.load.size())
             at->second.inHand = p.load[std::size_t(v.inHandField)], at->second.inHandAt = now;
-        for (auto it = reqs.begin(); it != reqs.end();) {
+        for (auto it = requests.begin(); it != requests.end();) {
             const auto here = it++;
-            Req &rq = here->second;
-            if (rq.waiting > 0 && std::ranges::count(rq.asked, &at->second) > 0 && --rq.waiting == 0)
+            Request &request = here->second;
+            if (request.waiting > 0 && std::ranges::count(request.asked, &at->second) > 0 &&
+                --request.waiting == 0)
                 go(here);
         }
     }
@@ -510,7 +520,7 @@
 
     // Exception where keys stay with the trial build once it has answered: what fails on the earlier one is
     // not sent there beyond 0.7 of the cap. Guards against keys that failures bind, until they ask for more
-    // than the cap and their reqs are held. Harm: fewer pairs that speak for the trial build.
+    // than the cap and their requests are held. Harm: fewer pairs that speak for the trial build.
     bool hasRoom(int route) const {
         const auto at = trials.find(news.build);
         if (at == trials.end()) return true;
@@ -518,19 +528,21 @@
         return double(at->second[c].size()) < kHashShare * cap(news.build) * double(taken[c].size());
     }
 
-    // The builds in the order in which this req should try them.
-    std::vector<BuildNo> place(const Req &rq) const {
+    // The builds in the order in which this request should try them.
+    std::vector<BuildNo> place(const Request &request) const {
         const BuildNo base = baseBuild();
         const bool open = told && news.phase == Phase::onTrial && !bad;
         const BuildNo rev = told ? news.build : 0;
         bool toTrial = false;
         if (open) {
-            const std::string &key = rq.in.key.empty() ? std::to_string(rq.in.req) : rq.in.key;
+            const std::string &key =
+                request.in.key.empty() ? std::to_string(request.in.requestId) : request.in.key;
             toTrial = place01(key, std::uint64_t(rev)) < trialShare();
-            // A failed req's next try goes to the other build.
-            if (!rq.tries.empty())
-                toTrial =
-                    onTrial(rq.tries.back().build) ? false : toTrial || !v.keysStay || hasRoom(rq.in.route);
+            // A failed request's next try goes to the other build.
+            if (!request.attempts.empty())
+                toTrial = onTrial(request.attempts.back().build)
+                              ? false
+                              : toTrial || !v.keysStay || hasRoom(request.in.route);
         }
         std::vector<BuildNo> order;
         if (toTrial) order.push_back(rev);
@@ -541,37 +553,37 @@
         return order;
     }
 
-    bool dispatch(Req &rq) {  // true if a try went out
+    bool dispatch(Request &request) {  // true if a try went out
         const auto lower = [&](const std::vector<Server *> &from) {
             Server *best = nullptr;
             for (Server *s : from)
                 if (!best || score(*s) < score(*best)) best = s;
-            if (best && rq.tries.empty() && tooLate(rq)) giveUp(rq);
-            else if (best) send(rq, *best);
+            if (best && request.attempts.empty() && tooLate(request)) giveUp(request);
+            else if (best) send(request, *best);
             return best != nullptr;
         };
-        std::erase_if(rq.asked, [&](Server *s) { return aside(*s) || !passes(rq, *s); });
-        if (lower(std::vector<Server *>(std::move(rq.asked)))) return true;
-        const auto order = place(rq);
+        std::erase_if(request.asked, [&](Server *s) { return aside(*s) || !passes(request, *s); });
+        if (lower(std::vector<Server *>(std::move(request.asked)))) return true;
+        const auto order = place(request);
         for (const bool desperate : {false, true})
             for (const BuildNo build : order)
-                if (lower(two(rq, build, desperate))) return true;
+                if (lower(two(request, build, desperate))) return true;
         return false;
     }
 
-    // Sheds while the reqs under way could not be answered in time at the pace of the last second's answers,
-    // more the slower; an account's excess first. Covers surges, lost machines, slowdowns. Harm: a rough
-    // pace.
-    bool tooLate(const Req &rq) {
-        const double expected = usualOf(rq) * pressure() / secs(route(rq).latencyObjective);
+    // Sheds while the requests under way could not be answered in time at the pace of the last second's
+    // answers, more the slower; an account's excess first. Covers surges, lost machines, slowdowns. Harm: a
+    // rough pace.
+    bool tooLate(const Request &request) {
+        const double expected = usualOf(request) * pressure() / secs(route(request).latencyObjective);
         // A pace of n answers is known to one part in the root of n: few answers must not shed by chance.
         const double doubt = 1 + 2 / std::sqrt(std::max(1.0, double(ends.size())));
-        const double from = doubt * (overShare(rq.in.account) ? kShedFrom / 2 : kShedFrom);
-        // Adaptive throttling where gateways are many: a few reqs a second give no pace, but show that under
-        // half of an account's end in time. Covers jams that feed themselves, heedless repeats. Harm: other
-        // failures.
+        const double from = doubt * (overShare(request.in.account) ? kShedFrom / 2 : kShedFrom);
+        // Adaptive throttling where gateways are many: a few requests a second give no pace, but show that
+        // under half of an account's end in time. Covers jams that feed themselves, heedless repeats. Harm:
+        // other failures.
         forget(fates, now - kFateSpan, [&](const auto &entry) { countFate(entry.second, -1); });
-        const auto [ended, good] = fateOf[rq.in.account];
+        const auto [ended, good] = fateOf[request.in.account];
         const double jam = !many() ? 0 : (ended - kThrottle * good) / (ended + kFewUnderWay);
         const double part = std::max((expected - from) / kShedSpan, jam);
         if (part <= 0 || chance() >= part) return false;
@@ -582,9 +594,9 @@
     double pressure() {
         forget(ends, now - kPaceSpan);
         double under = 0, work = 0;
-        for (const auto &[id, rq] : reqs)
-            for (const Try &t : rq.tries)
-                if (t.out && !aside(*t.server)) ++under, work += usualOf(rq);
+        for (const auto &[id, request] : requests)
+            for (const Attempt &t : request.attempts)
+                if (t.out && !aside(*t.server)) ++under, work += usualOf(request);
         if (under < kFewUnderWay) return 1;
         const double pace = std::max(1.0, double(ends.size())) / secs(kPaceSpan);
         return under / pace / (work / under);
@@ -602,43 +614,44 @@
                kOverShare * v.accountShares[std::size_t(account)] * double(recent.size());
     }
 
-    void send(Req &rq, Server &s) {
-        if (!passes(rq, s)) return;
-        rq.tries.push_back({&s, s.entry.build, s.entry.zone, s.entry.cell, now, s.age(now) < coldEvidence()});
-        s.out.insert({now, rq.in.req});
+    void send(Request &request, Server &s) {
+        if (!passes(request, s)) return;
+        request.attempts.push_back(
+            {&s, s.entry.build, s.entry.zone, s.entry.cell, now, s.age(now) < coldEvidence()});
+        s.out.insert({now, request.in.requestId});
         if (cold(s)) s.coldSends.push_back(now);
-        if (v.keysStay && !rq.in.key.empty()) ++asking[{rq.in.key, s.entry.build}];
-        if (bound(s.entry.build)) triesAt(s.entry.build, rq.in.route).push_back(now);
-        out.push_back(SendTry{rq.in.req, s.entry.id});
+        if (v.keysStay && !request.in.key.empty()) ++asking[{request.in.key, s.entry.build}];
+        if (bound(s.entry.build)) attemptsAt(s.entry.build, request.in.route).push_back(now);
+        out.push_back(SendAttempt{request.in.requestId, s.entry.id});
     }
 
-    void callOff(const Req &rq) {
-        for (std::size_t k = 0; v.mayCancel && k < rq.tries.size(); ++k)
-            if (rq.tries[k].out) out.push_back(CancelTry{rq.in.req, int(k)});
+    void callOff(const Request &request) {
+        for (std::size_t k = 0; v.mayCancel && k < request.attempts.size(); ++k)
+            if (request.attempts[k].out) out.push_back(CancelAttempt{request.in.requestId, int(k)});
     }
 
-    void finish(Req &rq, bool inTime) {
-        if (!rq.answered && many()) {
-            fates.push_back({now, {rq.in.account, inTime}});
+    void finish(Request &request, bool inTime) {
+        if (!request.answered && many()) {
+            fates.push_back({now, {request.in.account, inTime}});
             countFate(fates.back().second, 1);
         }
-        rq.answered = true;
-    }
-    // The final answer of a req that is given up: shed where that is true, errored else.
-    void giveUp(Req &rq) {
-        if (rq.answered) return;
-        finish(rq, false);
-        const Route &rt = route(rq);
-        const bool ran = rq.firstThatMayHaveRun() != nullptr;
+        request.answered = true;
+    }
+    // The final answer of a request that is given up: shed where that is true, errored else.
+    void giveUp(Request &request) {
+        if (request.answered) return;
+        finish(request, false);
+        const Route &rt = route(request);
+        const bool ran = request.firstThatMayHaveRun() != nullptr;
         const bool mayShed = rt.effect == Effect::retriable || !ran ||
                              (rt.effect == Effect::deduped && rt.group == Group::all);
-        callOff(rq);
+        callOff(request);
         const Duration back = v.retryAfterTold ? std::min<Duration>(v.longestRetryAfter, 250ms) : Duration{0};
-        if (mayShed) out.push_back(Shed{rq.in.req, back});
-        else out.push_back(EndErrored{rq.in.req});
+        if (mayShed) out.push_back(Shed{request.in.requestId, back});
+        else out.push_back(EndErrored{request.in.requestId});
     }
     void drop(auto it) {
-        if (!it->second.outstanding()) reqs.erase(it);
+        if (!it->second.outstanding()) requests.erase(it);
     }
 
     template <class Other> void on(const Other &) {}  // notes, streams: not decided on yet; the start is done
@@ -658,14 +671,14 @@
         // that what it was sent while cold still counts if it returns.
         std::erase_if(servers, [&](const auto &one) {
             const Server &s = one.second;
-            const auto holds = [&](const auto &rq) {
-                return std::ranges::count(rq.second.asked, &s) +
-                           std::ranges::count(rq.second.tries, &s, &Try::server) >
+            const auto holds = [&](const auto &request) {
+                return std::ranges::count(request.second.asked, &s) +
+                           std::ranges::count(request.second.attempts, &s, &Attempt::server) >
                        0;
             };
             return s.entry.readiness == Readiness::gone && s.given == 0 &&
                    now - s.goneAt > v.warmWithin + v.overloadFor + kWindowSpan &&
-                   std::ranges::none_of(reqs, holds);
+                   std::ranges::none_of(requests, holds);
         });
         for (Arm *arm : {&trial, &earlier, &lastEarlier})
             std::erase_if(arm->servers, [&](const auto &one) { return !servers.contains(one.first); });
@@ -688,72 +701,75 @@
         countServers();
     }
 
-    void on(const ReqArrived &in) {
-        const auto it = reqs.try_emplace(in.req, Req{in, now, {}, false, {}, 0}).first;
+    void on(const RequestArrived &in) {
+        const auto it = requests.try_emplace(in.requestId, Request{in, now, {}, false, {}, 0}).first;
         taken[counted(in.route)].push_back(now);
         recent.push_back({now, in.account});
         countRecent(in.account, 1);
         retryBudget = std::min(kRetryBurst, retryBudget + kRetryRate);
         if (!ask(it->second)) go(it);
     }
-    void go(std::map<ReqId, Req>::iterator it) {
+    void go(std::map<RequestId, Request>::iterator it) {
         it->second.waiting = 0;
         if (!dispatch(it->second)) hold(it);
         else if (it->second.answered) drop(it);
     }
 
-    // A req that can go nowhere waits while an answer in time can still be had, and no longer.
-    void hold(std::map<ReqId, Req>::iterator it) {
-        Req &rq = it->second;
+    // A request that can go nowhere waits while an answer in time can still be had, and no longer.
+    void hold(std::map<RequestId, Request>::iterator it) {
+        Request &request = it->second;
         const Duration latest =
-            std::min(rq.arrived + route(rq).latencyObjective - span(usualOf(rq)), rq.in.notAfter - 2 * kTick);
-        if (now < latest && int(rq.tries.size()) < v.mostTries && mayGoAgain(rq)) return;
-        giveUp(rq);
+            std::min(request.arrived + route(request).latencyObjective - span(usualOf(request)),
+                     request.in.notAfter - 2 * kTick);
+        if (now < latest && int(request.attempts.size()) < v.maxAttempts && mayGoAgain(request)) return;
+        giveUp(request);
         drop(it);
     }
-    bool mayGoAgain(const Req &rq) const {
-        const Try *ran = rq.firstThatMayHaveRun();
-        const Route &rt = route(rq);
+    bool mayGoAgain(const Request &request) const {
+        const Attempt *ran = request.firstThatMayHaveRun();
+        const Route &rt = route(request);
         if (!ran || rt.effect == Effect::retriable) return true;
         const Duration latest = ran->sent + rt.repeatWindow - v.sendsWithin - 2 * kTick;
         return rt.effect == Effect::deduped && now <= latest;
     }
 
-    void on(const ReqGone &gone) {
-        const auto it = reqs.find(gone.req);
-        if (it != reqs.end()) finish(it->second, false), callOff(it->second), drop(it);
+    void on(const RequestAbandoned &gone) {
+        const auto it = requests.find(gone.requestId);
+        if (it != requests.end()) finish(it->second, false), callOff(it->second), drop(it);
     }
 
-    void on(const TryEnded &end) {
-        const auto it = reqs.find(end.req);
-        if (it == reqs.end() || std::size_t(end.tryNo) >= it->second.tries.size()) return;
-        Req &rq = it->second;
-        Try &t = rq.tries[std::size_t(end.tryNo)];
+    void on(const AttemptEnded &end) {
+        const auto it = requests.find(end.requestId);
+        if (it == requests.end() || std::size_t(end.attemptNumber) >= it->second.attempts.size()) return;
+        Request &request = it->second;
+        Attempt &t = request.attempts[std::size_t(end.attemptNumber)];
         if (!t.out) return;  // told before: it must not count twice, nor prove the contrary
         t.out = false, t.how = end.how;
-        t.server->out.erase({t.sent, end.req});
-        const auto asked = asking.find({rq.in.key, t.build});
+        t.server->out.erase({t.sent, end.requestId});
+        const auto asked = asking.find({request.in.key, t.build});
         if (asked != asking.end() && --asked->second == 0) asking.erase(asked);
         if (end.how == Outcome::ok) ends.push_back(now);
-        settle(rq, t, end);
-        if (end.reqOver || end.how == Outcome::ok) {
-            if (!rq.answered) callOff(rq);
-            finish(rq, end.how == Outcome::ok && now <= rq.arrived + route(rq).latencyObjective);
+        settle(request, t, end);
+        if (end.requestEnded || end.how == Outcome::ok) {
+            if (!request.answered) callOff(request);
+            finish(request,
+                   end.how == Outcome::ok && now <= request.arrived + route(request).latencyObjective);
         }
-        if (rq.answered) return drop(it);
-        if (rq.outstanding()) return;
-        const bool late = now + span(0.5 * usualOf(rq)) >= rq.arrived + route(rq).latencyObjective;
-        if (!late && mayGoAgain(rq) && retryBudget >= 1) {
+        if (request.answered) return drop(it);
+        if (request.outstanding()) return;
+        const bool late =
+            now + span(0.5 * usualOf(request)) >= request.arrived + route(request).latencyObjective;
+        if (!late && mayGoAgain(request) && retryBudget >= 1) {
             retryBudget -= 1;
-            if (dispatch(rq)) return;
+            if (dispatch(request)) return;
             return hold(it);
         }
-        giveUp(rq);
+        giveUp(request);
         drop(it);
     }
 
     // A server is silent on a try when nothing has come from it since, for several times the usual latency.
-    bool silent(const Server &s, const Try &t) const { return s.answeredAt < t.sent; }
+    bool silent(const Server &s, const Attempt &t) const { return s.answeredAt < t.sent; }
     void unanswered(Server &s) {
         if (++s.unanswered < kEjectAfter || aside(s)) return;
         double gone = 1, all = 0;
@@ -765,17 +781,17 @@
     }
 
     // Reads how a try ended: the server's health and latency, the usual times, the evidence on the builds.
-    void settle(Req &rq, const Try &t, const TryEnded &end) {
+    void settle(Request &request, const Attempt &t, const AttemptEnded &end) {
         Server &s = *t.server;
-        const auto r = std::size_t(rq.in.route);
+        const auto r = std::size_t(request.in.route);
         const double took = secs(now - t.sent);
         const bool answered = end.how == Outcome::ok || end.how == Outcome::unreadable;
         // What ended unread may have been answered well all the same: its key stays as well. An error is an
         // answer, and no good one. Guards against a key that goes back to an earlier build. Harm: keys bound
         // to a bad build.
-        if (v.keysStay && !provesNotRun(end.how) && end.how != Outcome::error && !rq.in.key.empty() &&
+        if (v.keysStay && !provesNotRun(end.how) && end.how != Outcome::error && !request.in.key.empty() &&
             t.build > allStay)
-            stays[rq.in.key] = std::max(stays[rq.in.key], t.build);
+            stays[request.in.key] = std::max(stays[request.in.key], t.build);
         if (end.how == Outcome::ok) {
             const double ratio = took / usual[r];
             const double keep = std::exp(-secs(now - s.slownessAt) / kLatencyFade);
@@ -791,10 +807,10 @@
         else if (end.how == Outcome::reset || end.how == Outcome::connectFailed || silent(s, t))
             unanswered(s);
         if (answered || end.how == Outcome::error || end.how == Outcome::full) s.answeredAt = now;
-        evidence(rq, t, end, took / usual[r]);
+        evidence(request, t, end, took / usual[r]);
     }
 
-    void evidence(const Req &rq, const Try &t, const TryEnded &end, double ratio) {
+    void evidence(const Request &request, const Attempt &t, const AttemptEnded &end, double ratio) {
         // What can't be read is a connection's trouble, of either build alike.
         if (!told || provesNotRun(end.how) || end.how == Outcome::unreadable) return;
         if (news.phase != Phase::onTrial && news.phase != Phase::released) return;
@@ -812,8 +828,8 @@
         if (cutShort && counts && ratio > 1 && v.votesToGoBack >= kPooledVotes)
             arm.slowness.push_back({now, ratio});
         if (end.how == Outcome::cancelled) return;
-        if (end.how == Outcome::ok && rq.tries.size() > 1) {
-            const Try &before = rq.tries[rq.tries.size() - 2];
+        if (end.how == Outcome::ok && request.attempts.size() > 1) {
+            const Attempt &before = request.attempts[request.attempts.size() - 2];
             if (before.build != t.build && !before.out && before.how == Outcome::error) {
                 if (before.build == news.build) ++pairsTrial, met.push_back({now, 1});
                 else if (isTrial) ++pairsEarlier;
@@ -824,9 +840,9 @@
         const bool allLose = many() && earlier.losesMany();
         if (isTrial && failed && (!t.cold || end.how == Outcome::error) && !allLose) lastTrialFailure = now;
         ownErrors += isTrial && end.how == Outcome::error;
-        if (isTrial) met.push_back({now, 0}), ++triedTrial;
+        if (isTrial) met.push_back({now, 0}), ++canaryAttempts;
         if (t.cold || t.build > news.build || (eased && t.sent < easedAt + kWindowSpan)) return;
-        arm.add(rq.in.route, t.server->entry.id, failed, end.how == Outcome::error, ratio);
+        arm.add(request.in.route, t.server->entry.id, failed, end.how == Outcome::error, ratio);
         if (end.how == Outcome::ok) {
             arm.slowness.push_back({now, ratio});
             while (arm.slowness.front().first < now - kSlowSpan) arm.slowness.pop_front();
@@ -856,10 +872,10 @@
         cell.n += c.counted, cell.fails += c.lost;
     }
 
-    // Exception where the platform counts tries, the same for all: they are windows where own outcomes are
-    // few. They hold refusals, dead machines and reqs that have failed on the earlier build, so an error of
-    // the trial must have been met here, and the earlier must lose few. Covers bad builds at small gateways.
-    // Harm: bad ones in a jam.
+    // Exception where the platform counts attempts, the same for all: they are windows where own outcomes are
+    // few. They hold refusals, dead machines and requests that have failed on the earlier build, so an error
+    // of the trial must have been met here, and the earlier must lose few. Covers bad builds at small
+    // gateways. Harm: bad ones in a jam.
     void judgeTally() {
         if (!enough(tallyTrial) || !enough(tallyEarlier)) return;
         tallySick = !tallyEarlier.losesMany() && tooMany(tallyTrial, tallyEarlier) ? tallySick + 1 : 0;
@@ -901,7 +917,7 @@
         newsBegan = now - n.since;
         countServers();
         if (fresh) {
-            bad = eased = false, wrong = pairsTrial = pairsEarlier = triedTrial = ownErrors = 0;
+            bad = eased = false, wrong = pairsTrial = pairsEarlier = canaryAttempts = ownErrors = 0;
             lastEarlier = Arm{}, met.clear(), pooledUntil = Duration{0};
         }
         if (n.phase == Phase::goingBack || n.phase == Phase::withdrawn) {
@@ -957,7 +973,8 @@
     }
 
     // Exception: time-outs and resets alone are no build's failures unless it is slow on most of its
-    // machines: guards against dying, silent or crowded ones. Harm: a build that drops reqs without a word.
+    // machines: guards against dying, silent or crowded ones. Harm: a build that drops requests without a
+    // word.
     bool slowOnMost(const Arm &base) const { return trial.common(false) > kOneServer * base.common(false); }
 
     // The design's p95 comparison. Exception: at late stages the trial's machines bear more and queue more,
@@ -992,22 +1009,22 @@
         return std::nullopt;
     }
 
-    // Whether so many bad ones of the trial's tries are over twice what the earlier build loses as well, of
-    // its window and the last. Guards against 'back' on a first few failures that both share. Harm: some
+    // Whether so many bad ones of the trial's attempts are over twice what the earlier build loses as well,
+    // of its window and the last. Guards against 'back' on a first few failures that both share. Harm: some
     // seconds of a bad build in a rough time.
-    bool apart(double evil, double tries, double Arm::Cell::*what) const {
+    bool apart(double evil, double attempts, double Arm::Cell::*what) const {
         const double n = earlier.count() + lastEarlier.count();
         const double shared = (earlier.sum(what) + lastEarlier.sum(what)) / std::max(1.0, n);
-        return evil > kFailRatio * shared * (tries + kPooledLeast);
+        return evil > kFailRatio * shared * (attempts + kPooledLeast);
     }
 
     // Exception where many votes are needed to go back: one gateway of hundreds has no window in time, so its
     // vote may rest on the last vote life's few answers and lapses with them; the votes are the least count.
     // Covers errors, wrong answers, slowness. Harm: where votes needed are many but of few of the gateways.
     bool pooledDoubts() {
-        double tries = 0, evil = 0;
-        for (const auto &[at, weight] : met) tries += weight == 0, evil += weight;
-        if (evil >= std::max(0.01, kPooledFails * tries) && apart(evil, tries, &Arm::Cell::fails))
+        double attempts = 0, evil = 0;
+        for (const auto &[at, weight] : met) attempts += weight == 0, evil += weight;
+        if (evil >= std::max(0.01, kPooledFails * attempts) && apart(evil, attempts, &Arm::Cell::fails))
             return true;
         const auto ours = valuesSince(trial.slowness, now - kSlowSpan);
         const auto theirs = valuesSince(earlier.slowness, now - kSlowSpan);
@@ -1034,7 +1051,7 @@
         // one.
         const int pairs = v.votesToGoBack > 1 && v.votesToGoBack < kPooledVotes ? kPairsBack - 1 : kPairsBack;
         if (pairsTrial >= pairs && pairsTrial > 2 * pairsEarlier + 1 &&
-            apart(pairsTrial, triedTrial, &Arm::Cell::errors))
+            apart(pairsTrial, canaryAttempts, &Arm::Cell::errors))
             return convict("pairs");
         judgeTally();
         if (bad) return;
@@ -1108,29 +1125,30 @@
         timer();
         forget(recent, now - v.overloadFor, [&](const auto &entry) { countRecent(entry.second, -1); });
         if (v.listMustBeAsked && !following && now >= askAgainAt) follow();
-        for (auto it = reqs.begin(); it != reqs.end();) {
+        for (auto it = requests.begin(); it != requests.end();) {
             const auto here = it++;
-            Req &rq = here->second;
-            if (rq.answered) continue;
-            if (rq.outstanding()) watch(rq);
-            else if (rq.waiting == 0 || now >= rq.arrived + kTick) go(here);
+            Request &request = here->second;
+            if (request.answered) continue;
+            if (request.outstanding()) watch(request);
+            else if (request.waiting == 0 || now >= request.arrived + kTick) go(here);
         }
     }
 
-    // A try on a server silent since for several times the usual is copied or called off, so that the req can
-    // go elsewhere. Covers hung and dying machines, cut links. Harm: a long req's work is thrown away.
-    void watch(Req &rq) {
-        const int last = int(rq.tries.size()) - 1;
-        Try &t = rq.tries.back();
-        const Duration most = span(kSilent * fleet * usualOf(rq));
+    // A try on a server silent since for several times the usual is copied or called off, so that the request
+    // can go elsewhere. Covers hung and dying machines, cut links. Harm: a long request's work is thrown
+    // away.
+    void watch(Request &request) {
+        const int last = int(request.attempts.size()) - 1;
+        Attempt &t = request.attempts.back();
+        const Duration most = span(kSilent * fleet * usualOf(request));
         if (!t.out || t.calledOff || !silent(*t.server, t) || now - t.sent < most) return;
-        if (last + 1 >= v.mostTries || !mayGoAgain(rq) || retryBudget < 1) return;
-        if (now + span(usualOf(rq)) >= rq.arrived + route(rq).latencyObjective) return;
+        if (last + 1 >= v.maxAttempts || !mayGoAgain(request) || retryBudget < 1) return;
+        if (now + span(usualOf(request)) >= request.arrived + route(request).latencyObjective) return;
         t.calledOff = true;
         if (v.mayCopy) {
             unanswered(*t.server);
-            if (dispatch(rq)) retryBudget -= 1;
-        } else if (v.mayCancel) out.push_back(CancelTry{rq.in.req, last});
+            if (dispatch(request)) retryBudget -= 1;
+        } else if (v.mayCancel) out.push_back(CancelAttempt{request.in.requestId, last});
     }
 };
 
--- a/src/scenarios/invariant_checker.cpp
+++ b/src/scenarios/invariant_checker.cpp
@@ -15,19 +15,19 @@
     const RuleFigures &f;
     std::vector<Breach> found;
     std::unordered_map<std::string, const ClientRecord *> client;
-    std::unordered_map<std::string, std::vector<const InstanceRecord *>> tries;  // of a req, by time
+    std::unordered_map<std::string, std::vector<const InstanceRecord *>> attempts;  // of a request, by time
 
-    void breach(Rule rule, std::string req, Duration when, std::string words) {
-        found.push_back({rule, std::move(req), when, std::move(words)});
+    void breach(Rule rule, std::string request, Duration when, std::string words) {
+        found.push_back({rule, std::move(request), when, std::move(words)});
     }
     const Route &route(const ClientRecord &c) const { return f.routes.at(std::size_t(c.route)); }
 
     void index() {
         for (const auto &c : r.clients)
-            if (!client.emplace(c.req, &c).second)
-                throw std::invalid_argument("two clients' tries are called " + c.req);
-        for (const auto &t : r.instances) tries[t.req].push_back(&t);
-        for (auto &[req, list] : tries)
+            if (!client.emplace(c.requestId, &c).second)
+                throw std::invalid_argument("two clients' tries are called " + c.requestId);
+        for (const auto &t : r.instances) attempts[t.requestId].push_back(&t);
+        for (auto &[request, list] : attempts)
             std::ranges::stable_sort(list, {}, [](const InstanceRecord *t) { return t->received; });
     }
 
@@ -45,20 +45,20 @@
         for (const auto &c : r.clients) {
             if (c.sent == Duration{0} || c.end == ClientEnd::unreached) continue;
             if (c.answers > 1)
-                breach(Rule::oneAnswer, c.req, c.answered, std::to_string(c.answers) + " answers came");
+                breach(Rule::oneAnswer, c.requestId, c.answered, std::to_string(c.answers) + " answers came");
             if (c.answers == 0 && !excused(c))
-                breach(Rule::oneAnswer, c.req, c.givesUp,
+                breach(Rule::oneAnswer, c.requestId, c.givesUp,
                        c.end == ClientEnd::cut
                            ? "its connection was cut without an answer"
                            : "sent at " + at(c.sent) + ", no answer until the client gave up");
             if (c.answers > 0 && c.answered > c.givesUp + f.slack && !excused(c))
-                breach(Rule::oneAnswer, c.req, c.answered,
+                breach(Rule::oneAnswer, c.requestId, c.answered,
                        "answered after the client gave up at " + at(c.givesUp));
-            const auto mine = tries.find(c.req);
-            if (mine == tries.end() || c.answered == Duration{0}) continue;
+            const auto mine = attempts.find(c.requestId);
+            if (mine == attempts.end() || c.answered == Duration{0}) continue;
             for (const auto *t : mine->second)
                 if (t->received > c.answered + f.slack && !halted(c.gateway, c.answered, t->received))
-                    breach(Rule::oneAnswer, c.req, t->received,
+                    breach(Rule::oneAnswer, c.requestId, t->received,
                            "sent to " + t->server + " after its final answer at " + at(c.answered));
         }
     }
@@ -70,27 +70,27 @@
     }
 
     void noEffectTwice() {
-        for (const auto &[req, list] : tries) {
-            const auto c = client.find(req);
+        for (const auto &[request, list] : attempts) {
+            const auto c = client.find(request);
             if (c == client.end()) continue;
             const Route &rt = route(*c->second);
             if (rt.effect == Effect::retriable) continue;
             const InstanceRecord *ran = nullptr;
             for (const auto *t : list) {
                 if (ran && rt.effect == Effect::nonRetriable)
-                    breach(Rule::noEffectTwice, req, t->received,
+                    breach(Rule::noEffectTwice, request, t->received,
                            "non-retriable, sent to " + t->server + " though it may have run on " +
                                ran->server + " at " + at(ran->received));
                 if (ran && rt.effect == Effect::deduped) {
                     if (t->received > ran->received + rt.repeatWindow + f.slack)
-                        breach(Rule::noEffectTwice, req, t->received,
+                        breach(Rule::noEffectTwice, request, t->received,
                                "deduped, sent again to " + t->server + " after the memory of " +
                                    at(ran->received));
                     const bool inGroup =
                         rt.group == Group::all ||
                         (t->zone == ran->zone && (rt.group == Group::zone || t->cell == ran->cell));
                     if (!inGroup)
-                        breach(Rule::noEffectTwice, req, t->received,
+                        breach(Rule::noEffectTwice, request, t->received,
                                "deduped, sent again to " + t->server + " outside the group of " +
                                    ran->server);
                 }
@@ -98,7 +98,7 @@
             }
             const bool sheddable = rt.effect == Effect::deduped && rt.group == Group::all;
             if (ran && c->second->end == ClientEnd::shed && !sheddable && ran->received < c->second->answered)
-                breach(Rule::noEffectTwice, req, c->second->answered,
+                breach(Rule::noEffectTwice, request, c->second->answered,
                        "shed though it may have run on " + ran->server);
         }
     }
@@ -114,7 +114,7 @@
         std::map<std::pair<int, ServerId>, std::vector<const ToldServer *>> told;
         for (const auto &t : r.servers) told[{t.gateway, t.server}].push_back(&t);
         for (const auto &t : r.instances) {
-            const auto c = client.find(t.req);
+            const auto c = client.find(t.requestId);
             if (c == client.end()) continue;
             const int gateway = c->second->gateway;
             const auto list = told.find({gateway, t.server});
@@ -128,7 +128,7 @@
             }
             if (last && t.received > last->at + f.drainGrace + f.slack &&
                 sameLife(gateway, last->at, t.received) && !halted(gateway, last->at, t.received))
-                breach(Rule::drains, t.req, t.received,
+                breach(Rule::drains, t.requestId, t.received,
                        "sent to " + t.server + ", which gateway " + std::to_string(gateway) +
                            " was told at " + at(last->at) + " to leave");
         }
@@ -140,7 +140,7 @@
             for (const auto &t : r.instances) {
                 if (t.server != fall.server || t.received < fall.from || t.received > fall.until) continue;
                 ++all;
-                const auto c = client.find(t.req);
+                const auto c = client.find(t.requestId);
                 if (c == client.end()) continue;
                 informed += std::ranges::any_of(r.servers, [&](const ToldServer &news) {
                     return news.gateway == c->second->gateway && news.server == t.server && news.startedNow &&
@@ -179,7 +179,7 @@
                 taken[{c.gateway, counted(c.route)}].push_back(c.sent);
         for (auto &[who, times] : taken) std::ranges::sort(times);
         for (const auto &t : r.instances) {
-            const auto c = client.find(t.req);
+            const auto c = client.find(t.requestId);
             if (c != client.end())
                 sent[{c->second->gateway, t.build, counted(c->second->route)}].push_back(
                     {t.received, &t, c->second});
@@ -188,7 +188,7 @@
             const auto &[gateway, build, routeNo] = where;
             std::ranges::sort(list, {}, &Sent::at);
             const auto &told = news[gateway];
-            const auto &reqs = taken[{gateway, routeNo}];
+            const auto &requests = taken[{gateway, routeNo}];
             for (std::size_t k = 0; k < list.size(); ++k) {
                 const Duration now = list[k].at;
                 // The loosest of what it may go by: what it knew a grace ago, and all that it was told since.
@@ -209,7 +209,7 @@
                 }
                 if (!trial) continue;
                 if (guarded && route(*list[k].c).effect != Effect::retriable)
-                    breach(Rule::exposure, list[k].t->req, now,
+                    breach(Rule::exposure, list[k].t->requestId, now,
                            "not retriable, sent to build " + std::to_string(build) + " in a guarded stage");
                 // Counted afresh from where a lower cap came to bind, or the build was not on trial before.
                 Duration from = now - f.exposureSpan;
@@ -220,11 +220,11 @@
                 }
                 const auto sentThere =
                     std::ranges::count_if(list, [&](const Sent &s) { return s.at > from && s.at <= now; });
-                const auto accepted = std::ranges::upper_bound(reqs, now + f.slack) -
-                                      std::ranges::lower_bound(reqs, now - f.exposureSpan - f.slack);
-                if (double(sentThere) > f.spareTries + most * double(accepted) + 1e-9 &&
+                const auto accepted = std::ranges::upper_bound(requests, now + f.slack) -
+                                      std::ranges::lower_bound(requests, now - f.exposureSpan - f.slack);
+                if (double(sentThere) > f.exposureAllowance + most * double(accepted) + 1e-9 &&
                     !halted(gateway, from, now))
-                    breach(Rule::exposure, list[k].t->req, now,
+                    breach(Rule::exposure, list[k].t->requestId, now,
                            "gateway " + std::to_string(gateway) + " sent " + std::to_string(sentThere) +
                                " tries to build " + std::to_string(build) + " since " + at(from) + "; " +
                                std::to_string(accepted) + " reqs at a cap of " + std::to_string(most) +
@@ -239,7 +239,7 @@
         for (const auto &c : r.clients)
             if (c.end == ClientEnd::completed && !c.key.empty()) answered[{c.gateway, c.key}].push_back(&c);
         for (const auto &t : r.instances) {
-            const auto c = client.find(t.req);
+            const auto c = client.find(t.requestId);
             if (c == client.end()) continue;
             const int gateway = c->second->gateway;
             const auto list = answered.find({gateway, c->second->key});
@@ -253,7 +253,7 @@
                            (n.phase == Phase::goingBack || n.phase == Phase::withdrawn);
                 });
                 if (sentBack) continue;
-                breach(Rule::exposure, t.req, t.received,
+                breach(Rule::exposure, t.requestId, t.received,
                        "key " + c->second->key + " sent to build " + std::to_string(t.build) +
                            " after build " + std::to_string(a->build) + " answered it at " + at(a->answered));
                 break;
--- a/src/scenarios/invariant_checker.hpp
+++ b/src/scenarios/invariant_checker.hpp
@@ -16,7 +16,7 @@
 
 // One try of a client at a gateway. All times are on one clock.
 struct ClientRecord {
-    std::string req;  // its id, carried on every upstream try
+    std::string requestId;  // its id, carried on every upstream try
     int route = 0, gateway = 0;
     std::string key;
     Duration sent{};  // the whole of it was handed to the connection; zero: never
@@ -29,7 +29,7 @@
 
 // One upstream try, as an instance saw it.
 struct InstanceRecord {
-    std::string req;
+    std::string requestId;
     ServerId server;
     int zone = 0, cell = 0;
     BuildNo build = 0;
@@ -77,7 +77,7 @@
 struct RuleFigures {
     std::vector<Route> routes;
     Duration drainGrace{};
-    double spareTries = 0;
+    double exposureAllowance = 0;
     Duration exposureSpan{};
     bool exposurePerRoute = false, keysStay = false;
     double firstCap = 0;
@@ -93,7 +93,7 @@
 
 struct Breach {
     Rule rule = Rule::oneAnswer;
-    std::string req;  // or the instance, where no req is at fault
+    std::string requestId;  // or the instance, where no request is at fault
     Duration at{};
     std::string words;
 };
--- a/src/scenarios/records.cpp
+++ b/src/scenarios/records.cpp
@@ -24,7 +24,7 @@
     for (const char *name : {"clients", "instances", "servers", "releases", "fallen", "halts"})
         out[name] = json::array();
     for (const auto &c : r.clients)
-        out["clients"].push_back({{"req", c.req},
+        out["clients"].push_back({{"req", c.requestId},
                                   {"route", c.route},
                                   {"gateway", c.gateway},
                                   {"key", c.key},
@@ -35,7 +35,7 @@
                                   {"answers", c.answers},
                                   {"build", c.build}});
     for (const auto &t : r.instances)
-        out["instances"].push_back({{"req", t.req},
+        out["instances"].push_back({{"req", t.requestId},
                                     {"server", t.server},
                                     {"zone", t.zone},
                                     {"cell", t.cell},
--- a/src/scenarios/runner.cpp
+++ b/src/scenarios/runner.cpp
@@ -426,7 +426,7 @@
             json one{
                 {"rule", k}, {"name", nameOf(Rule(k))}, {"kept", list.empty()}, {"breaches", json::array()}};
             for (std::size_t n = 0; n < std::min<std::size_t>(list.size(), 10); ++n)
-                one["breaches"].push_back({{"req", list[n]->req},
+                one["breaches"].push_back({{"req", list[n]->requestId},
                                            {"atMs", milliseconds(list[n]->at - began)},
                                            {"words", list[n]->words}});
             one["count"] = list.size();
@@ -490,7 +490,8 @@
 RuleFigures figuresOf(const Day &day) {
     RuleFigures f;
     for (const auto &r : day.routes) f.routes.push_back(r.rule);
-    f.drainGrace = day.drainGrace, f.spareTries = day.spareTries, f.exposureSpan = day.exposureSpan;
+    f.drainGrace = day.drainGrace, f.exposureAllowance = day.exposureAllowance,
+    f.exposureSpan = day.exposureSpan;
     f.exposurePerRoute = day.exposurePerRoute, f.keysStay = day.keysStay, f.firstCap = day.caps.front();
     f.guardedStages = day.guardedStages, f.firstBuild = 1;
     return f;
--- a/src/scenarios/scenario.cpp
+++ b/src/scenarios/scenario.cpp
@@ -155,7 +155,7 @@
     d.nameServers = names.value("servers", 0), d.recordLifetime = ms(names, "lifetimeMs", 1000);
     d.confirmAfter = ms(names, "confirmAfterMs", 500);
     const json &t = document.at("traffic");
-    d.reqsPerS = t.at("reqsPerS"), d.keys = t.value("keys", d.keys),
+    d.requestsPerSecond = t.at("reqsPerS"), d.keys = t.value("keys", d.keys),
     d.retries = t.value("retries", d.retries);
     d.leastPatience = t.value("leastPatience", d.leastPatience);
     for (const auto &one : t.value("accounts", json::array()))
@@ -177,11 +177,11 @@
         d.routes.push_back(std::move(r));
     }
     d.allowed = document.value("allowed", json::object());
-    d.mayCopy = d.allowed.value("copies", false), d.mostTries = d.allowed.value("mostTries", 4);
+    d.mayCopy = d.allowed.value("copies", false), d.maxAttempts = d.allowed.value("mostTries", 4);
     const json &r = part(document, "release");
     if (r.contains("atMs")) d.releaseAt = ms(r, "atMs", 0);
     d.caps = r.value("caps", std::vector<double>{0.1, 0.4, 1}), d.shares = r.value("shares", d.caps);
-    d.spareTries = r.value("spareTries", 2.0), d.exposureSpan = ms(r, "exposureSpanMs", 4000);
+    d.exposureAllowance = r.value("spareTries", 2.0), d.exposureSpan = ms(r, "exposureSpanMs", 4000);
     d.voteLife = ms(r, "voteLifeMs", 6000), d.leastStage = ms(r, "leastStageMs", 1500);
     d.drainGrace = ms(r, "drainGraceMs", 500);
     const auto delay = r.value("newsDelayMs", std::vector<double>{50, 300});
@@ -268,7 +268,7 @@
              {"exposurePerRoute", d.exposurePerRoute},
              {"keysStay", d.keysStay},
              {"guardedStages", d.guardedStages},
-             {"spareTries", d.spareTries},
+             {"spareTries", d.exposureAllowance},
              {"exposureSpanMs", inMs(d.exposureSpan)},
              {"caps", d.caps},
              {"shares", d.shares},
--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -25,13 +25,13 @@
 struct BadBuild {
     BadKind kind = BadKind::none;
     int route = -1;     // -1: all of them
-    double part = 0.5;  // of the reqs that fail or are answered wrong
+    double part = 0.5;  // of the requests that fail or are answered wrong
     double times = 3;   // the work that it needs
     Duration after{};   // kind later: sound for so long after each instance's start
 };
 
 enum class TroubleKind {
-    hang,            // instances take reqs and answer none
+    hang,            // instances take requests and answer none
     crash,           // instances die, with their connections
     drain,           // instances are drained by staff and leave
     answersLost,     // instances do the work, then reset the connection
@@ -58,7 +58,7 @@
     Duration at{}, lasts{};
     int count = 1;            // instances or gateways that it hits
     std::string where;        // instances: "any", "trial" or "earlier"
-    double times = 2;         // slower, or more reqs
+    double times = 2;         // slower, or more requests
     double part = 0.5;        // of the answers that are lost
     bool votesCount = false;  // deskStill: votes that get no answer count
 };
@@ -73,7 +73,7 @@
     std::vector<std::string> zones;
     double coldFrom = 0.4, tipMultiple = 3;
     Duration warmWithin{}, overloadFor{};
-    double reqsPerS = 100;
+    double requestsPerSecond = 100;
     int keys = 500, retries = 1;
     double leastPatience = 0.6;  // part of the route timeout that a client waits at least
     // The fleet is told by SRV records of so many name servers; 0: by the desk's list.
@@ -86,14 +86,14 @@
     std::optional<Duration> releaseAt;
     nlohmann::json release;  // what the gateways are told, as /release of their settings
     std::vector<double> caps, shares;
-    double spareTries = 2;
+    double exposureAllowance = 2;
     Duration exposureSpan{}, voteLife{}, leastStage{}, drainGrace{}, leastNewsDelay{}, mostNewsDelay{};
     bool exposurePerRoute = false, keysStay = false, inPlace = false;
     int guardedStages = 0, votesToGoBack = 1, toAdvance = 2;
     double wrongReported = 0;
     BadBuild bad;
     bool tallies = false;
-    int mostTries = 4;
+    int maxAttempts = 4;
     bool mayCopy = false;
     bool shouldRelease = true;  // what staff would expect of the release by the day's end
     std::vector<Trouble> troubles;
--- a/src/settings/gateway_settings.cpp
+++ b/src/settings/gateway_settings.cpp
@@ -100,7 +100,7 @@
     void limits() {
         const json &from = part(doc, "limits");
         auto &door = out.door;
-        take(from, "clientConnections", door.connections), take(from, "reqsInHand", out.reqsInHand);
+        take(from, "clientConnections", door.connections), take(from, "reqsInHand", out.maxRequestsInFlight);
         take(from, "headBytes", door.headBytes), take(from, "bodyBytes", door.bodyBytes);
         take(from, "pipelinedBytes", door.pipelinedBytes), take(from, "waitingBytes", door.waitingBytes);
         take(from, "messageWithinMs", door.messageWithin), take(from, "clientIdleMs", door.idleFor);
@@ -119,8 +119,8 @@
         const json &from = part(doc, "headers");
         auto &h = out.headers;
         std::vector<std::pair<const char *, std::string *>> all = {
-            {"key", &h.key},     {"account", &h.account}, {"remaining", &h.remaining},
-            {"reqId", &h.reqId}, {"full", &h.full},       {"load", &h.load}};
+            {"key", &h.key},         {"account", &h.account}, {"remaining", &h.remaining},
+            {"reqId", &h.requestId}, {"full", &h.full},       {"load", &h.load}};
         for (std::size_t k = 0; k < all.size(); ++k) {
             take(from, all[k].first, *all[k].second);
             const std::string at = std::string("/headers/") + all[k].first;
@@ -140,13 +140,13 @@
     void allowed() {
         const json &from = part(doc, "allowed"), &rules = part(doc, "rules");
         auto &v = out.module;
-        v.mayCancel = true, v.mostTries = 4;
+        v.mayCancel = true, v.maxAttempts = 4;
         v.longestRetryAfter = std::chrono::seconds(1), v.retryAfterTold = true;
         // The module asks for the list and asks again after a failure: the shell makes no such choice.
         v.listMustBeAsked = true;
         v.askWithin = std::chrono::seconds(10);
         take(from, "copies", v.mayCopy), take(from, "cancel", v.mayCancel);
-        take(from, "mostTries", v.mostTries), take(from, "longestRetryAfterMs", v.longestRetryAfter);
+        take(from, "mostTries", v.maxAttempts), take(from, "longestRetryAfterMs", v.longestRetryAfter);
         take(from, "askWithinMs", v.askWithin), take(from, "crossZoneFee", v.crossZoneFee);
         take(from, "inHandField", v.inHandField);
         v.coldFrom = 0.3, v.warmWithin = std::chrono::seconds(5), v.tipMultiple = 2;
@@ -171,14 +171,14 @@
     void release() {
         const json &from = part(doc, "release");
         auto &v = out.module;
-        v.gate = Gate::byCount, v.spareTries = 2, v.exposureSpan = std::chrono::seconds(4);
+        v.gate = Gate::byCount, v.exposureAllowance = 2, v.exposureSpan = std::chrono::seconds(4);
         v.exposureCaps = {0.1, 0.4, 1}, v.stageShares = {0.1, 0.4, 1};
         v.voteLife = std::chrono::seconds(6), v.voteAnswerWithin = std::chrono::milliseconds(800);
         word(from, "gate", v.gate,
              {{"first-vote", Gate::firstVote}, {"by-count", Gate::byCount}, {"clock", Gate::clock}});
         take(from, "replacedInPlace", v.replacedInPlace), take(from, "exposurePerRoute", v.exposurePerRoute);
         take(from, "keysStay", v.keysStay), take(from, "guardedStages", v.guardedStages);
-        take(from, "spareTries", v.spareTries), take(from, "exposureSpanMs", v.exposureSpan);
+        take(from, "spareTries", v.exposureAllowance), take(from, "exposureSpanMs", v.exposureSpan);
         take(from, "caps", v.exposureCaps), take(from, "shares", v.stageShares);
         take(from, "voteLifeMs", v.voteLife), take(from, "voteAnswerWithinMs", v.voteAnswerWithin);
         take(from, "votesToGoBack", v.votesToGoBack), take(from, "wrongReported", v.wrongReported);
@@ -288,7 +288,7 @@
             take(*desk, "answerWithinMs", calls.answerWithin), take(*desk, "silentForMs", calls.silentFor);
             out.desk = calls;
         }
-        take(part(doc, "logs"), "reqSample", out.reqSample);
+        take(part(doc, "logs"), "reqSample", out.requestLogSample);
     }
 };
 
--- a/src/settings/gateway_settings.hpp
+++ b/src/settings/gateway_settings.hpp
@@ -16,7 +16,7 @@
 
 namespace deckcart {
 
-// A req belongs to the first rule whose method (empty: any) and path prefix fit.
+// A request belongs to the first rule whose method (empty: any) and path prefix fit.
 struct RouteRule {
     std::string name, method, pathPrefix;
     Duration routeTimeout{};  // when the client gives up
@@ -24,8 +24,8 @@
 
 // The names of the fields that carry what the module wants to know.
 struct HeaderNames {
-    std::string key = "X-Key", account = "X-Account", remaining = "X-Remaining-Ms", reqId = "X-Request-Id",
-                full = "X-Instance-Full", load = "X-Load";
+    std::string key = "X-Key", account = "X-Account", remaining = "X-Remaining-Ms",
+                requestId = "X-Request-Id", full = "X-Instance-Full", load = "X-Load";
 };
 
 struct DeskCalls {
@@ -59,8 +59,8 @@
     std::vector<std::string> accounts, zones;
     HeaderNames headers;
     http::DoorLimits door;
-    std::size_t reqsInHand = 4096;
-    Duration turnedAwayFor = std::chrono::seconds(1);  // a req over that bound is told to come back then
+    std::size_t maxRequestsInFlight = 4096;
+    Duration turnedAwayFor = std::chrono::seconds(1);  // a request over that bound is told to come back then
     Duration answerMargin =
         std::chrono::milliseconds(30);  // final answers leave so long before the client's end
     Duration standstill =
@@ -68,7 +68,7 @@
     UpstreamLimits upstream;
     std::optional<DeskCalls> desk;
     std::optional<SourceOrders> sources;
-    double reqSample = 0;            // part of the reqs that are logged
+    double requestLogSample = 0;     // part of the requests that are logged
     std::size_t passedKept = 16384;  // answers that may be reported wrong: some seconds of a busy gateway
 
     int zoneNo(const std::string &name) const;  // 0 for one that is not named
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -105,7 +105,7 @@
     for (const auto &realm : rows(from, "Realms")) v.accountShares.push_back(may<double>(realm, "Share"));
     v.mayCopy = may<bool>(limits, "MayDuplicate");
     v.mayCancel = may<bool>(limits, "Cancel");
-    v.mostTries = may<int>(limits, "MostTries", 1);
+    v.maxAttempts = may<int>(limits, "MostTries", 1);
     v.longestRetryAfter = optionalDuration(limits, "MaxRetryAfterS");
     v.retryAfterTold = may<bool>(limits, "RetryAfter");
     v.listMustBeAsked = may<std::string>(from, "Discovery") == "subscribe";
@@ -129,7 +129,7 @@
     v.exposurePerRoute = may<std::string>(family, "Per") == "each_class";
     v.keysStay = may<bool>(family, "KeysStay");
     v.guardedStages = may<int>(family, "GuardedStages");
-    v.spareTries = may<double>(family, "SpareTries");
+    v.exposureAllowance = may<double>(family, "SpareTries");
     v.exposureSpan = optionalDuration(family, "SpanS");
     v.exposureCaps = numbers(family, "ExposureCaps");
     v.stageShares = numbers(family, "Shares");
@@ -183,7 +183,7 @@
     const json &limits = part(from, "Limits");
     out.keptIdle = needDuration(limits, "KeepaliveS"),
     out.connectWithin = needDuration(limits, "ConnectTimeoutS");
-    out.reqsInHand = std::size_t(std::max(1, may<int>(limits, "MostHeld", 4096)));
+    out.maxRequestsInFlight = std::size_t(std::max(1, may<int>(limits, "MostHeld", 4096)));
     if (out.routes.empty()) throw BadBatch("field Grades is empty");
     return out;
 }
@@ -210,7 +210,7 @@
         const auto [place, added] = places.try_emplace(who, batch.instances.size());
         if (added) batch.instances.push_back({who, {}});
         auto &out = batch.instances[place->second].events;
-        const auto req = [&] { return need<ReqId>(event, "Req"); };
+        const auto request = [&] { return need<RequestId>(event, "Req"); };
         const auto server = [&] { return need<std::string>(event, "Instance"); };
         if (kind == "INIT")
             out.push_back(Started{startValues(field(event, "Params"), need<std::uint64_t>(event, "Seed"))});
@@ -224,14 +224,14 @@
                 out.push_back(ListTold{form != "INCREMENTAL", list->second});
             }
         } else if (kind == "CALL") {
-            ReqArrived a{req(), may<std::string>(event, "Affinity"), may<int>(event, "Grade"),
-                         may<int>(event, "Project"), needDuration(event, "NotAfterS")};
+            RequestArrived a{request(), may<std::string>(event, "Affinity"), may<int>(event, "Grade"),
+                             may<int>(event, "Project"), needDuration(event, "NotAfterS")};
             out.push_back(std::move(a));
         } else if (kind == "FIRST_BYTE") continue;  // a stream's end is its result
         else if (kind == "FINISHED")
             out.push_back(
-                TryEnded{req(), may<int>(event, "SendNo"), may<bool>(event, "Last"), outcome(event)});
-        else if (kind == "EXPIRED") out.push_back(ReqGone{req()});
+                AttemptEnded{request(), may<int>(event, "SendNo"), may<bool>(event, "Last"), outcome(event)});
+        else if (kind == "EXPIRED") out.push_back(RequestAbandoned{request()});
         else if (kind == "WAKE") out.push_back(TimerFired{});
         else if (kind == "STATUS_BACK") out.push_back(ProbeEnded{server(), numbers(event, "Telemetry")});
         else if (kind == "MESSAGE") continue;  // of peers: nothing is told to them
@@ -253,41 +253,42 @@
 }
 
 json write(InstanceId who, const Action &action) {
-    json out = std::visit(Overload{
-                              [](const SendTry &a) {
-                                  return json{{"m", "ROUTE"}, {"Req", a.req}, {"Instance", a.server}};
-                              },
-                              [](const CancelTry &a) {
-                                  return json{{"m", "CALL_OFF"}, {"Req", a.req}, {"SendNo", a.tryNo}};
-                              },
-                              [](const Shed &a) {
-                                  json j{{"m", "DENY"}, {"Req", a.req}};
-                                  if (a.retryIn > Duration{0}) j["RetryInS"] = seconds(a.retryIn);
-                                  return j;
-                              },
-                              [](const EndErrored &a) {
-                                  return json{{"m", "END_FAILED"}, {"Req", a.req}};
-                              },
-                              [](const SetTimer &a) {
-                                  return json{{"m", "SLEEP"}, {"SleepForS", seconds(a.after)}, {"Handle", 0}};
-                              },
-                              [](const Probe &a) {
-                                  return json{{"m", "INSPECT"}, {"Instance", a.server}};
-                              },
-                              [](const FollowList &a) {
-                                  return json{{"m", "KEEP_INFORMED"}, {"Active", a.active}};
-                              },
-                              [](const Vote &a) {
-                                  return json{{"m", "OPINION"},
-                                              {"BuildNo", a.build},
-                                              {"Step", a.step},
-                                              {"Sense", static_cast<int>(a.verdict)}};
-                              },
-                              [](const LogLine &a) {
-                                  return json{{"m", "SAY_LOG"}, {"Words", a.words}};
-                              },
-                          },
-                          action);
+    json out =
+        std::visit(Overload{
+                       [](const SendAttempt &a) {
+                           return json{{"m", "ROUTE"}, {"Req", a.requestId}, {"Instance", a.server}};
+                       },
+                       [](const CancelAttempt &a) {
+                           return json{{"m", "CALL_OFF"}, {"Req", a.requestId}, {"SendNo", a.attemptNumber}};
+                       },
+                       [](const Shed &a) {
+                           json j{{"m", "DENY"}, {"Req", a.requestId}};
+                           if (a.retryIn > Duration{0}) j["RetryInS"] = seconds(a.retryIn);
+                           return j;
+                       },
+                       [](const EndErrored &a) {
+                           return json{{"m", "END_FAILED"}, {"Req", a.requestId}};
+                       },
+                       [](const SetTimer &a) {
+                           return json{{"m", "SLEEP"}, {"SleepForS", seconds(a.after)}, {"Handle", 0}};
+                       },
+                       [](const Probe &a) {
+                           return json{{"m", "INSPECT"}, {"Instance", a.server}};
+                       },
+                       [](const FollowList &a) {
+                           return json{{"m", "KEEP_INFORMED"}, {"Active", a.active}};
+                       },
+                       [](const Vote &a) {
+                           return json{{"m", "OPINION"},
+                                       {"BuildNo", a.build},
+                                       {"Step", a.step},
+                                       {"Sense", static_cast<int>(a.verdict)}};
+                       },
+                       [](const LogLine &a) {
+                           return json{{"m", "SAY_LOG"}, {"Words", a.words}};
+                       },
+                   },
+                   action);
     out["Who"] = who;
     return out;
 }
--- a/src/simulator/codec.hpp
+++ b/src/simulator/codec.hpp
@@ -31,7 +31,7 @@
     std::vector<std::string> loadFields;  // of a load report, in order
     Duration keptIdle{};                  // connections to instances: closed when idle for so long
     Duration connectWithin{};
-    std::size_t reqsInHand = 0;
+    std::size_t maxRequestsInFlight = 0;
 
     Duration longestTimeout() const;
 };
--- a/tests/path/cells_test.cpp
+++ b/tests/path/cells_test.cpp
@@ -1,5 +1,5 @@
-// The cells of the rule table (tests/rules/table.csv) that need sockets: one non-retriable req is brought to
-// a stage, a fault strikes, and what the client and the instances have seen is judged at the end.
+// The cells of the rule table (tests/rules/table.csv) that need sockets: one non-retriable request is brought
+// to a stage, a fault strikes, and what the client and the instances have seen is judged at the end.
 #include "gateway_fixture.hpp"
 
 namespace deckcart::test {
@@ -75,12 +75,12 @@
     auto &c = client();
     const std::size_t length = stage == "sending" ? 16 * 1024 * 1024 : 4;
     const std::string head = "POST /once HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 300\r\nContent-Length: ";
-    std::string req = head + std::to_string(length) + "\r\n\r\n" + std::string(length, 'b');
+    std::string request = head + std::to_string(length) + "\r\n\r\n" + std::string(length, 'b');
     std::size_t at = 0;  // handed over piece by piece: the gateway reads in this same loop
     ASSERT_TRUE(until([&] {
-        const auto piece = std::min<std::size_t>(req.size() - at, 12288);
-        if (piece > 0) c.send(req.substr(at, piece)), at += piece;
-        return gateway->counts().tries == 1;
+        const auto piece = std::min<std::size_t>(request.size() - at, 12288);
+        if (piece > 0) c.send(request.substr(at, piece)), at += piece;
+        return gateway->counts().attempts == 1;
     }));
     ASSERT_TRUE(stage == "connecting" || until([&] { return victim.accepted; }));
     if (stage == "waiting" || answering) {
@@ -137,14 +137,14 @@
     if (fault == "resultLate") victim.write(rest);
     if (!gateway) return;
     EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 2500ms)) << "nothing of it is left";
-    const auto tries = gateway->counts().tries;
+    const auto attempts = gateway->counts().attempts;
     const auto decisions = gateway->counts().decisions;
     ASSERT_TRUE(fault == "shutdown" || until([&] { return gateway->counts().decisions > decisions + 5; }));
-    EXPECT_EQ(gateway->counts().tries, tries) << "nothing more is sent for it";
+    EXPECT_EQ(gateway->counts().attempts, attempts) << "nothing more is sent for it";
     EXPECT_EQ(c.statuses().size(), 1u);
     // Bytes of it at one instance at most, but for one that says it was full.
     std::size_t there = stage == "connecting" ? 0 : 1;
-    for (const auto &got : other.reqs) there += says(got, "/once");
+    for (const auto &got : other.requests) there += says(got, "/once");
     EXPECT_LE(there, fault == "full" ? 2u : 1u);
     EXPECT_EQ(gateway->counts().overdue, fault == "stalled" ? gateway->counts().overdue : 0u);
     EXPECT_TRUE(fault != "shutdown" || until([&] { return drained; }));
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -153,9 +153,9 @@
     auto &known = client();
     known.send(resp::command({"PING"}));
     ASSERT_TRUE(until([&] { return known.in == "+PONG\r\n"; }));
-    known.send(req("unread"));
+    known.send(request("unread"));
     auto &fresh = client();
-    fresh.send(req("fresh"));
+    fresh.send(request("fresh"));
     bool done = false;
     gateway->drain([&] { done = true; });
     EXPECT_TRUE(until([&] { return done; }));
@@ -167,7 +167,7 @@
 TEST_F(Crossing, ADrainWaitsForTheRestOfAReqThatHasBegunToCome) {
     instance(echo);
     begin();
-    const std::string whole = req("a");
+    const std::string whole = request("a");
     auto &c = client();
     c.send(whole.substr(0, whole.size() / 2));
     ASSERT_TRUE(until([&] { return gateway->connections() == 1; }));
@@ -187,13 +187,13 @@
     });
     begin();
     auto &c = client();
-    c.send(req("a"));
-    ASSERT_TRUE(until([&] { return tries() == 1; }));
+    c.send(request("a"));
+    ASSERT_TRUE(until([&] { return attempts() == 1; }));
     bool done = false;
     gateway->drain([&] { done = true; });
     settleDown();
     one.say(served("of a"));  // ready first, so read first
-    c.send(req("b"));
+    c.send(request("b"));
     EXPECT_TRUE(until([&] { return done && c.closed; }));
     EXPECT_EQ(c.in, resp::bulk("of a") + resp::bulk("of b"));
 }
@@ -202,13 +202,13 @@
     instance(silent);
     begin();
     auto &c = client();
-    c.send(req("a"));
-    ASSERT_TRUE(until([&] { return tries() == 1; }));
+    c.send(request("a"));
+    ASSERT_TRUE(until([&] { return attempts() == 1; }));
     gateway->endInHand();
-    c.send(req("b"));
+    c.send(request("b"));
     EXPECT_TRUE(until([&] { return c.in.find("-BUSY") != std::string::npos; }, 1s)) << c.in;
     EXPECT_TRUE(c.in.starts_with("-ERR failed\r\n-BUSY"));
-    EXPECT_EQ(tries(), 1u);
+    EXPECT_EQ(attempts(), 1u);
 }
 
 TEST_F(Crossing, AnIdleTimeThatEndsAsAReqComesServesTheReq) {
@@ -232,21 +232,21 @@
     EXPECT_EQ(c.in, "+PONG\r\n+PONG\r\n");
 }
 
-// ---- reqs and attempts ----
+// ---- requests and attempts ----
 
 TEST_F(Crossing, ACloseThatIsUnreadWhenAnAttemptFailsSendsNothingFurther) {
     instance(silent);
     begin();
     auto &c = client();
-    c.send(req("a"));
-    ASSERT_TRUE(until([&] { return tries() == 1; }));
+    c.send(request("a"));
+    ASSERT_TRUE(until([&] { return attempts() == 1; }));
     auto &sound = instance(echo);
     ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
     instances[0].say("-ERR failed\r\n");  // ready first, so read first
     c.hangUp();
     EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }));
     EXPECT_EQ(gateway->counts().gone, 1u);
-    EXPECT_EQ(gateway->counts().tries, 1u);
+    EXPECT_EQ(gateway->counts().attempts, 1u);
     EXPECT_EQ(sound.commands.size(), 0u);
 }
 
@@ -255,7 +255,7 @@
     begin();
     auto &c = client();
     std::string many;
-    for (int k = 0; k < 100; ++k) many += req("r" + std::to_string(k));
+    for (int k = 0; k < 100; ++k) many += request("r" + std::to_string(k));
     c.send(many);
     ASSERT_TRUE(until([&] { return gateway->counts().taken >= 64; }));
     settleDown();
@@ -271,8 +271,8 @@
     auto &slow = slowToConnect("slow");
     begin();
     auto &c = client();
-    c.send(req("a"));
-    ASSERT_TRUE(until([&] { return gateway->counts().tries == 1; }));
+    c.send(request("a"));
+    ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     c.hangUp();
     EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 800ms)) << "not when the connection is up";
     slow.acceptAll();
@@ -285,8 +285,8 @@
     auto &slow = slowToConnect("s");
     begin();
     auto &c = client();
-    c.send(req("a", "once"));
-    ASSERT_TRUE(until([&] { return gateway->counts().tries == 1; }));
+    c.send(request("a", "once"));
+    ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     auto &now = instances.emplace_back(io, echo);
     standin.list("s", now.address());
     io.restart();
@@ -300,8 +300,8 @@
     auto &one = instance(echo);
     begin();
     auto &c = client();
-    c.send(req("a"));
-    ASSERT_TRUE(until([&] { return gateway->counts().tries == 1; }));
+    c.send(request("a"));
+    ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     clock.ahead += 150ms;  // while its connection comes up
     ASSERT_TRUE(until([&] { return !c.in.empty(); }));
     EXPECT_LE(timeTold(one), 2850);
@@ -312,7 +312,7 @@
     auto &one = instance(echo);
     begin();
     auto &c = client();
-    const std::string first = req("a"), second = req("b", "deduped");
+    const std::string first = request("a"), second = request("b", "deduped");
     for (std::size_t k = 0; k + 1 < first.size(); ++k) {
         c.send(first.substr(k, 1));
         io.restart();
@@ -331,15 +331,15 @@
     standin.list("early", format(early.local_endpoint()));
     begin();
     auto &c = client();
-    c.send(req("a", "once"));
-    ASSERT_TRUE(until([&] { return gateway->counts().tries == 1; }));
+    c.send(request("a", "once"));
+    ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     // The kernel has connected them; the gateway's loop has not heard of it.
     tcp::socket peer = early.accept();
     asio::write(peer, asio::buffer(served("of another")));
     early.close();
     instance(echo);
     EXPECT_TRUE(until([&] { return c.in == resp::bulk("of a"); })) << c.in;
-    EXPECT_EQ(tries(), 1u);
+    EXPECT_EQ(attempts(), 1u);
 }
 
 // ---- idle connections ----
@@ -376,7 +376,7 @@
     EXPECT_EQ(ask("a"), resp::bulk("of a"));
     const auto before = one.opened;
     auto &c = client();
-    c.send(req("b", "once"));  // ready first, so read first
+    c.send(request("b", "once"));  // ready first, so read first
     one.closeLatest();
     EXPECT_TRUE(until([&] { return !c.in.empty(); }));
     EXPECT_EQ(c.in, resp::bulk("of b"));
@@ -446,8 +446,8 @@
     auto &one = instance(silent);
     launch();
     auto &c = clientOf(listens());
-    c.send(req("a"));
-    ASSERT_TRUE(until([&] { return tries() == 1; })) << logged();
+    c.send(request("a"));
+    ASSERT_TRUE(until([&] { return attempts() == 1; })) << logged();
     kill(pid, SIGHUP);
     kill(pid, SIGTERM);
     ASSERT_TRUE(says("draining"));
@@ -465,8 +465,8 @@
     instance(silent);
     launch();
     auto &c = clientOf(listens());
-    c.send(req("a", "once", "3900"));
-    ASSERT_TRUE(until([&] { return tries() == 1; })) << logged();
+    c.send(request("a", "once", "3900"));
+    ASSERT_TRUE(until([&] { return attempts() == 1; })) << logged();
     const auto from = std::chrono::steady_clock::now();
     kill(pid, SIGTERM);
     EXPECT_TRUE(until([&] { return c.closed; }));
@@ -496,7 +496,7 @@
     std::string log;
     while ((log = logged()).find("\"listening\"") == std::string::npos && !ended()) std::this_thread::yield();
     auto &c = clientOf(listens());
-    c.send(req("a", "once"));
+    c.send(request("a", "once"));
     EXPECT_TRUE(until([&] { return !c.in.empty(); }));
     EXPECT_EQ(c.in, resp::bulk("of a"));
     EXPECT_EQ(old.commands.size(), 0u);
--- a/tests/path/gateway_fixture.hpp
+++ b/tests/path/gateway_fixture.hpp
@@ -26,7 +26,7 @@
     SteadyClock steady;
 };
 
-// What an instance does once it has read a whole req.
+// What an instance does once it has read a whole request.
 struct Reply {
     std::string bytes;
     enum class Then { keep, close, reset } then = Then::keep;
@@ -41,13 +41,13 @@
 
 class ScriptedInstance {
   public:
-    using Script = std::function<Reply(std::size_t nth, const std::string &req)>;
+    using Script = std::function<Reply(std::size_t nth, const std::string &request)>;
     ScriptedInstance(asio::io_context &io, Script what)
         : script(std::move(what)), acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
         accept();
     }
     ServerId id() const { return format(acceptor.local_endpoint()); }
-    std::vector<std::string> reqs;
+    std::vector<std::string> requests;
     std::size_t opened = 0, open = 0;
 
   private:
@@ -76,10 +76,10 @@
             if (const auto at = peer->in.find("Content-Length: "); at < end)
                 length = std::stoul(peer->in.substr(at + 16));
             if (peer->in.size() < end + 4 + length) return read(peer);
-            const std::string req = peer->in.substr(0, end + 4 + length);
+            const std::string request = peer->in.substr(0, end + 4 + length);
             peer->in.erase(0, end + 4 + length);
-            reqs.push_back(req);
-            const Reply reply = script(reqs.size() - 1, req);
+            requests.push_back(request);
+            const Reply reply = script(requests.size() - 1, request);
             const auto bytes = std::make_shared<std::string>(reply.bytes);
             asio::async_write(peer->socket, asio::buffer(*bytes),
                               [this, peer, bytes, then = reply.then](asio::error_code, std::size_t) {
@@ -236,7 +236,7 @@
         ASSERT_TRUE(until([&] { return gateway->stage().has_value(); }));
     }
     RawClient &client() { return clients.emplace_back(io, gateway->address()); }
-    // Sends one req on a connection of its own and waits for its end.
+    // Sends one request on a connection of its own and waits for its end.
     std::string ask(const std::string &path, const std::string &headers = "",
                     const std::string &method = "POST") {
         auto &c = client();
@@ -244,7 +244,7 @@
         until([&] { return c.closed; });
         return c.in;
     }
-    // So many reqs at the same time, each of which must be completed.
+    // So many requests at the same time, each of which must be completed.
     void askAtOnce(int n) {
         const auto first = long(clients.size());
         for (int k = 0; k < n; ++k)
