--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -8,7 +8,7 @@
 
 std::size_t total(const std::deque<ScriptedInstance> &all) {
     std::size_t n = 0;
-    for (const auto &one : all) n += one.reqs.size();
+    for (const auto &one : all) n += one.requests.size();
     return n;
 }
 
@@ -21,8 +21,8 @@
     EXPECT_EQ(statusOf(answer), 200);
     EXPECT_TRUE(says(answer, "Deckcart-End: completed"));
     EXPECT_TRUE(says(answer, "Deckcart-Build: 1"));
-    EXPECT_TRUE(says(instances[0].reqs[0], "X-Key: k"));
-    EXPECT_FALSE(says(instances[0].reqs[0], "Connection: close"))
+    EXPECT_TRUE(says(instances[0].requests[0], "X-Key: k"));
+    EXPECT_FALSE(says(instances[0].requests[0], "Connection: close"))
         << "the client's connection is not the instance's";
 }
 
@@ -34,7 +34,7 @@
     }
     start();
     for (int k = 0; k < 12; ++k) EXPECT_EQ(statusOf(ask("/once")), 200) << k;
-    EXPECT_EQ(instances[0].reqs.size(), 12u);
+    EXPECT_EQ(instances[0].requests.size(), 12u);
 }
 
 TEST_F(Path, ResetAfterTheReqIsErroredWhereItMayNotRunTwice) {
@@ -53,11 +53,11 @@
     EXPECT_EQ(statusOf(ask("/deduped", "Idempotency-Key: m-1\r\nX-Remaining-Ms: 3000\r\n")), 200);
     ASSERT_EQ(total(instances), 2u);
     for (const auto &i : instances)
-        for (const auto &req : i.reqs) {
-            EXPECT_TRUE(says(req, "Idempotency-Key: m-1\r\n"));
-            const auto at = req.find("X-Remaining-Ms: ");
+        for (const auto &request : i.requests) {
+            EXPECT_TRUE(says(request, "Idempotency-Key: m-1\r\n"));
+            const auto at = request.find("X-Remaining-Ms: ");
             ASSERT_NE(at, std::string::npos);
-            EXPECT_LE(std::atoi(req.c_str() + at + 16), 3000);
+            EXPECT_LE(std::atoi(request.c_str() + at + 16), 3000);
         }
 }
 
@@ -160,7 +160,7 @@
     EXPECT_EQ(statusOf(ask("/once")), 200);
     EXPECT_EQ(statusOf(ask("/once")), 502);
     EXPECT_EQ(instances[0].opened, 1u);
-    EXPECT_EQ(instances[0].reqs.size(), 2u);
+    EXPECT_EQ(instances[0].requests.size(), 2u);
 }
 
 TEST_F(Path, AnInterimAnswerIsNotTheAnswer) {
@@ -210,7 +210,7 @@
 
 TEST_F(Path, AReaderThatStopsHoldsTheInstanceBackAndIsCutOffWhileOthersGoOn) {
     const std::string large(24'000'000, 'x');
-    instance([&](auto, const std::string &req) { return says(req, "/large") ? ok(large) : ok(); });
+    instance([&](auto, const std::string &request) { return says(request, "/large") ? ok(large) : ok(); });
     document["limits"] = {{"slowPeerMs", 400}, {"waitingBytes", 65536}};
     start();
     auto &slow = client();
@@ -225,8 +225,9 @@
 // ---- clients ----
 
 TEST_F(Path, PipelinedReqsAreAnsweredInOrderAcrossAnError) {
-    instance(
-        [](auto, const std::string &req) { return says(req, "/once") ? status(500) : ok(req.substr(5, 2)); });
+    instance([](auto, const std::string &request) {
+        return says(request, "/once") ? status(500) : ok(request.substr(5, 2));
+    });
     start();
     auto &c = client();
     c.send("GET /a1 HTTP/1.1\r\nHost: r\r\n\r\nPOST /once HTTP/1.1\r\nHost: r\r\nContent-Length: 3\r\n\r\nabc"
@@ -254,9 +255,10 @@
 }
 
 TEST_F(Path, HeadContinueAndUpgrade) {
-    instance([](auto, const std::string &req) {
-        return req.starts_with("HEAD") ? Reply{"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n", Then::keep}
-                                       : ok();
+    instance([](auto, const std::string &request) {
+        return request.starts_with("HEAD")
+                   ? Reply{"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n", Then::keep}
+                   : ok();
     });
     start();
     const auto head = ask("/x", "", "HEAD");
@@ -270,7 +272,7 @@
     ASSERT_TRUE(until([&] { return c.statuses() == std::vector<int>{100}; }));
     c.send("abc");
     ASSERT_TRUE(until([&] { return c.statuses() == std::vector<int>({100, 200}); }));
-    EXPECT_TRUE(instances[0].reqs.back().ends_with("abc"));
+    EXPECT_TRUE(instances[0].requests.back().ends_with("abc"));
 
     EXPECT_EQ(statusOf(ask("/x", "Upgrade: websocket\r\nConnection: upgrade\r\n", "GET")), 501);
 }
@@ -371,26 +373,27 @@
     instance([](auto, auto &) { return ok(); });
     start();
     askAtOnce(10);
-    ASSERT_GT(instances[0].reqs.size(), 0u);
+    ASSERT_GT(instances[0].requests.size(), 0u);
     ASSERT_GT(instances[0].open, 0u);
     desk.list(instances[0].id(), 1, Readiness::draining);
     ASSERT_TRUE(until([&] {
         return gateway->listed().front().readiness != Readiness::live ||
                gateway->listed().back().readiness != Readiness::live;
     }));
-    const auto before = instances[0].reqs.size();
+    const auto before = instances[0].requests.size();
     askAtOnce(10);
-    EXPECT_EQ(instances[0].reqs.size(), before);
+    EXPECT_EQ(instances[0].requests.size(), before);
     EXPECT_TRUE(until([&] { return instances[0].open == 0; })) << "idle connections to it are closed";
 }
 
 TEST_F(Path, ADrainBetweenChoiceAndConnectIsKept) {
     // The two choices are asked for their load and never answer; both drain meanwhile.
     const auto probed = [](const ScriptedInstance &i) {
-        return !i.reqs.empty() && says(i.reqs[0], "GET /probe");
+        return !i.requests.empty() && says(i.requests[0], "GET /probe");
     };
     for (int k = 0; k < 3; ++k)
-        instance([](auto, const std::string &req) { return says(req, "GET /probe") ? Reply{} : ok(); });
+        instance(
+            [](auto, const std::string &request) { return says(request, "GET /probe") ? Reply{} : ok(); });
     document["gateway"]["count"] = 20;
     document["allowed"] = {{"inHandField", 1}};
     start();
@@ -409,7 +412,7 @@
     clock.held.reset();
     ASSERT_TRUE(until([&] { return c.statuses().size() == 1; }));
     EXPECT_EQ(c.statuses(), std::vector<int>{200});
-    for (const auto &i : instances) EXPECT_EQ(i.reqs.size(), 1u) << "probed, or sent the req: never both";
+    for (const auto &i : instances) EXPECT_EQ(i.requests.size(), 1u) << "probed, or sent the req: never both";
 }
 
 TEST_F(Path, AConnectThatIsLateIsNotUsed) {
@@ -447,12 +450,12 @@
     start();
     auto &c = client();
     c.send("POST /once HTTP/1.1\r\nHost: r\r\n\r\n");
-    ASSERT_TRUE(until([&] { return gateway->counts().tries == 1; }));
+    ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     auto &other = instance([](auto, auto &) { return ok(); });
     desk.list(hangs, 1, Readiness::draining);
     ASSERT_TRUE(until([&] { return c.statuses().size() == 1; }, 900ms)) << "before the connect could be made";
     EXPECT_EQ(c.statuses(), std::vector<int>{200});
-    EXPECT_EQ(other.reqs.size(), 1u);
+    EXPECT_EQ(other.requests.size(), 1u);
 }
 
 TEST_F(Path, ARepeatLeavesTimeToConnectWithinItsWindow) {
@@ -490,8 +493,8 @@
 
 TEST_F(Path, ManyGatewaysAskForLoadFirst) {
     for (int k = 0; k < 3; ++k)
-        instance([](auto, const std::string &req) {
-            return says(req, "GET /probe")
+        instance([](auto, const std::string &request) {
+            return says(request, "GET /probe")
                        ? Reply{"HTTP/1.1 200 OK\r\nX-Load: 12.5, 3\r\nContent-Length: 0\r\n\r\n", Then::keep}
                        : ok();
         });
@@ -501,7 +504,7 @@
     EXPECT_EQ(statusOf(ask("/x")), 200);
     std::size_t probes = 0;
     for (const auto &i : instances)
-        for (const auto &req : i.reqs) probes += req.starts_with("GET /probe");
+        for (const auto &request : i.requests) probes += request.starts_with("GET /probe");
     EXPECT_EQ(probes, 2u);
 }
 
@@ -520,8 +523,8 @@
     ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
     EXPECT_TRUE(until([&] { return c.statuses().size() == 1; }));
     EXPECT_EQ(c.statuses(), std::vector<int>{504});
-    for (int k = 0; k < 8 && second.reqs.empty(); ++k) ask("/x", "X-Remaining-Ms: 300\r\n");
-    EXPECT_FALSE(second.reqs.empty()) << "the new start of the module has the list";
+    for (int k = 0; k < 8 && second.requests.empty(); ++k) ask("/x", "X-Remaining-Ms: 300\r\n");
+    EXPECT_FALSE(second.requests.empty()) << "the new start of the module has the list";
 }
 
 TEST_F(Path, TheModuleIsNotStartedAnewBesideABuildOnTrial) {
@@ -557,8 +560,10 @@
 
 TEST_F(Path, AStandstillIsNoInstancesLatencyAndWhatIsOverdueIsAnsweredFirst) {
     std::size_t held = 0;
-    instance([&](auto, const std::string &req) { return says(req, "/once") ? (++held, Reply{}) : ok(); });
-    instance([&](auto, const std::string &req) { return says(req, "/once") ? (++held, Reply{}) : ok(); });
+    instance(
+        [&](auto, const std::string &request) { return says(request, "/once") ? (++held, Reply{}) : ok(); });
+    instance(
+        [&](auto, const std::string &request) { return says(request, "/once") ? (++held, Reply{}) : ok(); });
     start();
     askAtOnce(20);
     auto &overdue = client();
@@ -574,10 +579,10 @@
     EXPECT_TRUE(until([&] { return after.closed; }));
     EXPECT_EQ(gateway->counts().standstills, 1u);
     // Both instances are as well as before: nothing is shed, both are used.
-    const std::size_t before[] = {instances[0].reqs.size(), instances[1].reqs.size()};
+    const std::size_t before[] = {instances[0].requests.size(), instances[1].requests.size()};
     askAtOnce(30);
-    EXPECT_GT(instances[0].reqs.size(), before[0]);
-    EXPECT_GT(instances[1].reqs.size(), before[1]);
+    EXPECT_GT(instances[0].requests.size(), before[0]);
+    EXPECT_GT(instances[1].requests.size(), before[1]);
 }
 
 TEST_F(Path, OnlyAnAnswerThatWasGivenHereCanBeReportedWrong) {
@@ -642,17 +647,17 @@
     gateway = std::make_unique<Gateway>(io, clock, *read.orders, 1, Log(), *parseAddress("127.0.0.1:0"));
     gateway->remember(list);
     for (int k = 0; k < 40; ++k) EXPECT_EQ(statusOf(ask("/x")), 200) << "hardly an earlier build is left";
-    EXPECT_LE(total(instances) - instances[0].reqs.size(), 2 + 4u) << "told nothing: spare and a tenth";
+    EXPECT_LE(total(instances) - instances[0].requests.size(), 2 + 4u) << "told nothing: spare and a tenth";
 }
 
-// ---- tries, counted where they arrive ----
+// ---- attempts, counted where they arrive ----
 
 TEST_F(Path, WhenAllFailsTheSocketsSeeWhatTheModuleSentAndNoMore) {
-    std::map<std::string, int> arrived;  // by the client's id of the req
+    std::map<std::string, int> arrived;  // by the client's id of the request
     for (int k = 0; k < 3; ++k)
-        instance([&](auto, const std::string &req) {
-            const auto at = req.find("X-Request-Id: ");
-            ++arrived[req.substr(at, req.find('\r', at) - at)];
+        instance([&](auto, const std::string &request) {
+            const auto at = request.find("X-Request-Id: ");
+            ++arrived[request.substr(at, request.find('\r', at) - at)];
             return Reply{"", Then::reset};
         });
     document["allowed"] = {{"mostTries", 3}};
@@ -661,10 +666,11 @@
     for (int k = 0; k < n; ++k)
         EXPECT_EQ(statusOf(ask(k % 4 ? "/x" : "/once", "X-Request-Id: q" + std::to_string(k) + "\r\n")) / 100,
                   5);
-    EXPECT_EQ(total(instances), gateway->counts().tries) << "no layer below the module sends anything again";
-    for (const auto &[req, times] : arrived) EXPECT_LE(times, 3) << req;
+    EXPECT_EQ(total(instances), gateway->counts().attempts)
+        << "no layer below the module sends anything again";
+    for (const auto &[request, times] : arrived) EXPECT_LE(times, 3) << request;
     for (int k = 0; k < n; k += 4) EXPECT_LE(arrived["X-Request-Id: q" + std::to_string(k)], 1) << k;
-    // First tries, a fifth of them again, and what was saved up before.
+    // First attempts, a fifth of them again, and what was saved up before.
     EXPECT_LE(total(instances), n + n / 5 + 10u);
 }
 
--- a/tests/path/platform_fixture.hpp
+++ b/tests/path/platform_fixture.hpp
@@ -180,8 +180,8 @@
         out["settings"]["Limits"].update(limits);
         return out;
     }
-    // `rest`: of a connection before it is used again, instead of the bounds' own: a test of many reqs takes
-    // no longer than that.
+    // `rest`: of a connection before it is used again, instead of the bounds' own: a test of many requests
+    // takes no longer than that.
     void begin(std::size_t sockets = 256, std::optional<Duration> rest = std::nullopt) {
         configuration = platform::readStart(document(sockets).dump());
         auto bounds = platform::divide(sockets, 32, 1000, configuration.settings.keptIdle);
@@ -194,8 +194,8 @@
         ASSERT_TRUE(until([&] { return gateway->stage().has_value() && !standin.watchers.empty(); }));
     }
     RawClient &client() { return clients.emplace_back(io, gateway->address()); }
-    static std::string req(const std::string &id, const std::string &route = "any",
-                           const std::string &wait = "3000") {
+    static std::string request(const std::string &id, const std::string &route = "any",
+                               const std::string &wait = "3000") {
         if (route == "any") return resp::command({"Q.ASK", "key-" + id, id, "c=any,t=x,d=" + wait});
         return resp::command({"Q.DO", "key-" + id, id, "c=" + route + ",t=x,d=" + wait + ",k=1f", "body"});
     }
@@ -206,11 +206,11 @@
     }
     std::string ask(const std::string &id, const std::string &route = "any") {
         auto &c = client();
-        c.send(req(id, route));
+        c.send(request(id, route));
         EXPECT_TRUE(until([&] { return whole(c.in) || c.closed; }));
         return c.in;
     }
-    std::size_t tries() const {
+    std::size_t attempts() const {
         std::size_t n = 0;
         for (const auto &one : instances) n += one.commands.size();
         return n;
--- a/tests/path/platform_test.cpp
+++ b/tests/path/platform_test.cpp
@@ -10,13 +10,13 @@
     auto &c = client();
     std::string all = resp::command({"PING"}), wanted = "+PONG\r\n";
     for (int k = 0; k < 200; ++k) {
-        all += req("r" + std::to_string(k), k % 3 ? "any" : "deduped");
+        all += request("r" + std::to_string(k), k % 3 ? "any" : "deduped");
         wanted += resp::bulk("of r" + std::to_string(k));
     }
     c.send(all);
     EXPECT_TRUE(until([&] { return c.in.size() >= wanted.size(); }));
     EXPECT_EQ(c.in, wanted);
-    EXPECT_EQ(tries(), 200u);
+    EXPECT_EQ(attempts(), 200u);
     EXPECT_EQ(gateway->counts().completed, 200u);
     EXPECT_LE(instances[0].opened + instances[1].opened + instances[2].opened, 110u)
         << "connections are used again";
@@ -47,11 +47,11 @@
         fails = true;
         EXPECT_EQ(ask("a" + std::to_string(row)), resp::bulk("of a" + std::to_string(row))) << rows[row].name;
         fails = true;
-        const std::size_t before = tries();
+        const std::size_t before = attempts();
         const std::string once = ask("o" + std::to_string(row), "once");
         if (rows[row].ran) {
             EXPECT_EQ(once, "-ERR failed\r\n") << rows[row].name;
-            EXPECT_EQ(tries(), before + 1) << "no effect twice: " << rows[row].name;
+            EXPECT_EQ(attempts(), before + 1) << "no effect twice: " << rows[row].name;
         } else EXPECT_EQ(once, resp::bulk("of o" + std::to_string(row))) << rows[row].name;
     }
 }
@@ -63,7 +63,7 @@
     begin();
     EXPECT_EQ(ask("large"), resp::bulk("large" + std::string(194000, 'v')));
     auto &c = client();
-    c.send(req("huge", "once"));
+    c.send(request("huge", "once"));
     EXPECT_TRUE(until([&] { return c.in == "-ERR failed\r\n"; }));
 }
 
@@ -107,17 +107,17 @@
             << bad.substr(0, 30);
         EXPECT_TRUE(c.in.empty() || c.in.starts_with("-ERR ")) << c.in;
     }
-    EXPECT_EQ(tries(), 12u) << "of the usual clients alone";
+    EXPECT_EQ(attempts(), 12u) << "of the usual clients alone";
 }
 
 TEST_F(Platform, AnswersOwedComeBeforeTheErrorAndTheEnd) {
     instance(echo);
     begin();
     auto &c = client();
-    c.send(req("a") + req("b") + "noise\r\n" + req("c"));
+    c.send(request("a") + request("b") + "noise\r\n" + request("c"));
     EXPECT_TRUE(until([&] { return c.closed; }));
     EXPECT_TRUE(c.in.starts_with(resp::bulk("of a") + resp::bulk("of b") + "-ERR ")) << c.in;
-    EXPECT_EQ(tries(), 2u);
+    EXPECT_EQ(attempts(), 2u);
 }
 
 TEST_F(Platform, AnIdThatIsKnownGoesToNoInstance) {
@@ -125,7 +125,7 @@
     begin();
     EXPECT_EQ(ask("x"), resp::bulk("of x"));
     EXPECT_TRUE(ask("x").starts_with("-ERR "));
-    EXPECT_EQ(tries(), 1u);
+    EXPECT_EQ(attempts(), 1u);
 }
 
 TEST_F(Platform, SilentConnectionsMakeRoomForUsualOnes) {
@@ -144,8 +144,8 @@
     instance([](std::size_t, const std::vector<std::string> &) { return Reply{""}; });
     begin();
     auto &c = client();
-    c.send(req("a"));
-    ASSERT_TRUE(until([&] { return tries() == 1; }));
+    c.send(request("a"));
+    ASSERT_TRUE(until([&] { return attempts() == 1; }));
     c.hangUp();
     EXPECT_TRUE(until([&] { return gateway->counts().gone == 1 && gateway->inHand() == 0; }));
 }
@@ -158,7 +158,7 @@
     idle.send(resp::command({"PING"}));
     ASSERT_TRUE(until([&] { return idle.in == "+PONG\r\n"; }));
     auto &c = client();
-    c.send(req("a"));
+    c.send(request("a"));
     ASSERT_TRUE(until([&] { return gateway->inHand() == 1; }));
     bool done = false;
     gateway->drain([&] { done = true; });
@@ -170,8 +170,8 @@
     instance([](std::size_t, const std::vector<std::string> &) { return Reply{""}; });
     begin();
     auto &c = client();
-    c.send(req("a") + req("b", "once"));
-    ASSERT_TRUE(until([&] { return tries() == 2; }));
+    c.send(request("a") + request("b", "once"));
+    ASSERT_TRUE(until([&] { return attempts() == 2; }));
     gateway->endInHand();
     EXPECT_TRUE(until([&] { return c.in == "-ERR failed\r\n-ERR failed\r\n"; })) << c.in;
     EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }));
@@ -245,8 +245,8 @@
     standin.list("slow", format(full.local_endpoint()));
     begin();
     auto &c = client();
-    c.send(req("a", "once"));
-    ASSERT_TRUE(until([&] { return gateway->counts().tries >= 1; }));
+    c.send(request("a", "once"));
+    ASSERT_TRUE(until([&] { return gateway->counts().attempts >= 1; }));
     auto &sound = instance(echo);
     standin.list("slow", format(full.local_endpoint()), 2);
     EXPECT_TRUE(until([&] { return c.in == resp::bulk("of a"); }, 2s)) << "it is sent elsewhere: " << c.in;
--- a/tests/path/sources_test.cpp
+++ b/tests/path/sources_test.cpp
@@ -79,9 +79,9 @@
     servers[0]->serve(records({0, 1}));
     ASSERT_TRUE(until([&] { return live() == 2; }));
     EXPECT_TRUE(lists(instances[2].id()));
-    const auto before = instances[2].reqs.size();
+    const auto before = instances[2].requests.size();
     for (int k = 0; k < 10; ++k) EXPECT_EQ(statusOf(ask("/x")), 200);
-    EXPECT_EQ(instances[2].reqs.size(), before) << "sent after it was withdrawn";
+    EXPECT_EQ(instances[2].requests.size(), before) << "sent after it was withdrawn";
     EXPECT_TRUE(until([&] { return !lists(instances[2].id()); }));
 }
 
@@ -291,7 +291,7 @@
     for (const auto &one : gateway->listed())
         EXPECT_EQ(one.readiness == Readiness::draining, one.id == instances[1].id());
     for (int k = 0; k < 10; ++k) EXPECT_EQ(statusOf(ask("/x")), 200);
-    EXPECT_TRUE(instances[1].reqs.empty());
+    EXPECT_TRUE(instances[1].requests.empty());
 }
 
 TEST_F(Sources, NewOrdersKeepWhatIsKnown) {
--- a/tests/policy_script_runner.cpp
+++ b/tests/policy_script_runner.cpp
@@ -43,7 +43,7 @@
 struct Answer {
     Outcome how = Outcome::ok;
     double after = 0.05;
-    double failShare = 0;                // of the tries fail instead, evenly spread
+    double failShare = 0;                // of the attempts fail instead, evenly spread
     double lostShare = 0;                // are done, but their answers never come
     bool silent = false, twice = false;  // twice: the result is told a second time
     double load = 0;
@@ -67,25 +67,25 @@
     std::map<ServerId, Answer> answers;
     std::multimap<Duration, std::function<void()>> due;
     std::vector<std::pair<Duration, std::string>> seen;
-    std::map<ReqId, int> tries, routeOf, finals, open;
-    std::map<std::pair<ReqId, int>, ServerId> sentTo;
-    std::set<std::pair<ReqId, int>> over;  // tries that have ended
-    ReqId nextReq = 1000;
+    std::map<RequestId, int> attempts, routeOf, finals, open;
+    std::map<std::pair<RequestId, int>, ServerId> sentTo;
+    std::set<std::pair<RequestId, int>> over;  // attempts that have ended
+    RequestId nextRequestId = 1000;
     int life = 0;  // starts of the instance
     StageNews told{};
     rehearsal::Records records;
-    std::map<ReqId, std::size_t> client;                      // its place in the records
-    std::map<std::pair<ReqId, int>, std::size_t> receivedAs;  // a try's place, likewise
+    std::map<RequestId, std::size_t> client;                      // its place in the records
+    std::map<std::pair<RequestId, int>, std::size_t> receivedAs;  // a try's place, likewise
     std::map<ServerId, std::vector<Duration>> sends;
 
     World() {
-        start.seed = 7, start.gateways = 3, start.mostTries = 4, start.mayCancel = true;
+        start.seed = 7, start.gateways = 3, start.maxAttempts = 4, start.mayCancel = true;
         start.routes = {{span(0.8), Effect::retriable, Group::all, span(5)},
                         {span(1.2), Effect::deduped, Group::all, span(5)},
                         {span(1.2), Effect::nonRetriable, Group::all, span(5)}};
         start.retryAfterTold = true, start.longestRetryAfter = span(1);
         start.coldFrom = 0.4, start.warmWithin = span(4), start.tipMultiple = 2;
-        start.overloadFor = span(3), start.gate = Gate::byCount, start.spareTries = 2,
+        start.overloadFor = span(3), start.gate = Gate::byCount, start.exposureAllowance = 2,
         start.exposureSpan = span(4);
         start.exposureCaps = {0.2, 0.5, 1}, start.stageShares = {0.1, 0.5, 1}, start.voteLife = span(6);
         start.voteAnswerWithin = span(0.8);
@@ -97,34 +97,35 @@
     void note(const std::string &text) { seen.push_back({now, text}); }
 
     void take(const Action &action) {
-        if (const auto *a = std::get_if<SendTry>(&action)) {
-            assert(!finals[a->req] && "a try after the final answer");
-            const int tryNo = tries[a->req]++;
-            ++open[a->req], sentTo[{a->req, tryNo}] = a->server;
+        if (const auto *a = std::get_if<SendAttempt>(&action)) {
+            assert(!finals[a->requestId] && "a try after the final answer");
+            const int attemptNumber = attempts[a->requestId]++;
+            ++open[a->requestId], sentTo[{a->requestId, attemptNumber}] = a->server;
             const ServerEntry &to = servers.at(a->server);
-            receivedAs[{a->req, tryNo}] = records.instances.size();
-            records.instances.push_back({records.clients.at(client.at(a->req)).req, a->server, to.zone,
-                                         to.cell, to.build, now, true});
+            receivedAs[{a->requestId, attemptNumber}] = records.instances.size();
+            records.instances.push_back({records.clients.at(client.at(a->requestId)).requestId, a->server,
+                                         to.zone, to.cell, to.build, now, true});
             sent(to);
-            note("send req=" + std::to_string(a->req) + " server=" + a->server +
-                 " build=" + std::to_string(to.build) + " try=" + std::to_string(tryNo));
+            note("send req=" + std::to_string(a->requestId) + " server=" + a->server +
+                 " build=" + std::to_string(to.build) + " try=" + std::to_string(attemptNumber));
             Answer &answer = answers[a->server];
             if (answer.silent) return;
             Outcome how = answer.how;
-            const bool hit = answer.route < 0 || answer.route == routeOf[a->req];
+            const bool hit = answer.route < 0 || answer.route == routeOf[a->requestId];
             const int n = ++answer.seen;
             const auto falls = [&](double share) {
                 return std::floor(n * share) > std::floor((n - 1) * share);
             };
             if (hit && falls(answer.failShare)) how = Outcome::error;
             if (falls(answer.lostShare)) return;
-            end(*a, tryNo, how, span(answer.after * (0.7 + 0.06 * (n * 7 % 10))));
-        } else if (const auto *c = std::get_if<CancelTry>(&action)) {
-            note("cancel req=" + std::to_string(c->req));
-            SendTry t{c->req, sentTo.at({c->req, c->tryNo})};
-            if (!over.count({c->req, c->tryNo})) end(t, c->tryNo, Outcome::cancelled, span(0.01));
-        } else if (const auto *s = std::get_if<Shed>(&action)) final(s->req, "shed");
-        else if (const auto *e = std::get_if<EndErrored>(&action)) final(e->req, "errored");
+            end(*a, attemptNumber, how, span(answer.after * (0.7 + 0.06 * (n * 7 % 10))));
+        } else if (const auto *c = std::get_if<CancelAttempt>(&action)) {
+            note("cancel req=" + std::to_string(c->requestId));
+            SendAttempt t{c->requestId, sentTo.at({c->requestId, c->attemptNumber})};
+            if (!over.count({c->requestId, c->attemptNumber}))
+                end(t, c->attemptNumber, Outcome::cancelled, span(0.01));
+        } else if (const auto *s = std::get_if<Shed>(&action)) final(s->requestId, "shed");
+        else if (const auto *e = std::get_if<EndErrored>(&action)) final(e->requestId, "errored");
         else if (const auto *t = std::get_if<SetTimer>(&action)) {
             due.emplace(now + t->after, [this] { give(TimerFired{}); });
         } else if (const auto *v = std::get_if<Vote>(&action)) {
@@ -161,35 +162,38 @@
     void audit() {
         rehearsal::RuleFigures figures;
         figures.routes = start.routes, figures.drainGrace = Duration{0},
-        figures.spareTries = start.spareTries;
+        figures.exposureAllowance = start.exposureAllowance;
         figures.exposureSpan = start.exposureSpan, figures.keysStay = start.keysStay;
         figures.firstCap = start.exposureCaps.front(), figures.guardedStages = start.guardedStages;
         figures.exposurePerRoute = start.exposurePerRoute, figures.firstBuild = 1,
         figures.slack = Duration{0};  // one clock: to the microsecond
         const auto found = rehearsal::audit(records, figures);
         for (const auto &b : found)
-            std::cerr << "BROKEN: " << nameOf(b.rule) << ": req " << b.req << ": " << b.words << std::endl;
+            std::cerr << "BROKEN: " << nameOf(b.rule) << ": req " << b.requestId << ": " << b.words
+                      << std::endl;
         assert(found.empty() && "a rule is broken");
     }
-    void final(ReqId req, const std::string &word) {
-        auto &c = records.clients[client.at(req)];
+    void final(RequestId request, const std::string &word) {
+        auto &c = records.clients[client.at(request)];
         c.answered = now, ++c.answers;
         c.end = word == "completed" ? rehearsal::ClientEnd::completed
                 : word == "shed"    ? rehearsal::ClientEnd::shed
                                     : rehearsal::ClientEnd::errored;
-        assert(++finals[req] == 1 && "a second final answer");
-        note(word + " req=" + std::to_string(req));
+        assert(++finals[request] == 1 && "a second final answer");
+        note(word + " req=" + std::to_string(request));
     }
-    void end(const SendTry &t, int tryNo, Outcome how, Duration after) {
+    void end(const SendAttempt &t, int attemptNumber, Outcome how, Duration after) {
         due.emplace(now + after, [=, this, here = life] {
             if (here != life) return;
-            auto &received = records.instances[receivedAs.at({t.req, tryNo})];
+            auto &received = records.instances[receivedAs.at({t.requestId, attemptNumber})];
             if (how == Outcome::full || how == Outcome::connectFailed) received.mayHaveRun = false;
-            if (!over.insert({t.req, tryNo}).second) return;  // cancelled before it answered
-            --open[t.req];
-            const bool first = how == Outcome::ok && !finals[t.req];
-            if (first) final(t.req, "completed"), records.clients[client.at(t.req)].build = received.build;
-            const TryEnded ended{t.req, tryNo, finals[t.req] > 0, how};
+            if (!over.insert({t.requestId, attemptNumber}).second) return;  // cancelled before it answered
+            --open[t.requestId];
+            const bool first = how == Outcome::ok && !finals[t.requestId];
+            if (first)
+                final(t.requestId, "completed"),
+                    records.clients[client.at(t.requestId)].build = received.build;
+            const AttemptEnded ended{t.requestId, attemptNumber, finals[t.requestId] > 0, how};
             give(ended);
             if (answers[t.server].twice) give(ended);
         });
@@ -236,18 +240,19 @@
         }
         now = until;
     }
-    void arrive(ReqId id, const Line &l) {
+    void arrive(RequestId id, const Line &l) {
         routeOf[id] = static_cast<int>(l.number("route", 0));
         finals[id] = 0;
         const Duration until = now + span(l.number("until", 3));
         client[id] = records.clients.size();
         rehearsal::ClientRecord c;
-        c.req = std::to_string(life) + "/" + std::to_string(id), c.route = routeOf[id], c.key = l.text("key");
+        c.requestId = std::to_string(life) + "/" + std::to_string(id), c.route = routeOf[id],
+        c.key = l.text("key");
         c.sent = now, c.givesUp = until;
         records.clients.push_back(c);
-        give(ReqArrived{id, l.text("key"), routeOf[id], 0, until});
+        give(RequestArrived{id, l.text("key"), routeOf[id], 0, until});
         due.emplace(until, [this, id] {  // as a gateway does: what is still out has timed out
-            for (int k = 0; k < tries[id]; ++k)
+            for (int k = 0; k < attempts[id]; ++k)
                 end({id, sentTo.at({id, k})}, k, Outcome::timeout, Duration{0});
         });
     }
@@ -273,7 +278,7 @@
             start.exposurePerRoute = l.number("perRoute", 0) > 0;
             start.listMustBeAsked = l.number("ask", 0) > 0, start.askWithin = span(10);
             start.routes[1].repeatWindow = span(l.number("window", 5));
-            start.spareTries = l.number("spare", 2);
+            start.exposureAllowance = l.number("spare", 2);
             start.crossZoneFee = l.number("fee", 0);
             start.inHandField = l.number("probes", 0) > 0 ? 0 : -1;
             start.gateways = static_cast<int>(l.number("gateways", start.inHandField < 0 ? 3 : 99));
@@ -311,10 +316,10 @@
             const int keys = static_cast<int>(l.number("keys", 0));
             while (now < until) {
                 Line one = l;
-                if (const auto routes = static_cast<ReqId>(l.number("routes", 0)))
-                    one.named["route"] = std::to_string(nextReq % routes);
-                if (keys > 0) one.named["key"] = "k" + std::to_string(nextReq % keys);
-                arrive(nextReq++, one);
+                if (const auto routes = static_cast<RequestId>(l.number("routes", 0)))
+                    one.named["route"] = std::to_string(nextRequestId % routes);
+                if (keys > 0) one.named["key"] = "k" + std::to_string(nextRequestId % keys);
+                arrive(nextRequestId++, one);
                 pass(now + gap);
             }
         } else if (verb == "tally")
@@ -323,8 +328,8 @@
                            span(1)});
         else if (verb == "wrong") give(WrongReported{l.words.at(1), span(l.number("since", 1))});
         else if (verb == "ended")
-            give(TryEnded{std::stoull(l.words.at(1)), static_cast<int>(l.number("try", 0)),
-                          l.number("over", 0) > 0, kOutcomes.at(l.text("how", "ok"))});
+            give(AttemptEnded{std::stoull(l.words.at(1)), static_cast<int>(l.number("try", 0)),
+                              l.number("over", 0) > 0, kOutcomes.at(l.text("how", "ok"))});
         else if (verb == "wait") pass(now + span(std::stod(l.words.at(1))));
         else if (verb == "mark") seen.clear();
         else if (verb == "stop") stop();
@@ -333,7 +338,7 @@
             tellList();
             if (!records.releases.empty()) tellNews(told);
         } else if (verb == "stall") stall(span(std::stod(l.words.at(1))));
-        else if (verb == "dies") {  // its tries end, and nothing can connect to it
+        else if (verb == "dies") {  // its attempts end, and nothing can connect to it
             answers[l.words.at(1)] = Answer{};
             answers[l.words.at(1)].how = Outcome::connectFailed;
             for (const auto &[which, server] : sentTo)
--- a/tests/rules/memory.cpp
+++ b/tests/rules/memory.cpp
@@ -1,6 +1,6 @@
-// What the module holds once all reqs are over must be what it held before them, however many have come: the
-// bytes on the heap are counted beside an hour of traffic. One argument names what comes: reqs, keys, or
-// servers.
+// What the module holds once all requests are over must be what it held before them, however many have come:
+// the bytes on the heap are counted beside an hour of traffic. One argument names what comes: requests, keys,
+// or servers.
 #include <cstdlib>
 #include <deckcart/policy.hpp>
 #include <iostream>
@@ -48,11 +48,11 @@
         if (second % 60 == 0 && what == "servers") list(second / 60);
         if (second == 600) before = live;
         for (int k = 0; k < kASecond; ++k, now += Duration{1000000 / kASecond}) {
-            const ReqId id = ReqId(second * kASecond + k);
+            const RequestId id = RequestId(second * kASecond + k);
             std::vector<Action> first =
-                give(ReqArrived{id, what == "keys" ? "k" + std::to_string(id) : "k", 0, 0, now + 3s});
+                give(RequestArrived{id, what == "keys" ? "k" + std::to_string(id) : "k", 0, 0, now + 3s});
             for (const auto &a : first)
-                if (std::holds_alternative<SendTry>(a)) give(TryEnded{id, 0, true, Outcome::ok});
+                if (std::holds_alternative<SendAttempt>(a)) give(AttemptEnded{id, 0, true, Outcome::ok});
             give(TimerFired{});
         }
     }
--- a/tests/unit/audit_test.cpp
+++ b/tests/unit/audit_test.cpp
@@ -21,21 +21,21 @@
     f.routes[kDeduped].repeatWindow = f.routes[kZoned].repeatWindow = 5s;
     f.routes[kZoned].group = Group::zone;
     f.routes[kOnce].effect = Effect::nonRetriable;
-    f.drainGrace = 500ms, f.spareTries = 2, f.exposureSpan = 4s, f.firstCap = 0.1, f.firstBuild = 1;
+    f.drainGrace = 500ms, f.exposureAllowance = 2, f.exposureSpan = 4s, f.firstCap = 0.1, f.firstBuild = 1;
     return f;
 }
 
-ClientRecord asked(const char *req, int route, Duration sent, ClientEnd end = ClientEnd::completed,
+ClientRecord asked(const char *request, int route, Duration sent, ClientEnd end = ClientEnd::completed,
                    Duration took = 100ms) {
     ClientRecord c;
-    c.req = req, c.route = route, c.sent = sent, c.givesUp = sent + 2s, c.end = end;
+    c.requestId = request, c.route = route, c.sent = sent, c.givesUp = sent + 2s, c.end = end;
     const bool answered = end == ClientEnd::completed || end == ClientEnd::shed || end == ClientEnd::errored;
     c.answers = answered, c.answered = answered ? sent + took : Duration{0}, c.build = 1;
     return c;
 }
-InstanceRecord tried(const char *req, Duration at, const char *server = "s1", BuildNo build = 1,
+InstanceRecord tried(const char *request, Duration at, const char *server = "s1", BuildNo build = 1,
                      bool ran = true, int zone = 0) {
-    return {req, server, zone, 0, build, at, ran};
+    return {request, server, zone, 0, build, at, ran};
 }
 
 struct Found {
@@ -139,10 +139,10 @@
     EXPECT_TRUE(Found(r).none()) << "most came from a gateway that had not been told";
 }
 
-Records trialOf(int oneOf, int reqs, Duration every = 10ms) {
+Records trialOf(int oneOf, int requests, Duration every = 10ms) {
     Records r;
     static std::deque<std::string> names;  // outlives the records' users
-    for (int k = 0; k < reqs; ++k) {
+    for (int k = 0; k < requests; ++k) {
         names.push_back("r" + std::to_string(names.size()));
         r.clients.push_back(asked(names.back().c_str(), kRetriable, 10s + k * every));
         if (k % oneOf == 0)
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -98,16 +98,16 @@
 TEST(PlatformCommands, AReqIsReadAndOnlyItsWaitChangesOnTheWay) {
     const auto got = readCommand({"Q.DO", "key", "id1", "c=order,t=acme,d=480,k=5c0f", "BODY"}, settings());
     ASSERT_EQ(got.refusal, "");
-    EXPECT_EQ(got.facts.route, 1u);
-    EXPECT_EQ(got.facts.account, 0);
-    EXPECT_EQ(got.facts.key, "key");
-    EXPECT_EQ(got.facts.name, "id1");
-    EXPECT_EQ(got.facts.wait, Duration{480ms});
+    EXPECT_EQ(got.attributes.route, 1u);
+    EXPECT_EQ(got.attributes.account, 0);
+    EXPECT_EQ(got.attributes.key, "key");
+    EXPECT_EQ(got.attributes.name, "id1");
+    EXPECT_EQ(got.attributes.wait, Duration{480ms});
     EXPECT_EQ(instanceCommand(got.command, Duration{123456us}),
               resp::command({"Q.DO", "key", "id1", "c=order,t=acme,d=123,k=5c0f", "BODY"}));
     const auto capped = readCommand({"Q.ASK", "", "i", "r=1,c=lookup,t=none,d=99999"}, settings());
-    EXPECT_EQ(capped.facts.wait, Duration{800ms}) << "no longer than the route's time-out";
-    EXPECT_EQ(capped.facts.account, 1) << "one that is not named is past the end";
+    EXPECT_EQ(capped.attributes.wait, Duration{800ms}) << "no longer than the route's time-out";
+    EXPECT_EQ(capped.attributes.account, 1) << "one that is not named is past the end";
 }
 
 TEST(PlatformCommands, WhatCantBeServedIsAnError) {
@@ -218,7 +218,7 @@
     EXPECT_GE(divide(256, 32, 10, 15s).valueBytes, 200000u) << "values of 194 KB have been seen";
     EXPECT_LE(divide(1024, 100000, 10, 15s).valueBytes, 1048576u);
     EXPECT_EQ(divide(256, 8, 10, 15s).bodyBytes, 65536u);
-    EXPECT_EQ(divide(256, 32, 10, 15s).reqsInHand, 10u);
+    EXPECT_EQ(divide(256, 32, 10, 15s).maxRequestsInFlight, 10u);
     EXPECT_LT(ending(10s).answersBy, Duration{3700ms}) << "before the kill";
     EXPECT_EQ(ending(1s).acceptsFor, Duration{500ms}) << "while connections still come";
 }
@@ -248,8 +248,8 @@
     const auto happen = [&](Duration now, Event event) {
         for (const auto &action : policy.decide(1, now, {event})) {
             out += std::to_string(action.index());
-            if (const auto *send = std::get_if<SendTry>(&action))
-                out += "send " + std::to_string(send->req) + " " + send->server + "\n";
+            if (const auto *send = std::get_if<SendAttempt>(&action))
+                out += "send " + std::to_string(send->requestId) + " " + send->server + "\n";
         }
     };
     happen(10s, Started{read.start});
@@ -270,10 +270,10 @@
                                              "c=" + order + ",t=" + tenant + ",d=2000,k=1f", "body"},
             read);
         EXPECT_EQ(command.refusal, "");
-        happen(now, ReqArrived{ReqId(k), command.facts.key, int(command.facts.route), command.facts.account,
-                               now + command.facts.wait});
-        happen(now + 4ms, TryEnded{ReqId(k), 0, false, k % 20 ? Outcome::ok : Outcome::error});
-        happen(now + 6ms, TryEnded{ReqId(k), 1, false, Outcome::ok});
+        happen(now, RequestArrived{RequestId(k), command.attributes.key, int(command.attributes.route),
+                                   command.attributes.account, now + command.attributes.wait});
+        happen(now + 4ms, AttemptEnded{RequestId(k), 0, false, k % 20 ? Outcome::ok : Outcome::error});
+        happen(now + 6ms, AttemptEnded{RequestId(k), 1, false, Outcome::ok});
         happen(now + 9ms, TimerFired{});
     }
     return out;
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -13,8 +13,9 @@
     Module() {
         v.routes = {{400ms, Effect::retriable, Group::all, {}}};
         v.accountShares = {1};
-        v.mayCancel = true, v.mostTries = 4, v.replacedInPlace = true, v.keysStay = true;
-        v.gate = Gate::byCount, v.spareTries = 3, v.exposureSpan = 4s, v.warmWithin = 1s, v.coldFrom = 0.9;
+        v.mayCancel = true, v.maxAttempts = 4, v.replacedInPlace = true, v.keysStay = true;
+        v.gate = Gate::byCount, v.exposureAllowance = 3, v.exposureSpan = 4s, v.warmWithin = 1s,
+        v.coldFrom = 0.9;
         v.tipMultiple = 2.5, v.overloadFor = 3s, v.voteLife = 6s, v.voteAnswerWithin = 800ms;
         v.exposureCaps = {0.12, 0.42, 1}, v.stageShares = {0.1, 0.35, 1};
     }
@@ -29,19 +30,19 @@
         tell(StageNews{false, Outcome::ok, 2, 0, Phase::onTrial, 0.12, 0s});
     }
     std::vector<Action> tell(Event event) { return policy.decide(1, now, {std::move(event)}); }
-    // The server that a req's try went to; empty: none did.
+    // The server that a request's try went to; empty: none did.
     static ServerId sent(const std::vector<Action> &actions) {
         for (const auto &a : actions)
-            if (const auto *s = std::get_if<SendTry>(&a)) return s->server;
+            if (const auto *s = std::get_if<SendAttempt>(&a)) return s->server;
         return {};
     }
     ServerId ask(const std::string &key) {
         now += 5ms;
-        return sent(tell(ReqArrived{++req, key, 0, 0, now + 2s}));
+        return sent(tell(RequestArrived{++request, key, 0, 0, now + 2s}));
     }
-    ServerId end(Outcome how, int tryNo = 0) {
+    ServerId end(Outcome how, int attemptNumber = 0) {
         now += 20ms;
-        return sent(tell(TryEnded{req, tryNo, how == Outcome::ok, how}));
+        return sent(tell(AttemptEnded{request, attemptNumber, how == Outcome::ok, how}));
     }
     void tick(Duration span) {
         for (const Duration until = now + span; now < until; now += 20ms) note(tell(TimerFired{}));
@@ -56,7 +57,7 @@
     ListTold list;
     Policy policy;
     Duration now = 100s, onAt{};
-    ReqId req = 0;
+    RequestId request = 0;
 };
 
 TEST(PolicyKeys, AnUnreadAnswerBindsItsKeyAsAReadOneDoes) {
