--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -34,7 +34,7 @@
                                                          head.status = 200;
                                                          e->answer(std::move(head), "done\n");
                                                      }));
-        ListedServer s;
+        ListedEndpoint s;
         s.id = format(doors.back()->address()), s.build = 1;
         entries.push_back(toJson(s));
     }
@@ -47,7 +47,7 @@
             e->begin(head);
             return void(watchers.push_back(e));
         }
-        const ToldStage stage{1, 0, Phase::released, 1, std::chrono::hours(1)};
+        const RolloutStage stage{1, 0, RolloutPhase::released, 1, std::chrono::hours(1)};
         e->answer(head, json{{"version", 1}, {"instances", entries}, {"stage", toJson(stage)}}.dump());
     });
     std::cout << json{{"desk", format(desk.address())}, {"instance", entries[0]["id"]}}.dump() << std::endl;
--- a/include/deckcart/policy.hpp
+++ b/include/deckcart/policy.hpp
@@ -17,19 +17,19 @@
 using Duration = std::chrono::microseconds;
 // A point in time: the duration since the clock's start. The same type for now.
 using TimePoint = Duration;
-using InstanceId = std::int64_t;  // one running gateway
+using GatewayId = std::int64_t;  // one running gateway
 using RequestId = std::uint64_t;
-using ServerId = std::string;
-using BuildNo = int;
+using EndpointId = std::string;
+using BuildNumber = int;
 
 // unreadable: an answer has begun that can't be read to its end; the instance may have given a good one
 enum class Outcome { ok, error, full, timeout, connectFailed, reset, cancelled, moot, unreadable };
 enum class Effect { retriable, deduped, nonRetriable };
 enum class Group { all, zone, cell };
-enum class Readiness { live, draining, gone };
-enum class Gate { firstVote, byCount, clock };
-enum class Phase { onTrial, goingBack, released, withdrawn };
-enum class Verdict { none, on, hold, back };
+enum class EndpointState { active, draining, removed };
+enum class PromotionRule { firstVote, quorum, timer };
+enum class RolloutPhase { canary, rollingBack, released, rolledBack };
+enum class Verdict { none, promote, hold, rollBack };
 
 struct Route {
     Duration latencyObjective{};  // when an answer is wanted
@@ -49,7 +49,7 @@
     bool mayCancel = false;
     int maxAttempts = 1;
     Duration longestRetryAfter{};
-    Duration sendsWithin{};  // a try may reach its server so much later than it was decided
+    Duration sendsWithin{};  // a try may reach its endpoint so much later than it was decided
     bool retryAfterTold = false;
     bool listMustBeAsked = false;
     Duration askWithin{};
@@ -61,28 +61,28 @@
     double tipMultiple = 1;
     Duration overloadFor{};
     // releases
-    Gate gate = Gate::firstVote;
-    bool replacedInPlace = false;
+    PromotionRule gate = PromotionRule::firstVote;
+    bool inPlaceReplacement = false;
     bool exposurePerRoute = false;
-    bool keysStay = false;
-    int guardedStages = 0;
+    bool stickyKeys = false;
+    int idempotentOnlyStages = 0;
     double exposureAllowance = 0;
-    Duration exposureSpan{};
-    std::vector<double> exposureCaps;
+    Duration exposureWindow{};
+    std::vector<double> exposureLimits;
     std::vector<double> stageShares;
-    Duration leastStage{};  // a stage lasts so long at least; 0: not told
-    Duration voteLife{};
-    Duration voteAnswerWithin{};
-    int votesToGoBack = 1;
-    double wrongReported = 0;  // part of the wrong answers that is reported
+    Duration minStageDuration{};  // a stage lasts so long at least; 0: not told
+    Duration voteLifetime{};
+    Duration voteTimeout{};
+    int votesToRollBack = 1;
+    double incorrectReportRate = 0;  // part of the wrong answers that is reported
 };
 
-struct ServerEntry {
-    ServerId id;
+struct EndpointEntry {
+    EndpointId id;
     int zone = 0;
     int cell = 0;
-    BuildNo build = 0;
-    Readiness readiness = Readiness::live;
+    BuildNumber build = 0;
+    EndpointState state = EndpointState::active;
     double weight = 1;
     std::optional<Duration> startedAt;  // empty: long ago
 };
@@ -92,11 +92,11 @@
     StartValues values;
 };
 struct Stopped {};
-struct ListTold {
+struct EndpointListUpdate {
     bool complete = false;
-    std::vector<ServerEntry> entries;
+    std::vector<EndpointEntry> entries;
 };
-struct ListFailed {};
+struct EndpointListFailed {};
 struct RequestArrived {
     RequestId requestId = 0;
     std::string key;
@@ -115,36 +115,37 @@
 };
 struct TimerFired {};
 struct ProbeEnded {
-    ServerId server;
+    EndpointId endpoint;
     std::vector<double> load;  // empty: the probe has failed
 };
-struct StageNews {
-    bool answersVote = false;
+struct RolloutUpdate {
+    bool isVoteReply = false;
     Outcome how = Outcome::ok;
-    BuildNo build = 0;
+    BuildNumber build = 0;
     int step = 0;
-    Phase phase = Phase::onTrial;
+    RolloutPhase phase = RolloutPhase::canary;
     double cap = 0;
     Duration since{};
 };
-struct TallyTold {
-    BuildNo build = 0;
+struct UsageReport {
+    BuildNumber build = 0;
     int route = 0;
     int counted = 0;
     int lost = 0;
     Duration since{};
 };
-struct WrongReported {
-    ServerId server;
+struct IncorrectResponseReported {
+    EndpointId endpoint;
     Duration since{};  // its try was sent
 };
-using Event = std::variant<Started, Stopped, ListTold, ListFailed, RequestArrived, AttemptEnded,
-                           RequestAbandoned, TimerFired, ProbeEnded, StageNews, TallyTold, WrongReported>;
+using Event = std::variant<Started, Stopped, EndpointListUpdate, EndpointListFailed, RequestArrived,
+                           AttemptEnded, RequestAbandoned, TimerFired, ProbeEnded, RolloutUpdate, UsageReport,
+                           IncorrectResponseReported>;
 
 // ---- what is to be done ----
 struct SendAttempt {
     RequestId requestId = 0;
-    ServerId server;
+    EndpointId endpoint;
 };
 struct CancelAttempt {
     RequestId requestId = 0;
@@ -161,21 +162,21 @@
     Duration after{};
 };
 struct Probe {
-    ServerId server;
+    EndpointId endpoint;
 };
-struct FollowList {
+struct WatchEndpoints {
     bool active = true;
 };
 struct Vote {
-    BuildNo build = 0;
+    BuildNumber build = 0;
     int step = 0;
     Verdict verdict = Verdict::none;
 };
 struct LogLine {
     std::string words;
 };
-using Action =
-    std::variant<SendAttempt, CancelAttempt, Shed, EndErrored, SetTimer, Probe, FollowList, Vote, LogLine>;
+using Action = std::variant<SendAttempt, CancelAttempt, Shed, EndErrored, SetTimer, Probe, WatchEndpoints,
+                            Vote, LogLine>;
 
 // The records of the instances that one process hosts. They share nothing.
 class Policy {
@@ -183,11 +184,11 @@
     Policy();
     ~Policy();
     // The entry point: what happened to this instance at this time, in order; returns what it does now.
-    std::vector<Action> decide(InstanceId who, Duration now, const std::vector<Event> &happened);
+    std::vector<Action> decide(GatewayId who, Duration now, const std::vector<Event> &happened);
 
   private:
     struct Record;
-    std::map<InstanceId, std::unique_ptr<Record>> records;
+    std::map<GatewayId, std::unique_ptr<Record>> records;
 };
 
 }  // namespace deckcart
--- a/src/control_plane/http_client.cpp
+++ b/src/control_plane/http_client.cpp
@@ -32,68 +32,69 @@
 const char *nameOf(Verdict verdict) {
     switch (verdict) {
     case Verdict::none: return "none";
-    case Verdict::on: return "on";
+    case Verdict::promote: return "on";
     case Verdict::hold: return "hold";
-    case Verdict::back: return "back";
+    case Verdict::rollBack: return "back";
     }
     return "none";
 }
-const char *nameOf(Phase phase) {
+const char *nameOf(RolloutPhase phase) {
     switch (phase) {
-    case Phase::onTrial: return "on-trial";
-    case Phase::goingBack: return "going-back";
-    case Phase::released: return "released";
-    case Phase::withdrawn: return "withdrawn";
+    case RolloutPhase::canary: return "on-trial";
+    case RolloutPhase::rollingBack: return "going-back";
+    case RolloutPhase::released: return "released";
+    case RolloutPhase::rolledBack: return "withdrawn";
     }
     return "released";
 }
 std::optional<Verdict> verdictNamed(const std::string &name) {
-    for (const Verdict v : {Verdict::none, Verdict::on, Verdict::hold, Verdict::back})
+    for (const Verdict v : {Verdict::none, Verdict::promote, Verdict::hold, Verdict::rollBack})
         if (name == nameOf(v)) return v;
     return std::nullopt;
 }
 
-json toJson(const ListedServer &s) {
-    const char *readiness = s.readiness == Readiness::live       ? "live"
-                            : s.readiness == Readiness::draining ? "draining"
-                                                                 : "gone";
+json toJson(const ListedEndpoint &s) {
+    const char *state = s.state == EndpointState::active     ? "live"
+                        : s.state == EndpointState::draining ? "draining"
+                                                             : "gone";
     json out{{"id", s.id},
              {"zone", s.zone},
              {"cell", s.cell},
              {"build", s.build},
-             {"readiness", readiness},
+             {"readiness", state},
              {"weight", s.weight},
              {"incarnation", s.incarnation}};
     if (s.age) out["ageMs"] = milliseconds(*s.age);
     return out;
 }
 
-ListedServer readListed(const json &from) {
-    ListedServer s;
+ListedEndpoint readListed(const json &from) {
+    ListedEndpoint s;
     s.id = need<std::string>(from, "id"), s.build = need<int>(from, "build");
     s.zone = from.value("zone", std::string{}), s.cell = from.value("cell", 0);
-    s.readiness = named<Readiness>(
-        from, "readiness",
-        {{"live", Readiness::live}, {"draining", Readiness::draining}, {"gone", Readiness::gone}});
+    s.state = named<EndpointState>(from, "readiness",
+                                   {{"live", EndpointState::active},
+                                    {"draining", EndpointState::draining},
+                                    {"gone", EndpointState::removed}});
     s.weight = from.value("weight", 1.0), s.incarnation = from.value("incarnation", std::string{});
     if (from.contains("ageMs")) s.age = milli(need<double>(from, "ageMs"));
     if (!(s.weight > 0) || s.id.empty()) throw std::invalid_argument("field id or weight is out of range");
     return s;
 }
 
-ServerEntry entryOf(const ListedServer &s, const GatewayOrders &orders) {
-    return {s.id, orders.zoneNo(s.zone), s.cell, s.build, s.readiness, s.weight, {}};
+EndpointEntry entryOf(const ListedEndpoint &s, const GatewayOrders &orders) {
+    return {s.id, orders.zoneNo(s.zone), s.cell, s.build, s.state, s.weight, {}};
 }
 
-ListedServer listedOf(const ServerEntry &e, const std::vector<std::string> &zones, Duration now) {
-    ListedServer s;
-    s.id = e.id, s.cell = e.cell, s.build = e.build, s.readiness = e.readiness, s.weight = e.weight;
+ListedEndpoint listedOf(const EndpointEntry &e, const std::vector<std::string> &zones, Duration now) {
+    ListedEndpoint s;
+    s.id = e.id, s.cell = e.cell, s.build = e.build, s.state = e.state, s.weight = e.weight;
     if (std::size_t(e.zone) < zones.size()) s.zone = zones[std::size_t(e.zone)];
     if (e.startedAt) s.age = now - *e.startedAt;
     return s;
 }
 
-json toJson(const ToldStage &s) {
+json toJson(const RolloutStage &s) {
     return {{"build", s.build},
             {"step", s.step},
             {"phase", nameOf(s.phase)},
@@ -101,14 +102,14 @@
             {"sinceMs", milliseconds(s.since)}};
 }
 
-ToldStage readStage(const json &from) {
-    ToldStage s;
+RolloutStage readStage(const json &from) {
+    RolloutStage s;
     s.build = need<int>(from, "build"), s.step = need<int>(from, "step");
-    s.phase = named<Phase>(from, "phase",
-                           {{"on-trial", Phase::onTrial},
-                            {"going-back", Phase::goingBack},
-                            {"released", Phase::released},
-                            {"withdrawn", Phase::withdrawn}});
+    s.phase = named<RolloutPhase>(from, "phase",
+                                  {{"on-trial", RolloutPhase::canary},
+                                   {"going-back", RolloutPhase::rollingBack},
+                                   {"released", RolloutPhase::released},
+                                   {"withdrawn", RolloutPhase::rolledBack}});
     s.cap = need<double>(from, "cap"), s.since = milli(need<double>(from, "sinceMs"));
     if (!(s.cap >= 0 && s.cap <= 1) || s.step < 0)
         throw std::invalid_argument("field cap or step is out of range");
@@ -134,7 +135,7 @@
 
 void DeskClient::lost() {
     follow(false);
-    tell(ListFailed{});
+    tell(EndpointListFailed{});
 }
 
 void DeskClient::list() {
@@ -182,8 +183,8 @@
         for (const auto &row : need<json>(said, "tally")) {
             const auto route = need<int>(row, "route");
             if (route < 0 || std::size_t(route) >= orders.routes.size()) continue;
-            tell(TallyTold{need<int>(row, "build"), route, need<int>(row, "counted"), need<int>(row, "lost"),
-                           milli(need<double>(row, "sinceMs"))});
+            tell(UsageReport{need<int>(row, "build"), route, need<int>(row, "counted"),
+                             need<int>(row, "lost"), milli(need<double>(row, "sinceMs"))});
         }
     }
     version = at;  // bookmarks, and kinds that come later, only move it
@@ -192,20 +193,20 @@
 void DeskClient::tellList(const json &entries, bool complete) {
     if (!entries.is_array() || entries.size() > kMostEntries)
         throw std::invalid_argument("field instances is no list");
-    ListTold list{complete, {}};
+    EndpointListUpdate list{complete, {}};
     if (starts.size() > kStartsKept) starts.clear();
     for (const auto &entry : entries) {
-        const ListedServer s = readListed(entry);
-        ServerEntry e = entryOf(s, orders);
+        const ListedEndpoint s = readListed(entry);
+        EndpointEntry e = entryOf(s, orders);
         if (s.age) e.startedAt = starts.try_emplace({s.id, s.incarnation}, now() - *s.age).first->second;
         list.entries.push_back(std::move(e));
     }
     tell(std::move(list));
 }
 
-void DeskClient::tellStage(const json &from, bool answersVote, Outcome how) {
-    const ToldStage s = readStage(from);
-    tell(StageNews{answersVote, how, s.build, s.step, s.phase, s.cap, s.since});
+void DeskClient::tellStage(const json &from, bool isVoteReply, Outcome how) {
+    const RolloutStage s = readStage(from);
+    tell(RolloutUpdate{isVoteReply, how, s.build, s.step, s.phase, s.cap, s.since});
 }
 
 void DeskClient::vote(const Vote &vote, Duration within) {
--- a/src/control_plane/http_client.hpp
+++ b/src/control_plane/http_client.hpp
@@ -14,36 +14,36 @@
 
 // Reads and writes of the documents, shared with whoever speaks for the desk. Bad ones throw
 // std::invalid_argument with the place.
-struct ListedServer {
-    ServerId id;
+struct ListedEndpoint {
+    EndpointId id;
     std::string zone;
     int cell = 0;
-    BuildNo build = 0;
-    Readiness readiness = Readiness::live;
+    BuildNumber build = 0;
+    EndpointState state = EndpointState::active;
     double weight = 1;
     std::string incarnation;      // another one for each start of the instance
     std::optional<Duration> age;  // since that start, when this was written; empty: long ago
 };
-nlohmann::json toJson(const ListedServer &server);
-ListedServer readListed(const nlohmann::json &from);
+nlohmann::json toJson(const ListedEndpoint &endpoint);
+ListedEndpoint readListed(const nlohmann::json &from);
 // As the module takes it, but for when it started: that is on the reader's clock.
-ServerEntry entryOf(const ListedServer &server, const GatewayOrders &orders);
+EndpointEntry entryOf(const ListedEndpoint &endpoint, const GatewayOrders &orders);
 
 // The way back, with its age at `now`.
-ListedServer listedOf(const ServerEntry &entry, const std::vector<std::string> &zones, Duration now);
+ListedEndpoint listedOf(const EndpointEntry &entry, const std::vector<std::string> &zones, Duration now);
 
-struct ToldStage {
-    BuildNo build = 0;
+struct RolloutStage {
+    BuildNumber build = 0;
     int step = 0;
-    Phase phase = Phase::released;
+    RolloutPhase phase = RolloutPhase::released;
     double cap = 1;
     Duration since{};
 };
-nlohmann::json toJson(const ToldStage &stage);
-ToldStage readStage(const nlohmann::json &from);
+nlohmann::json toJson(const RolloutStage &stage);
+RolloutStage readStage(const nlohmann::json &from);
 
 const char *nameOf(Verdict verdict);
-const char *nameOf(Phase phase);
+const char *nameOf(RolloutPhase phase);
 std::optional<Verdict> verdictNamed(const std::string &name);
 
 class DeskClient : public Desk {
@@ -63,7 +63,7 @@
     void watch();
     void took(const nlohmann::json &said);
     void tellList(const nlohmann::json &entries, bool complete);
-    void tellStage(const nlohmann::json &from, bool answersVote, Outcome how);
+    void tellStage(const nlohmann::json &from, bool isVoteReply, Outcome how);
     void lost();
     http::RequestHead request(const std::string &method, const std::string &target) const;
 
@@ -76,7 +76,7 @@
     http::Fetches calls;
     // When each start of an instance was, on this gateway's clock: it must not move from one telling to the
     // next.
-    std::map<std::pair<ServerId, std::string>, Duration> starts;
+    std::map<std::pair<EndpointId, std::string>, Duration> starts;
 };
 
 }  // namespace deckcart
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -183,7 +183,7 @@
     }
     const auto &d = world.day;
     const auto &rule = d.routes[std::size_t(request->route)].rule;
-    if (wrong && d.wrongReported > 0 && chance01() < d.wrongReported) {
+    if (wrong && d.incorrectReportRate > 0 && chance01() < d.incorrectReportRate) {
         const auto timer =
             std::make_shared<asio::steady_timer>(context, Duration{std::llround(4e5 + 1.5e6 * chance01())});
         timer->async_wait([this, timer, id = record.requestId, gateway = call.gateway,
--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr BuildNo kFirstBuild = 1;
+constexpr BuildNumber kFirstBuild = 1;
 constexpr auto kStartTakes = std::chrono::milliseconds(300), kLeaveTakes = std::chrono::milliseconds(1500);
 constexpr auto kKeepOld = std::chrono::seconds(6);  // earlier machines stay so long after a release
 
@@ -35,7 +35,7 @@
     : context(io), world(in), chance(seed),
       door(io, *parseAddress("127.0.0.1:0"), {},
            [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); }) {
-    now = {kFirstBuild, int(in.day.shares.size()) - 1, Phase::released, 1, Duration{0}};
+    now = {kFirstBuild, int(in.day.shares.size()) - 1, RolloutPhase::released, 1, Duration{0}};
     nowSince = in.clock.now() - std::chrono::hours(1);
 }
 
@@ -45,8 +45,8 @@
     began = true;
 }
 
-ToldStage Desk::toldStage() const {
-    ToldStage s = now;
+RolloutStage Desk::toldStage() const {
+    RolloutStage s = now;
     s.since = world.clock.now() - nowSince;
     return s;
 }
@@ -65,23 +65,23 @@
 std::vector<Instance *> Desk::instances(const std::string &where) const {
     std::vector<Instance *> out;
     for (const auto &m : members) {
-        if (m.instance->down() || !m.listed || m.readiness != Readiness::live) continue;
+        if (m.instance->down() || !m.listed || m.state != EndpointState::active) continue;
         const bool trial = m.instance->build() == world.trial;
         if (where == "any" || (where == "trial") == trial) out.push_back(m.instance.get());
     }
     return out;
 }
 
-int Desk::running(BuildNo build) const {
+int Desk::running(BuildNumber build) const {
     return int(std::ranges::count_if(members, [&](const Member &m) {
-        return m.instance->build() == build && m.listed && m.readiness == Readiness::live &&
+        return m.instance->build() == build && m.listed && m.state == EndpointState::active &&
                !m.instance->down();
     }));
 }
 
-void Desk::startInstances(BuildNo build, int wanted, bool warm) {
+void Desk::startInstances(BuildNumber build, int wanted, bool warm) {
     int have = int(std::ranges::count_if(members, [&](const Member &m) {
-        return m.instance->build() == build && m.readiness == Readiness::live && !m.instance->down();
+        return m.instance->build() == build && m.state == EndpointState::active && !m.instance->down();
     }));
     for (; have < wanted; ++have) {
         Member m;
@@ -98,10 +98,10 @@
 }
 
 void Desk::changed(const Member &m) {
-    ListedServer s;
+    ListedEndpoint s;
     s.id = m.instance->id(), s.zone = world.day.zones[std::size_t(m.instance->zone())],
     s.build = m.instance->build();
-    s.readiness = m.readiness, s.incarnation = std::to_string(m.instance->startedAt().count());
+    s.state = m.state, s.incarnation = std::to_string(m.instance->startedAt().count());
     json entry = toJson(s);
     // When it started is told by its age at the time of telling: written then, see tell().
     entry["startedUs"] = m.instance->startedAt().count();
@@ -142,7 +142,7 @@
     std::vector<FleetNames::Listed> fleet;
     for (const auto &[id, entry] : published)
         if (entry["readiness"] == "live")
-            fleet.push_back({id, entry["build"].get<BuildNo>(), entry["zone"].get<std::string>()});
+            fleet.push_back({id, entry["build"].get<BuildNumber>(), entry["zone"].get<std::string>()});
     names->serve(std::move(fleet));
 }
 
@@ -151,12 +151,12 @@
     const Duration at = world.clock.now();
     if (event.contains("instances"))
         for (const auto &entry : event["instances"]) {
-            const ListedServer s = readListed(entry);
-            world.records.servers.push_back(
-                {gateway, at, s.id, s.build, s.readiness, s.age && *s.age < world.day.warmWithin});
+            const ListedEndpoint s = readListed(entry);
+            world.records.endpoints.push_back(
+                {gateway, at, s.id, s.build, s.state, s.age && *s.age < world.day.warmWithin});
         }
     if (event.contains("stage")) {
-        const ToldStage s = readStage(event["stage"]);
+        const RolloutStage s = readStage(event["stage"]);
         world.records.releases.push_back({gateway, at, s.build, s.step, s.phase, s.cap});
     }
 }
@@ -227,11 +227,11 @@
     if (!verdict) return answer(*exchange, 400, json::object());
     if (still && !stillCounts) return;  // no answer, and it does not count
     const bool present = said.value("build", 0) == now.build &&
-                         (*verdict == Verdict::back || *verdict == Verdict::none ||
-                          (now.phase == Phase::onTrial && said.value("step", -1) == now.step));
+                         (*verdict == Verdict::rollBack || *verdict == Verdict::none ||
+                          (now.phase == RolloutPhase::canary && said.value("step", -1) == now.step));
     if (present) {
         ++votesTaken[*verdict];
-        votes[said.value("gateway", "")] = {now.step, *verdict, world.clock.now() + world.day.voteLife};
+        votes[said.value("gateway", "")] = {now.step, *verdict, world.clock.now() + world.day.voteLifetime};
     }
     if (still) return;
     if (!present) return answer(*exchange, 409, json::object());
@@ -242,28 +242,30 @@
     answer(*exchange, 200, stage);
 }
 
-int Desk::standing(BuildNo build, Verdict verdict) const {
+int Desk::standing(BuildNumber build, Verdict verdict) const {
     if (build != now.build) return 0;
     return int(std::ranges::count_if(votes, [&](const auto &v) {
-        const bool step = verdict == Verdict::back || v.second.step == now.step;
+        const bool step = verdict == Verdict::rollBack || v.second.step == now.step;
         return v.second.verdict == verdict && step && v.second.until > world.clock.now();
     }));
 }
 
-void Desk::enter(int step, Phase phase) {
+void Desk::enter(int step, RolloutPhase phase) {
     now.step = step, now.phase = phase;
-    now.cap = phase == Phase::onTrial ? world.day.caps[std::size_t(step)] : phase == Phase::released ? 1 : 0;
+    now.cap = phase == RolloutPhase::canary     ? world.day.caps[std::size_t(step)]
+              : phase == RolloutPhase::released ? 1
+                                                : 0;
     nowSince = world.clock.now(), allRunningSince = Duration{0};
-    if (phase == Phase::onTrial)
-        std::erase_if(votes, [](const auto &v) { return v.second.verdict == Verdict::on; });
+    if (phase == RolloutPhase::canary)
+        std::erase_if(votes, [](const auto &v) { return v.second.verdict == Verdict::promote; });
     stages.push_back({nowSince, now});
     json event{{"kind", "stage"}, {"stage", toJson(toldStage())}, {"sinceUs", nowSince.count()}};
     publish(std::move(event), newsDelay());
 }
 
 void Desk::drain(Member &m) {
-    if (m.readiness != Readiness::live) return;
-    m.readiness = Readiness::draining;
+    if (m.state != EndpointState::active) return;
+    m.state = EndpointState::draining;
     m.leavesAt = world.clock.now() + world.day.mostNewsDelay + world.day.drainGrace + Duration{kLeaveTakes};
     // Who takes a record out has to wait for its lifetime, twice where a reply is lost, and for a
     // confirmation.
@@ -279,8 +281,8 @@
 void Desk::crash(Instance &which) {
     which.die();
     for (auto &m : members)
-        if (m.instance.get() == &which && m.readiness == Readiness::live)
-            m.readiness = Readiness::gone, changed(m);
+        if (m.instance.get() == &which && m.state == EndpointState::active)
+            m.state = EndpointState::removed, changed(m);
 }
 
 void Desk::tick() {
@@ -288,9 +290,10 @@
     const auto &day = world.day;
     for (auto &m : members) {
         if (!m.listed && at >= m.listedAt) m.listed = true, changed(m);
-        if (m.instance->down() && m.readiness == Readiness::live) m.readiness = Readiness::gone, changed(m);
-        if (m.readiness == Readiness::draining && at >= m.leavesAt) {
-            m.readiness = Readiness::gone, changed(m);
+        if (m.instance->down() && m.state == EndpointState::active)
+            m.state = EndpointState::removed, changed(m);
+        if (m.state == EndpointState::draining && at >= m.leavesAt) {
+            m.state = EndpointState::removed, changed(m);
             m.instance->die();
         }
     }
@@ -300,21 +303,21 @@
     }
     if (day.tallies && at >= tallyAt) tally();
 
-    const auto first = [&](BuildNo build) {
+    const auto first = [&](BuildNumber build) {
         return std::ranges::find_if(members, [&](const Member &m) {
-            return m.instance->build() == build && m.readiness == Readiness::live && m.listed;
+            return m.instance->build() == build && m.state == EndpointState::active && m.listed;
         });
     };
     if (now.build == kFirstBuild) {
         startInstances(kFirstBuild, day.instances, false);  // crashed ones are replaced
         if (day.releaseAt && at >= dayBegan + *day.releaseAt) {
             now.build = world.trial;
-            enter(0, Phase::onTrial);
+            enter(0, RolloutPhase::canary);
         }
         return;
     }
     const int last = int(day.shares.size()) - 1;
-    if (now.phase == Phase::onTrial || (now.phase == Phase::released && oldLeaveAt > at)) {
+    if (now.phase == RolloutPhase::canary || (now.phase == RolloutPhase::released && oldLeaveAt > at)) {
         const int wanted = stageCount(now.step);
         startInstances(world.trial, wanted, false);
         startInstances(kFirstBuild, day.inPlace ? day.instances - wanted : day.instances, false);
@@ -322,26 +325,27 @@
                first(kFirstBuild) != members.end())
             drain(*first(kFirstBuild));
         if (running(world.trial) >= wanted && allRunningSince == Duration{0}) allRunningSince = at;
-        if (standing(world.trial, Verdict::back) >= day.votesToGoBack)
-            return enter(now.step, Phase::goingBack);
+        if (standing(world.trial, Verdict::rollBack) >= day.votesToRollBack)
+            return enter(now.step, RolloutPhase::rollingBack);
     }
-    if (now.phase == Phase::onTrial && allRunningSince != Duration{0} &&
-        at - allRunningSince >= day.leastStage && standing(world.trial, Verdict::on) >= day.toAdvance) {
-        if (now.step < last) return enter(now.step + 1, Phase::onTrial);
+    if (now.phase == RolloutPhase::canary && allRunningSince != Duration{0} &&
+        at - allRunningSince >= day.minStageDuration &&
+        standing(world.trial, Verdict::promote) >= day.toAdvance) {
+        if (now.step < last) return enter(now.step + 1, RolloutPhase::canary);
         oldLeaveAt = at + kKeepOld;
-        return enter(now.step, Phase::released);
+        return enter(now.step, RolloutPhase::released);
     }
-    if (now.phase == Phase::released && at >= oldLeaveAt) {
+    if (now.phase == RolloutPhase::released && at >= oldLeaveAt) {
         while (first(kFirstBuild) != members.end()) drain(*first(kFirstBuild));
         startInstances(world.trial, day.instances, false);
     }
-    if (now.phase == Phase::goingBack || now.phase == Phase::withdrawn) {
+    if (now.phase == RolloutPhase::rollingBack || now.phase == RolloutPhase::rolledBack) {
         startInstances(kFirstBuild, day.instances, false);
         while (first(world.trial) != members.end()) drain(*first(world.trial));
         const bool left = std::ranges::any_of(members, [&](const Member &m) {
-            return m.instance->build() == world.trial && m.readiness != Readiness::gone;
+            return m.instance->build() == world.trial && m.state != EndpointState::removed;
         });
-        if (!left && now.phase == Phase::goingBack) enter(now.step, Phase::withdrawn);
+        if (!left && now.phase == RolloutPhase::rollingBack) enter(now.step, RolloutPhase::rolledBack);
     }
 }
 
@@ -349,7 +353,7 @@
 void Desk::tally() {
     const Duration at = world.clock.now();
     tallyAt = at + std::chrono::seconds(1);
-    std::map<std::pair<BuildNo, int>, std::array<double, 2>> sums;
+    std::map<std::pair<BuildNumber, int>, std::array<double, 2>> sums;
     for (const auto &done : std::exchange(world.finished, {})) {
         auto &s = sums[{done.build, done.route}];
         s[0] += 1, s[1] += done.lost;
--- a/src/fakes/control_plane.hpp
+++ b/src/fakes/control_plane.hpp
@@ -27,16 +27,16 @@
     // What was seen, for the report.
     struct StageSeen {
         Duration at{};
-        ToldStage stage;
+        RolloutStage stage;
     };
     std::vector<StageSeen> stages;
     std::map<Verdict, int> votesTaken;
-    const ToldStage &stage() const { return now; }
+    const RolloutStage &stage() const { return now; }
 
   private:
     struct Member {
         std::unique_ptr<Instance> instance;
-        Readiness readiness = Readiness::live;
+        EndpointState state = EndpointState::active;
         Duration leavesAt{};
         bool listed = false;  // its process runs
         Duration listedAt{};
@@ -61,12 +61,12 @@
     void serveNames();
     void noteTold(int gateway, const nlohmann::json &event);
     void changed(const Member &member);
-    ToldStage toldStage() const;
-    void enter(int step, Phase phase);
-    void startInstances(BuildNo build, int wanted, bool warm);
+    RolloutStage toldStage() const;
+    void enter(int step, RolloutPhase phase);
+    void startInstances(BuildNumber build, int wanted, bool warm);
     void drain(Member &member);
-    int running(BuildNo build) const;  // live and listed
-    int standing(BuildNo build, Verdict verdict) const;
+    int running(BuildNumber build) const;  // live and listed
+    int standing(BuildNumber build, Verdict verdict) const;
     Duration newsDelay();
     int stageCount(int step) const;
     void tally();
@@ -75,13 +75,13 @@
     World &world;
     std::mt19937_64 chance;
     std::vector<Member> members;
-    std::map<ServerId, nlohmann::json> published;
+    std::map<EndpointId, nlohmann::json> published;
     nlohmann::json publishedStage;
     std::vector<nlohmann::json> events;  // by version - 1
     std::vector<std::shared_ptr<Watcher>> watchers;
     std::map<std::string, Vote> votes;               // by gateway
     std::map<std::string, nlohmann::json> answered;  // by the key of a vote: a repeat acts once
-    ToldStage now;
+    RolloutStage now;
     Duration dayBegan{}, nowSince{}, publishedSince{}, allRunningSince{}, bookmarkAt{}, listDue{}, stageDue{},
         tallyAt{}, oldLeaveAt{};
     int starts = 0;
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-Instance::Instance(asio::io_context &io, World &in, BuildNo build, int zone, std::uint64_t seed)
+Instance::Instance(asio::io_context &io, World &in, BuildNumber build, int zone, std::uint64_t seed)
     : context(io), world(in), runs(build), where(zone), chance(seed), started(in.clock.now()) {
     http::DoorLimits limits;
     limits.idleFor = std::chrono::minutes(10);
--- a/src/fakes/endpoint.hpp
+++ b/src/fakes/endpoint.hpp
@@ -22,12 +22,12 @@
     const rehearsal::Day &day;
     const Clock &clock;
     rehearsal::Records &records;
-    BuildNo trial = 2;
+    BuildNumber trial = 2;
     double fleetSlow = 1;
     std::deque<Duration> trialWork;  // attempts at the trial build of late, for one that slows all
     std::deque<Duration> allWork;
     struct Done {
-        BuildNo build = 0;
+        BuildNumber build = 0;
         int route = 0;
         bool lost = false;
     };
@@ -38,11 +38,11 @@
 
 class Instance {
   public:
-    Instance(asio::io_context &context, World &world, BuildNo build, int zone, std::uint64_t seed);
+    Instance(asio::io_context &context, World &world, BuildNumber build, int zone, std::uint64_t seed);
 
-    ServerId id() const { return name; }
+    EndpointId id() const { return name; }
     Duration startedAt() const { return started; }
-    BuildNo build() const { return runs; }
+    BuildNumber build() const { return runs; }
     int zone() const { return where; }
     bool down() const { return !door; }
     void startLongAgo() { started -= std::chrono::hours(1); }
@@ -75,12 +75,12 @@
 
     asio::io_context &context;
     World &world;
-    BuildNo runs;
+    BuildNumber runs;
     int where;
     std::mt19937_64 chance;
     Duration started;
     std::unique_ptr<http::Door> door;
-    ServerId name;
+    EndpointId name;
     std::deque<Job> waiting;
     int busy = 0;
     bool hung = false, connectsSlow = false;
--- a/src/fakes/fleet_names.cpp
+++ b/src/fakes/fleet_names.cpp
@@ -64,24 +64,25 @@
     if (!reply.question || reply.question->type != dns::Type::srv) return;
     const Duration now = clock.now();
     auto &s = seen[{gateway, reply.question->name}];
-    BuildNo build = 0;
-    for (const BuildNo b : {BuildNo{1}, BuildNo{2}})
+    BuildNumber build = 0;
+    for (const BuildNumber b : {BuildNumber{1}, BuildNumber{2}})
         for (const auto &zone : day.zones)
             if (srvNameOf(b, zone) == reply.question->name) build = b;
-    std::set<ServerId> listed;
+    std::set<EndpointId> listed;
     for (const auto &r : reply.answers)
         if (const auto *srv = std::get_if<dns::Srv>(&r.data))
             listed.insert("127.0.0.1:" + std::to_string(srv->port));
     for (const auto &id : listed) {
         const auto [it, fresh] = s.missing.try_emplace(id, std::nullopt);
-        if (fresh || it->second) records.servers.push_back({gateway, now, id, build, Readiness::live, s.any});
+        if (fresh || it->second)
+            records.endpoints.push_back({gateway, now, id, build, EndpointState::active, s.any});
         it->second.reset();
     }
     for (auto &[id, since] : s.missing) {
         if (listed.contains(id)) continue;
         if (!since) since = now;
         if (*since != Duration::max() && now - *since >= day.confirmAfter) {
-            records.servers.push_back({gateway, now, id, build, Readiness::draining, false});
+            records.endpoints.push_back({gateway, now, id, build, EndpointState::draining, false});
             since = Duration::max();
         }
     }
--- a/src/fakes/fleet_names.hpp
+++ b/src/fakes/fleet_names.hpp
@@ -13,8 +13,8 @@
 class FleetNames {
   public:
     struct Listed {
-        ServerId id;
-        BuildNo build = 0;
+        EndpointId id;
+        BuildNumber build = 0;
         std::string zone;
     };
     FleetNames(asio::io_context &context, const rehearsal::Day &day, const Clock &clock,
@@ -40,7 +40,7 @@
     // What each gateway knows by its replies: since when an instance is missing, if it is.
     struct Seen {
         bool any = false;
-        std::map<ServerId, std::optional<Duration>> missing;
+        std::map<EndpointId, std::optional<Duration>> missing;
     };
     std::map<std::pair<int, std::string>, Seen> seen;
 };
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -11,15 +11,15 @@
 
 using nlohmann::json;
 
-bool same(const ServerEntry &a, const ServerEntry &b) {
-    return a.id == b.id && a.zone == b.zone && a.cell == b.cell && a.build == b.build &&
-           a.readiness == b.readiness && a.weight == b.weight && a.startedAt == b.startedAt;
+bool same(const EndpointEntry &a, const EndpointEntry &b) {
+    return a.id == b.id && a.zone == b.zone && a.cell == b.cell && a.build == b.build && a.state == b.state &&
+           a.weight == b.weight && a.startedAt == b.startedAt;
 }
 
 Duration ms(const json &from) { return Duration{std::llround(from.get<double>() * 1000)}; }
 
 // An entry without what only a desk knows of it.
-json entryJson(const ServerEntry &e, const std::vector<std::string> &zones, Duration now) {
+json entryJson(const EndpointEntry &e, const std::vector<std::string> &zones, Duration now) {
     json out = toJson(listedOf(e, zones, now));
     out.erase("incarnation");
     return out;
@@ -27,9 +27,10 @@
 
 }  // namespace
 
-MemberFeed::MemberFeed(asio::io_context &io, const Clock &steady, const GatewayOrders &orders,
-                       std::uint64_t seed, Log to, Now now, Tell teller,
-                       const std::vector<membership::SavedSource> &saved, const MemberFeed *before)
+EndpointWatcher::EndpointWatcher(asio::io_context &io, const Clock &steady, const GatewayOrders &orders,
+                                 std::uint64_t seed, Log to, Now now, Tell teller,
+                                 const std::vector<membership::SavedSource> &saved,
+                                 const EndpointWatcher *before)
     : clock(std::move(now)), tell(std::move(teller)), log(std::move(to)), rules(orders.sources->merge),
       merge(rules), timer(io) {
     if (before) merge.adopt(before->merge), last = before->last, everTold = before->everTold;
@@ -59,7 +60,7 @@
     look(false);
 }
 
-void MemberFeed::deskTold(const ListTold &list) {
+void EndpointWatcher::deskTold(const EndpointListUpdate &list) {
     if (!desk) return;
     std::vector<membership::Claim> claims;
     for (const auto &e : list.entries) claims.push_back({e, membership::kNoClass, e.id});
@@ -70,12 +71,12 @@
     look(false);
 }
 
-void MemberFeed::deskFailed() {
+void EndpointWatcher::deskFailed() {
     if (desk) merge.lost(*desk, clock(), "the desk does not answer"), look(false);
 }
 
-void MemberFeed::found(const std::string &name, const dns::Found &what, Duration lifetime,
-                       std::size_t server) {
+void EndpointWatcher::found(const std::string &name, const dns::Found &what, Duration lifetime,
+                            std::size_t server) {
     const auto &[source, srv] = names.at(name);
     std::string fault = what.fault;
     for (const auto &note : what.notes) fault += (fault.empty() ? "" : "; ") + note;
@@ -91,19 +92,19 @@
     look(false);
 }
 
-void MemberFeed::tellAgain() { look(true); }
+void EndpointWatcher::tellAgain() { look(true); }
 
-membership::View MemberFeed::view() { return merge.at(clock()); }
+membership::View EndpointWatcher::view() { return merge.at(clock()); }
 
-void MemberFeed::look(bool again) {
+void EndpointWatcher::look(bool again) {
     const Duration now = clock();
     const auto view = merge.at(now);
-    ListTold list{true, {}};
+    EndpointListUpdate list{true, {}};
     for (const auto &m : view.members)
         if (m.inSet) list.entries.push_back(m.entry);
     const bool changed = !std::ranges::equal(list.entries, last, same);
     if (changed) {
-        const auto live = std::ranges::count(list.entries, Readiness::live, &ServerEntry::readiness);
+        const auto live = std::ranges::count(list.entries, EndpointState::active, &EndpointEntry::state);
         log.info("members", {{"live", live}, {"draining", list.entries.size() - std::size_t(live)}});
     }
     // An empty set before any source has spoken is no news.
@@ -114,7 +115,7 @@
         if (rule.kind == membership::SourceKind::srv && resolver)
             resolver->askAgainIn(rule.name, std::max(Duration{0}, at - now));
         if (rule.kind == membership::SourceKind::desk && now >= at)
-            tell(ListFailed{});  // the module asks anew
+            tell(EndpointListFailed{});  // the module asks anew
     }
     if (!view.changesAt) return void(timer.cancel());
     timer.expires_after(*view.changesAt - now);
@@ -161,7 +162,7 @@
         }
         for (const auto &[id, stop] : s.stops)
             stops.push_back({{"id", id},
-                             {"gone", stop.first == Readiness::gone},
+                             {"gone", stop.first == EndpointState::removed},
                              {"sinceMs", milliseconds(now - stop.second)}});
         for (const auto &[id, at] : s.withdrawn)
             withdrawn.push_back({{"id", id}, {"sinceMs", milliseconds(now - at)}});
@@ -186,15 +187,16 @@
         for (const auto &l : s.at("listed")) {
             const auto read = readListed(l);
             membership::Claim c;
-            c.entry = {read.id, l.at("zoneNo").get<int>(), read.cell, read.build, read.readiness, read.weight,
+            c.entry = {read.id, l.at("zoneNo").get<int>(), read.cell, read.build, read.state, read.weight,
                        {}};
             if (read.age) c.entry.startedAt = now - passed - *read.age;
             c.as = l.at("as").get<std::string>(), c.priority = l.at("priority").get<int>();
             one.listed.emplace_back(std::move(c), time(l, "sinceMs"));
         }
         for (const auto &l : s.at("stops"))
-            one.stops[l.at("id").get<std::string>()] = {
-                l.at("gone").get<bool>() ? Readiness::gone : Readiness::draining, time(l, "sinceMs")};
+            one.stops[l.at("id").get<std::string>()] = {l.at("gone").get<bool>() ? EndpointState::removed
+                                                                                 : EndpointState::draining,
+                                                        time(l, "sinceMs")};
         for (const auto &l : s.at("withdrawn"))
             one.withdrawn[l.at("id").get<std::string>()] = time(l, "sinceMs");
         out.push_back(std::move(one));
--- a/src/gateway/endpoint_watcher.hpp
+++ b/src/gateway/endpoint_watcher.hpp
@@ -10,17 +10,17 @@
 
 namespace deckcart {
 
-class MemberFeed {
+class EndpointWatcher {
   public:
     using Tell = std::function<void(Event)>;
     using Now = std::function<Duration()>;
     // `saved`: what a process before this one knew; `before`: the feed of the orders before these.
-    MemberFeed(asio::io_context &context, const Clock &clock, const GatewayOrders &orders, std::uint64_t seed,
-               Log log, Now now, Tell tell, const std::vector<membership::SavedSource> &saved,
-               const MemberFeed *before);
+    EndpointWatcher(asio::io_context &context, const Clock &clock, const GatewayOrders &orders,
+                    std::uint64_t seed, Log log, Now now, Tell tell,
+                    const std::vector<membership::SavedSource> &saved, const EndpointWatcher *before);
 
     // The desk's list, where it is a source; events of other kinds are the module's.
-    void deskTold(const ListTold &list);
+    void deskTold(const EndpointListUpdate &list);
     void deskFailed();
     // The set as it is now, if there is one: the module asks for it.
     void tellAgain();
@@ -44,7 +44,7 @@
     std::optional<std::size_t> desk;
     std::map<std::string, std::pair<std::size_t, membership::SrvName>> names;
     std::vector<std::string> servers;
-    std::vector<ServerEntry> last;  // as the module was told
+    std::vector<EndpointEntry> last;  // as the module was told
     bool everTold = false;
     std::map<std::string, std::string> faults;  // by name, as logged
     asio::steady_timer timer;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -22,8 +22,8 @@
 };
 
 struct Gateway::Attempt {
-    ServerId server;
-    BuildNo build = 0;
+    EndpointId endpoint;
+    BuildNumber build = 0;
     std::shared_ptr<Call> call;
     std::unique_ptr<Sink> sink;
     Duration sent{}, progress{};
@@ -35,7 +35,7 @@
 struct Gateway::Request {
     Request(asio::io_context &io) : timer(io) {}
     RequestId id = 0;
-    InstanceId record = 0;
+    GatewayId record = 0;
     std::shared_ptr<DownstreamRequest> taken;
     std::string name;                      // the client's own id of it
     Duration came{}, clientEnd{}, told{};  // told: the end that the module works to
@@ -122,9 +122,9 @@
                              [this](Event event) {
                                  ++socketEvents;
                                  later([this, event = std::move(event)] {
-                                     const auto *toldNow = std::get_if<ListTold>(&event);
+                                     const auto *toldNow = std::get_if<EndpointListUpdate>(&event);
                                      if (toldNow && feed) return feed->deskTold(*toldNow);
-                                     if (std::holds_alternative<ListFailed>(event) && feed)
+                                     if (std::holds_alternative<EndpointListFailed>(event) && feed)
                                          feed->deskFailed();
                                      happened(event);
                                  });
@@ -151,10 +151,10 @@
     happened(Started{std::move(values)}, current);
 }
 
-void Gateway::remember(const std::vector<ListedServer> &saved) {
-    ListTold known{true, {}};
+void Gateway::remember(const std::vector<ListedEndpoint> &saved) {
+    EndpointListUpdate known{true, {}};
     for (const auto &s : saved) {
-        ServerEntry e = entryOf(s, given);
+        EndpointEntry e = entryOf(s, given);
         if (s.age) e.startedAt = turn() - *s.age;
         known.entries.push_back(std::move(e));
     }
@@ -166,7 +166,7 @@
 void Gateway::startFeed(const std::vector<membership::SavedSource> &saved) {
     const auto before = std::move(feed);
     if (!given.sources) return;
-    feed = std::make_unique<MemberFeed>(
+    feed = std::make_unique<EndpointWatcher>(
         context, clock, given, chance(), log, [this] { return turn(); },
         [this, here = std::weak_ptr(alive)](Event event) {
             if (!here.expired()) later([this, event = std::move(event)] { happened(event); });
@@ -178,7 +178,7 @@
 }
 
 bool Gateway::mayRestartModule() const {
-    std::vector<ServerEntry> entries;
+    std::vector<EndpointEntry> entries;
     for (const auto &[id, e] : list) entries.push_back(e);
     return membership::mayStartAnew(entries, told ? std::optional(told->phase) : std::nullopt);
 }
@@ -190,15 +190,15 @@
     given = std::move(orders);
     front->limit();
     if (newModule) {
-        const InstanceId before = current;
+        const GatewayId before = current;
         startModule();
-        ListTold known{true, {}};
+        EndpointListUpdate known{true, {}};
         for (const auto &[id, e] : list) known.entries.push_back(e);
         happened(known, current);
         if (told)
-            happened(
-                StageNews{false, Outcome::ok, told->build, told->step, told->phase, told->cap, told->since},
-                current);
+            happened(RolloutUpdate{false, Outcome::ok, told->build, told->step, told->phase, told->cap,
+                                   told->since},
+                     current);
         if (records[before] == 0) records.erase(before), happened(Stopped{}, before);
     }
     if (sourcesMoved) startFeed({});
@@ -399,7 +399,7 @@
         return;
     nlohmann::json attempts = nlohmann::json::array();
     for (const Attempt &t : request.attempts)
-        attempts.push_back({{"instance", t.server},
+        attempts.push_back({{"instance", t.endpoint},
                             {"build", t.build},
                             {"outcome", t.over ? nameOf(t.how) : "out"},
                             {"sentMs", milliseconds(t.sent - request.came)}});
@@ -413,7 +413,7 @@
 
 void Gateway::forget(Request &request) {
     if (request.outstanding() || !request.answered) return;
-    const InstanceId record = request.record;
+    const GatewayId record = request.record;
     request.taken->onGone = nullptr, request.taken->onDrained = nullptr;
     requests.erase(request.id);
     if (--records[record] == 0 && record != current) records.erase(record), happened(Stopped{}, record);
@@ -423,10 +423,10 @@
 // ---- events in, actions out ----
 
 void Gateway::happened(Event event) {
-    std::optional<BuildNo> lower;  // its cap has been lowered
-    if (const auto *l = std::get_if<ListTold>(&event)) note(*l);
-    if (const auto *s = std::get_if<StageNews>(&event); s && s->how == Outcome::ok) {
-        const ToldStage now{s->build, s->step, s->phase, s->cap, s->since};
+    std::optional<BuildNumber> lower;  // its cap has been lowered
+    if (const auto *l = std::get_if<EndpointListUpdate>(&event)) note(*l);
+    if (const auto *s = std::get_if<RolloutUpdate>(&event); s && s->how == Outcome::ok) {
+        const RolloutStage now{s->build, s->step, s->phase, s->cap, s->since};
         if (!told || told->build != now.build || told->step != now.step || told->phase != now.phase)
             log.info(
                 "stage",
@@ -436,10 +436,10 @@
     }
     for (const auto &[record, n] : records) queue.emplace_back(record, event);
     decide();
-    if (std::holds_alternative<ListTold>(event))
+    if (std::holds_alternative<EndpointListUpdate>(event))
         endUnsent([this](const Attempt &t) {
-            const auto entry = list.find(t.server);
-            return entry != list.end() && entry->second.readiness == Readiness::live &&
+            const auto entry = list.find(t.endpoint);
+            return entry != list.end() && entry->second.state == EndpointState::active &&
                    entry->second.build == t.build;
         });
     if (lower) endUnsent([lower](const Attempt &t) { return t.build != *lower; });
@@ -458,7 +458,7 @@
     for (const auto &[id, no] : unsent) attemptEnded(id, no, Outcome::connectFailed);
 }
 
-void Gateway::happened(Event event, InstanceId record) {
+void Gateway::happened(Event event, GatewayId record) {
     queue.emplace_back(record, std::move(event));
     decide();
 }
@@ -467,7 +467,7 @@
     if (deciding) return;  // below it: the queue goes on there
     deciding = true;
     while (!queue.empty()) {
-        const InstanceId record = queue.front().first;
+        const GatewayId record = queue.front().first;
         one.clear();
         one.push_back(std::move(queue.front().second));
         queue.pop_front();
@@ -482,7 +482,7 @@
     deciding = false;
 }
 
-void Gateway::carryOut(InstanceId record, const Action &action) {
+void Gateway::carryOut(GatewayId record, const Action &action) {
     std::visit(
         Overload{
             [&](const SendAttempt &a) { send(record, a); },
@@ -515,7 +515,7 @@
                 });
             },
             [&](const Probe &a) { probe(record, a); },
-            [&](const FollowList &a) {
+            [&](const WatchEndpoints &a) {
                 if (record != current) return;
                 desk->follow(a.active);
                 if (feed && a.active) feed->tellAgain();
@@ -523,7 +523,7 @@
             [&](const Vote &a) {
                 if (record != current) return;  // one vote a gateway
                 log.info("vote", {{"build", a.build}, {"step", a.step}, {"verdict", nameOf(a.verdict)}});
-                desk->vote(a, given.module.voteAnswerWithin);
+                desk->vote(a, given.module.voteTimeout);
             },
             [&](const LogLine &a) {
                 log.info("module", {{"words", a.words}});
@@ -532,16 +532,16 @@
         action);
 }
 
-void Gateway::send(InstanceId record, const SendAttempt &what) {
+void Gateway::send(GatewayId record, const SendAttempt &what) {
     const auto it = requests.find(what.requestId);
     if (it == requests.end()) return;
     Request &request = *it->second;
     const int no = int(request.attempts.size());
-    ServerId server = what.server;
-    if (faults.sendsAfterDrain && !drainingServer.empty() && no == 0) server = drainingServer;
+    EndpointId endpoint = what.endpoint;
+    if (faults.sendsAfterDrain && !drainingServer.empty() && no == 0) endpoint = drainingServer;
     const auto moot = [&](Outcome how, bool over = false) {
         Attempt none;
-        none.server = what.server, none.over = true, none.how = how, none.sent = turn();
+        none.endpoint = what.endpoint, none.over = true, none.how = how, none.sent = turn();
         request.attempts.push_back(std::move(none));
         happened(AttemptEnded{what.requestId, no, over || request.answered, how}, record);
     };
@@ -549,15 +549,15 @@
     if (!request.answered && !request.taken->clientThere()) return moot(Outcome::moot, true);
     // The request is over, or bound to an answer that has begun, or its end has passed on the real clock.
     if (request.answered || request.streaming >= 0 || lastSeen >= request.told) return moot(Outcome::moot);
-    const auto call = upstreams->take(server);
+    const auto call = upstreams->take(endpoint);
     if (!call) return moot(Outcome::connectFailed);  // no address, or its connections are all in use
     ++counted.attempts;
     Attempt t;
-    t.server = server, t.call = call, t.sent = turn(), t.progress = t.sent;
-    if (const auto entry = list.find(server); entry != list.end()) t.build = entry->second.build;
+    t.endpoint = endpoint, t.call = call, t.sent = turn(), t.progress = t.sent;
+    if (const auto entry = list.find(endpoint); entry != list.end()) t.build = entry->second.build;
     t.sink = std::make_unique<Sink>(*this, request.id, no);
     Sink *sink = t.sink.get();
-    const BuildNo build = t.build;
+    const BuildNumber build = t.build;
     request.attempts.push_back(std::move(t));
     call->start(
         *request.taken, request.name, [this, id = request.id] { return handOver(id); }, build, sink);
@@ -602,7 +602,7 @@
         over = true;
     }
     if (faults.repeatsNonRetriable && how == Outcome::reset)
-        if (const auto again = upstreams->take(t.server)) {
+        if (const auto again = upstreams->take(t.endpoint)) {
             again->start(
                 *request.taken, request.name,
                 [most = given.upstream.stalledFor] { return std::optional(most); }, t.build, &nobody);
@@ -651,7 +651,7 @@
         if (faults.answersTwice) request.taken->answerTwice();
         request.answered = true, --unanswered, ++counted.completed;
         logRequest(request, "completed");
-        if (given.passedKept > 0 && passed.try_emplace(request.name, Passed{t.server, t.sent}).second)
+        if (given.passedKept > 0 && passed.try_emplace(request.name, Passed{t.endpoint, t.sent}).second)
             passedOrder.push_back(request.name);
         if (passedOrder.size() > given.passedKept) passed.erase(passedOrder.front()), passedOrder.pop_front();
     }
@@ -663,34 +663,36 @@
 
 // ---- probes, lists ----
 
-void Gateway::probe(InstanceId record, const Probe &what) {
-    upstreams->probe(what.server, [this, record, server = what.server,
-                                   here = std::weak_ptr(alive)](std::vector<double> load) {
+void Gateway::probe(GatewayId record, const Probe &what) {
+    upstreams->probe(what.endpoint, [this, record, endpoint = what.endpoint,
+                                     here = std::weak_ptr(alive)](std::vector<double> load) {
         if (here.expired()) return;
         ++socketEvents;
-        later([this, record, server, load = std::move(load)] { happened(ProbeEnded{server, load}, record); });
+        later([this, record, endpoint, load = std::move(load)] {
+            happened(ProbeEnded{endpoint, load}, record);
+        });
     });
 }
 
-void Gateway::note(const ListTold &told_) {
+void Gateway::note(const EndpointListUpdate &told_) {
     if (told_.complete) {
-        std::set<ServerId> still;
+        std::set<EndpointId> still;
         for (const auto &e : told_.entries) still.insert(e.id);
         for (const auto &[id, e] : list)
             if (!still.contains(id)) upstreams->closeIdle(id);
         list.clear();
     }
     for (const auto &e : told_.entries) {
-        if (e.readiness == Readiness::gone) list.erase(e.id);
+        if (e.state == EndpointState::removed) list.erase(e.id);
         else list[e.id] = e;
-        if (e.readiness != Readiness::live) upstreams->closeIdle(e.id);
-        if (e.readiness == Readiness::draining) drainingServer = e.id;
+        if (e.state != EndpointState::active) upstreams->closeIdle(e.id);
+        if (e.state == EndpointState::draining) drainingServer = e.id;
     }
     if (onListed) onListed();
 }
 
-std::vector<ListedServer> Gateway::listed() const {
-    std::vector<ListedServer> out;
+std::vector<ListedEndpoint> Gateway::listed() const {
+    std::vector<ListedEndpoint> out;
     for (const auto &[id, e] : list) out.push_back(listedOf(e, given.zones, lastSeen));
     return out;
 }
@@ -700,7 +702,7 @@
     if (it == passed.end()) return false;
     if (std::exchange(it->second.reported, true)) return true;  // known: one answer is wrong once
     const Passed what = it->second;
-    later([this, what] { happened(WrongReported{what.server, turn() - what.sent}); });
+    later([this, what] { happened(IncorrectResponseReported{what.endpoint, turn() - what.sent}); });
     return true;
 }
 
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,5 +1,5 @@
 // The data path: turns what crosses its sockets into the events of deckcart/policy.hpp and carries out the
-// actions. It picks no server, limit or time-out of its own. One thread, one io_context, one gateway.
+// actions. It picks no endpoint, limit or time-out of its own. One thread, one io_context, one gateway.
 #pragma once
 
 #include <asio.hpp>
@@ -46,9 +46,9 @@
     Gateway &operator=(const Gateway &) = delete;
 
     // The list of before, told to the module as its last known one. Call it before the first request.
-    void remember(const std::vector<ListedServer> &saved);
-    void remember(const ListTold &known) { happened(known); }
-    void tell(const StageNews &news) { happened(news); }  // as last known
+    void remember(const std::vector<ListedEndpoint> &saved);
+    void remember(const EndpointListUpdate &known) { happened(known); }
+    void tell(const RolloutUpdate &news) { happened(news); }  // as last known
     // The same where the list has sources of its own; read with readSaved() on this gateway's clock.
     void remember(const std::vector<membership::SavedSource> &saved);
     // Takes new orders while requests go on. A new start of the module (newModule) takes the requests that
@@ -67,10 +67,10 @@
     std::size_t inHand() const { return requests.size(); }
     std::size_t connections() const { return front->connections(); }
     const GatewayOrders &orders() const { return given; }
-    std::vector<ListedServer> listed() const;
-    std::optional<ToldStage> stage() const { return told; }
-    std::function<void()> onListed;               // the list, or what a source says, has changed
-    MemberFeed *members() { return feed.get(); }  // none: the desk's list is taken as it is
+    std::vector<ListedEndpoint> listed() const;
+    std::optional<RolloutStage> stage() const { return told; }
+    std::function<void()> onListed;                    // the list, or what a source says, has changed
+    EndpointWatcher *members() { return feed.get(); }  // none: the desk's list is taken as it is
 
   private:
     struct Attempt;
@@ -92,21 +92,21 @@
     void deadline(RequestId id);
     void checkDrained();
     std::optional<Duration> handOver(RequestId id);
-    void happened(Event event, InstanceId record);
+    void happened(Event event, GatewayId record);
     void happened(Event event);  // to every record
     void endUnsent(const std::function<bool(const Attempt &)> &stays);
     void decide();
-    void carryOut(InstanceId record, const Action &action);
-    void send(InstanceId record, const SendAttempt &what);
+    void carryOut(GatewayId record, const Action &action);
+    void send(GatewayId record, const SendAttempt &what);
     bool stillOut(RequestId id, std::size_t attemptNumber);
     void attemptEnded(RequestId id, int attemptNumber, Outcome how);
     void pass(Request &request, int attemptNumber, std::string_view part);
     void complete(Request &request, int attemptNumber);
     void finish(Request &request, const char *end, bool late, Duration retryIn);
     void forget(Request &request);
-    void probe(InstanceId record, const Probe &what);
+    void probe(GatewayId record, const Probe &what);
     void sweep();
-    void note(const ListTold &list);
+    void note(const EndpointListUpdate &list);
     void startModule();
     void startFeed(const std::vector<membership::SavedSource> &saved);
     void logRequest(const Request &request, const char *end);
@@ -120,9 +120,9 @@
     std::mt19937_64 chance;
 
     Policy policy;
-    InstanceId current = 0;                     // the record that takes new requests
-    std::map<InstanceId, std::size_t> records;  // requests in hand of each
-    std::deque<std::pair<InstanceId, Event>> queue;
+    GatewayId current = 0;                     // the record that takes new requests
+    std::map<GatewayId, std::size_t> records;  // requests in hand of each
+    std::deque<std::pair<GatewayId, Event>> queue;
     std::vector<Event> one;  // the event in hand
     bool deciding = false;
 
@@ -135,14 +135,14 @@
     std::uint64_t socketEvents = 0;
     std::vector<std::function<void()>> waiting;  // for the thaw
 
-    std::map<ServerId, ServerEntry> list;  // as last told, for who asks and for the snapshot
-    std::optional<ToldStage> told;
+    std::map<EndpointId, EndpointEntry> list;  // as last told, for who asks and for the snapshot
+    std::optional<RolloutStage> told;
     std::unique_ptr<Upstreams> upstreams;
     std::unique_ptr<Desk> desk;
-    std::unique_ptr<MemberFeed> feed;
+    std::unique_ptr<EndpointWatcher> feed;
 
     struct Passed {
-        ServerId server;
+        EndpointId endpoint;
         Duration sent{};
         bool reported = false;
     };
@@ -153,7 +153,7 @@
     GatewayCounts counted;
     std::function<void()> drained;
     bool frontEnded = false, ended = false;  // no request can come; what still comes is shed at once
-    ServerId drainingServer;                 // for the fault that sends after a drain
+    EndpointId drainingServer;               // for the fault that sends after a drain
     struct Nobody : CallOwner {
         void onAnswer(std::string_view) override {}
         void onCallEnd(Outcome) override {}
--- a/src/gateway/http_transport.cpp
+++ b/src/gateway/http_transport.cpp
@@ -136,10 +136,10 @@
 
 class HttpCall : public Call, private http::CallSink {
   public:
-    HttpCall(Pool &of, const GatewayOrders &with, ServerId to, std::shared_ptr<http::ClientConnection> over)
-        : pool(of), orders(with), server(std::move(to)), connection(std::move(over)) {}
+    HttpCall(Pool &of, const GatewayOrders &with, EndpointId to, std::shared_ptr<http::ClientConnection> over)
+        : pool(of), orders(with), endpoint(std::move(to)), connection(std::move(over)) {}
 
-    void start(const DownstreamRequest &request, const std::string &name, HandOver handOver, BuildNo of,
+    void start(const DownstreamRequest &request, const std::string &name, HandOver handOver, BuildNumber of,
                CallOwner *to) override {
         owner = to, build = of;
         const auto &exchange = *static_cast<const HttpRequest &>(request).exchange;
@@ -157,13 +157,13 @@
         out.headers.push_back({orders.headers.remaining, std::to_string(left.count() / 1000)});
         out.headers.push_back({"Via", "1.1 deckcart"});
         if (!exchange.body.empty() || in.length || in.chunked) out.length = exchange.body.size();
-        connection->call(*parseAddress(server), orders.upstream.connectWithin,
+        connection->call(*parseAddress(endpoint), orders.upstream.connectWithin,
                          http::write(out) + exchange.body, in.method == "HEAD", this);
     }
     bool handedOver() const override { return connection->handedOver(); }
     void release(Duration now) override {
         if (!connection->reusable()) connection->drop();
-        pool.give(server, connection, now);
+        pool.give(endpoint, connection, now);
     }
     void pause() override { connection->pause(); }
     void resume() override { connection->resume(); }
@@ -199,8 +199,8 @@
 
     Pool &pool;
     const GatewayOrders &orders;
-    ServerId server;
-    BuildNo build = 0;
+    EndpointId endpoint;
+    BuildNumber build = 0;
     std::shared_ptr<http::ClientConnection> connection;
     CallOwner *owner = nullptr;
     http::AnswerHead head;
@@ -224,14 +224,14 @@
   public:
     HttpUpstreams(asio::io_context &io, const GatewayOrders &with)
         : context(io), orders(with), pool(io, with) {}
-    std::shared_ptr<Call> take(const ServerId &server) override {
-        const auto connection = parseAddress(server) ? pool.take(server) : nullptr;
-        return connection ? std::make_shared<HttpCall>(pool, orders, server, connection) : nullptr;
+    std::shared_ptr<Call> take(const EndpointId &endpoint) override {
+        const auto connection = parseAddress(endpoint) ? pool.take(endpoint) : nullptr;
+        return connection ? std::make_shared<HttpCall>(pool, orders, endpoint, connection) : nullptr;
     }
-    void closeIdle(const ServerId &server) override { pool.closeIdle(server); }
+    void closeIdle(const EndpointId &endpoint) override { pool.closeIdle(endpoint); }
     void sweep(Duration now) override { pool.sweep(now); }
-    void probe(const ServerId &server, Probed done) override {
-        const auto to = parseAddress(server);
+    void probe(const EndpointId &endpoint, Probed done) override {
+        const auto to = parseAddress(endpoint);
         if (!to) return done({});
         http::RequestHead head;
         head.method = "GET", head.target = orders.upstream.probePath;
--- a/src/gateway/idle_connections.hpp
+++ b/src/gateway/idle_connections.hpp
@@ -16,25 +16,25 @@
 
     IdleConnections() = default;
     ~IdleConnections() {
-        for (auto &[server, list] : places)
+        for (auto &[endpoint, list] : places)
             for (const auto &one : list) drop(one);
     }
     IdleConnections(const IdleConnections &) = delete;
     IdleConnections &operator=(const IdleConnections &) = delete;
 
-    void keep(const ServerId &server, const Held &connection, Duration now) {
+    void keep(const EndpointId &endpoint, const Held &connection, Duration now) {
         connection->idleSince = now;
-        connection->onIdleClosed = [this, server, weak = std::weak_ptr(connection),
+        connection->onIdleClosed = [this, endpoint, weak = std::weak_ptr(connection),
                                     here = std::weak_ptr(alive)] {
             const auto one = weak.lock();
             if (here.expired() || !one) return;
-            if (const auto at = places.find(server); at != places.end()) std::erase(at->second, one);
+            if (const auto at = places.find(endpoint); at != places.end()) std::erase(at->second, one);
         };
-        places[server].push_back(connection);
+        places[endpoint].push_back(connection);
     }
     // The one used last that is of use: the others may end by their idle time. Empty: there is none.
-    template <class Judge> Held take(const ServerId &server, Judge judge) {
-        const auto at = places.find(server);
+    template <class Judge> Held take(const EndpointId &endpoint, Judge judge) {
+        const auto at = places.find(endpoint);
         if (at == places.end()) return nullptr;
         auto &list = at->second;
         for (std::size_t k = list.size(); k-- > 0;) {
@@ -48,8 +48,8 @@
         }
         return nullptr;
     }
-    void close(const ServerId &server) {
-        const auto at = places.find(server);
+    void close(const EndpointId &endpoint) {
+        const auto at = places.find(endpoint);
         if (at == places.end()) return;
         const auto list = std::move(at->second);
         places.erase(at);
@@ -64,14 +64,14 @@
     }
     void dropOldest() {
         std::deque<Held> *oldest = nullptr;
-        for (auto &[server, list] : places)
+        for (auto &[endpoint, list] : places)
             if (!list.empty() && (!oldest || list.front()->idleSince < oldest->front()->idleSince))
                 oldest = &list;
         if (oldest) dropFirst(*oldest);
     }
     std::size_t size() const {
         std::size_t n = 0;
-        for (const auto &[server, list] : places) n += list.size();
+        for (const auto &[endpoint, list] : places) n += list.size();
         return n;
     }
 
@@ -81,7 +81,7 @@
         drop(list.front());
         list.pop_front();
     }
-    std::map<ServerId, std::deque<Held>> places;
+    std::map<EndpointId, std::deque<Held>> places;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -4,21 +4,21 @@
 
 Pool::Pool(asio::io_context &io, const GatewayOrders &with) : context(io), orders(with) {}
 
-std::shared_ptr<http::ClientConnection> Pool::take(const ServerId &server) {
+std::shared_ptr<http::ClientConnection> Pool::take(const EndpointId &endpoint) {
     using Use = IdleConnections<http::ClientConnection>::Use;
-    auto one = idle.take(server, [](const auto &kept) { return kept.reusable() ? Use::takes : Use::none; });
-    const auto at = busy.find(server);
+    auto one = idle.take(endpoint, [](const auto &kept) { return kept.reusable() ? Use::takes : Use::none; });
+    const auto at = busy.find(endpoint);
     if (!one && (at == busy.end() ? 0 : at->second) >= orders.upstream.connections) return nullptr;
     if (!one) one = std::make_shared<http::ClientConnection>(context, orders.door.headBytes);
-    ++busy[server];
+    ++busy[endpoint];
     return one;
 }
 
-void Pool::give(const ServerId &server, const std::shared_ptr<http::ClientConnection> &connection,
+void Pool::give(const EndpointId &endpoint, const std::shared_ptr<http::ClientConnection> &connection,
                 Duration now) {
-    if (const auto at = busy.find(server); --at->second == 0) busy.erase(at);
+    if (const auto at = busy.find(endpoint); --at->second == 0) busy.erase(at);
     if (!connection->reusable()) return connection->drop();
-    idle.keep(server, connection, now);
+    idle.keep(endpoint, connection, now);
 }
 
 }  // namespace deckcart
--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -13,18 +13,18 @@
     Pool(asio::io_context &context, const GatewayOrders &orders);
 
     // An idle connection, else a new one; empty when the bound is reached.
-    std::shared_ptr<http::ClientConnection> take(const ServerId &server);
+    std::shared_ptr<http::ClientConnection> take(const EndpointId &endpoint);
     // Every connection taken is given back once, whatever became of it.
-    void give(const ServerId &server, const std::shared_ptr<http::ClientConnection> &connection,
+    void give(const EndpointId &endpoint, const std::shared_ptr<http::ClientConnection> &connection,
               Duration now);
-    void closeIdle(const ServerId &server) { idle.close(server); }
+    void closeIdle(const EndpointId &endpoint) { idle.close(endpoint); }
     void sweep(Duration now) { idle.sweep(now, orders.upstream.idleFor); }  // ends those idle for too long
 
   private:
     asio::io_context &context;
     const GatewayOrders &orders;
     IdleConnections<http::ClientConnection> idle;
-    std::map<ServerId, std::size_t> busy;
+    std::map<EndpointId, std::size_t> busy;
 };
 
 }  // namespace deckcart
--- a/src/gateway/service.cpp
+++ b/src/gateway/service.cpp
@@ -85,7 +85,7 @@
             // A wall clock that went back makes them no younger than they were.
             const double since =
                 double(std::max<std::int64_t>(0, wallMs() - saved->at("savedMs").get<std::int64_t>()));
-            std::vector<ListedServer> list;
+            std::vector<ListedEndpoint> list;
             for (const auto &one : saved->at("instances")) {
                 list.push_back(readListed(one));
                 if (list.back().age) *list.back().age += Duration{std::llround(since * 1000)};
--- a/src/gateway/transport.hpp
+++ b/src/gateway/transport.hpp
@@ -67,7 +67,7 @@
     virtual ~Call() = default;
     // Sends what the client has sent. Never calls back from within.
     virtual void start(const DownstreamRequest &request, const std::string &name, HandOver handOver,
-                       BuildNo build, CallOwner *owner) = 0;
+                       BuildNumber build, CallOwner *owner) = 0;
     // Whether the instance may have got the whole of it. What was not handed over can be withdrawn.
     virtual bool handedOver() const = 0;
     // Of a call that has ended its connection may serve on; else it is closed at once.
@@ -83,11 +83,11 @@
     using Probed = std::function<void(std::vector<double> load)>;  // empty: the probe has failed
     virtual ~Upstreams() = default;
     // Empty when a bound is reached or the instance has no address.
-    virtual std::shared_ptr<Call> take(const ServerId &server) = 0;
-    virtual void closeIdle(const ServerId &server) = 0;
+    virtual std::shared_ptr<Call> take(const EndpointId &endpoint) = 0;
+    virtual void closeIdle(const EndpointId &endpoint) = 0;
     virtual void sweep(Duration now) = 0;  // ends connections that were idle for too long
     virtual Duration sweepEvery() const { return std::chrono::seconds(1); }
-    virtual void probe(const ServerId &server, Probed done) = 0;
+    virtual void probe(const EndpointId &endpoint, Probed done) = 0;
 };
 
 class Front {
@@ -117,7 +117,7 @@
 };
 
 // A vote that did not count, or may have.
-inline StageNews voteFailed(Outcome how) { return {true, how, 0, 0, Phase::onTrial, 0, {}}; }
+inline RolloutUpdate voteFailed(Outcome how) { return {true, how, 0, 0, RolloutPhase::canary, 0, {}}; }
 
 struct GatewayOrders;
 
--- a/src/membership/claims.cpp
+++ b/src/membership/claims.cpp
@@ -16,7 +16,7 @@
         if (t.srv.weight > 0) least = std::min<int>(least, t.srv.weight);
         most = std::max<int>(most, t.srv.weight);
     }
-    std::set<ServerId> taken;
+    std::set<EndpointId> taken;
     for (const auto &t : found.targets) {
         const auto &[least, most] = ofClass.at(t.srv.priority);
         const double share = most == 0           ? 1
--- a/src/membership/claims.hpp
+++ b/src/membership/claims.hpp
@@ -9,7 +9,7 @@
 // What the settings say of the servers under one name.
 struct SrvName {
     std::string name;  // canonical
-    BuildNo build = 0;
+    BuildNumber build = 0;
     int zone = 0, cell = 0;
 };
 
--- a/src/membership/merge.cpp
+++ b/src/membership/merge.cpp
@@ -37,19 +37,19 @@
 Duration Merge::failsAt(const Source &s) const { return added(s.freshUntil, rules.longestStale); }
 
 void Merge::claim(Source &s, Duration at, const Claim &c, bool first) {
-    const ServerId &id = c.entry.id;
+    const EndpointId &id = c.entry.id;
     s.held.erase(id);
-    if (c.entry.readiness != Readiness::live) {
-        const auto it = s.stops.try_emplace(id, Stop{c.entry.readiness, at}).first;
-        if (it->second.readiness != c.entry.readiness) it->second = {c.entry.readiness, at};
-        if (c.entry.readiness == Readiness::gone) s.listed.erase(id);
+    if (c.entry.state != EndpointState::active) {
+        const auto it = s.stops.try_emplace(id, Stop{c.entry.state, at}).first;
+        if (it->second.state != c.entry.state) it->second = {c.entry.state, at};
+        if (c.entry.state == EndpointState::removed) s.listed.erase(id);
         else s.listed[id] = {c, at};
         s.withdrawn.erase(id);
         return;
     }
     s.stops.erase(id), s.withdrawn.erase(id);
     const auto before = s.listed.find(id);
-    const bool goesOn = before != s.listed.end() && before->second.claim.entry.readiness == Readiness::live;
+    const bool goesOn = before != s.listed.end() && before->second.claim.entry.state == EndpointState::active;
     Held now{c, goesOn ? before->second.since : at};
     // A source that tells no start: one that turns up later has started then, as far as anyone knows.
     if (!now.claim.entry.startedAt) {
@@ -59,16 +59,16 @@
     s.listed[id] = std::move(now);
 }
 
-void Merge::withdraw(Source &s, const ServerId &id, Duration at) {
+void Merge::withdraw(Source &s, const EndpointId &id, Duration at) {
     s.listed.erase(id), s.held.erase(id), s.withdrawn[id] = at;
 }
 
 void Merge::took(std::size_t source, Reading r) {
     Source &s = sources.at(source);
     if (s.read && r.at < s.at) return;
-    std::set<ServerId> told;
+    std::set<EndpointId> told;
     for (const auto &c : r.claims) told.insert(c.entry.id);
-    std::vector<ServerId> missing;
+    std::vector<EndpointId> missing;
     for (const auto &[id, held] : s.listed)
         if (!told.contains(id) && !r.unknown.contains(held.claim.as)) missing.push_back(id);
     const bool much = !r.certain && double(missing.size()) > rules.confirmShare * double(s.listed.size());
@@ -104,7 +104,8 @@
 }
 void Merge::failedOnce(std::size_t source, const std::string &why) { sources.at(source).fault = why; }
 
-Merge::Said Merge::say(const ServerId &id, const std::vector<std::size_t> &ranks, std::size_t counted) const {
+Merge::Said Merge::say(const EndpointId &id, const std::vector<std::size_t> &ranks,
+                       std::size_t counted) const {
     Said said;
     // 1. Told to stop, by any source. It stands until that source says otherwise; once it has failed, until a
     // source that counts lists the instance anew.
@@ -117,14 +118,14 @@
             for (std::size_t other = 0; other < counted; ++other) {
                 const auto &listed = sources[ranks[other]].listed;
                 const auto it = listed.find(id);
-                lifted |= it != listed.end() && it->second.claim.entry.readiness == Readiness::live &&
+                lifted |= it != listed.end() && it->second.claim.entry.state == EndpointState::active &&
                           it->second.since > stop->second.since;
             }
-        if (lifted || said.readiness == Readiness::gone) continue;
-        if (said.readiness == Readiness::live || stop->second.readiness == Readiness::gone) {
-            said.readiness = stop->second.readiness, said.decider = ranks[k];
-            said.reason = std::string(said.readiness == Readiness::gone ? "gone" : "draining") + ", says " +
-                          rules.sources[ranks[k]].name;
+        if (lifted || said.state == EndpointState::removed) continue;
+        if (said.state == EndpointState::active || stop->second.state == EndpointState::removed) {
+            said.state = stop->second.state, said.decider = ranks[k];
+            said.reason = std::string(said.state == EndpointState::removed ? "gone" : "draining") +
+                          ", says " + rules.sources[ranks[k]].name;
         }
     }
     // 2. The first that lists it or has withdrawn it decides; failed sources come last.
@@ -136,14 +137,14 @@
         if (decided) continue;
         if (it != s.listed.end()) {
             decided = said.listed = true;
-            if (said.readiness == Readiness::live) {
+            if (said.state == EndpointState::active) {
                 said.decider = k;
                 said.reason = s.held.contains(id) ? "missing, not confirmed yet, in " + rules.sources[k].name
                                                   : "listed by " + rules.sources[k].name;
             }
         } else if (s.withdrawn.contains(id)) {
             decided = true;
-            if (said.readiness == Readiness::live) {
+            if (said.state == EndpointState::active) {
                 said.decider = k, said.reason = "withdrawn by " + rules.sources[k].name;
             }
         }
@@ -179,23 +180,23 @@
     const std::size_t counted = ranks.size();
     ranks.insert(ranks.end(), failed.begin(), failed.end());
 
-    std::set<ServerId> ids;
+    std::set<EndpointId> ids;
     for (const Source &s : sources) {
         for (const auto &[id, held] : s.listed) ids.insert(id);
         for (const auto &[id, stop] : s.stops) ids.insert(id);
     }
     for (const auto &[id, place] : set) ids.insert(id);
-    std::map<ServerId, Said> said;
+    std::map<EndpointId, Said> said;
     bool anyLive = false;
-    const auto isLive = [](const Said &s) { return s.readiness == Readiness::live && s.listed; };
+    const auto isLive = [](const Said &s) { return s.state == EndpointState::active && s.listed; };
     for (const auto &id : ids) anyLive |= isLive(said[id] = say(id, ranks, counted));
     // 3. Rather what a failed source listed last than nothing at all.
     if (!anyLive && !failed.empty())
         for (auto &[id, s] : said)
             for (const std::size_t k : failed) {
                 const auto it = sources[k].listed.find(id);
-                if (s.listed || s.readiness != Readiness::live || it == sources[k].listed.end()) continue;
-                if (it->second.claim.entry.readiness != Readiness::live) continue;
+                if (s.listed || s.state != EndpointState::active || it == sources[k].listed.end()) continue;
+                if (it->second.claim.entry.state != EndpointState::active) continue;
                 s.listed = true, s.decider = k;
                 s.reason = "nothing else is left; listed last by " + rules.sources[k].name;
             }
@@ -205,7 +206,7 @@
         int classless = 0;
         std::map<int, int> live;
     };
-    std::map<BuildNo, Classes> byBuild;
+    std::map<BuildNumber, Classes> byBuild;
     for (const auto &[id, s] : said) {
         if (!isLive(s)) continue;
         auto &of = byBuild[s.fields->claim.entry.build];
@@ -253,25 +254,25 @@
                                 rules.sources[k].name;
             }
         if (isLive(s) && !reserve) {
-            m.entry.readiness = Readiness::live;
+            m.entry.state = EndpointState::active;
             if (place == set.end()) set[id] = {m.entry, m.priority, {}};
             else place->second = {m.entry, m.priority, {}};
-        } else if (s.readiness == Readiness::gone) {
-            m.entry.readiness = Readiness::gone, m.inSet = false;
+        } else if (s.state == EndpointState::removed) {
+            m.entry.state = EndpointState::removed, m.inSet = false;
             set.erase(id);
-        } else if (s.readiness == Readiness::draining && s.listed) {
+        } else if (s.state == EndpointState::draining && s.listed) {
             // As long as its source lists it so; it does not need the grace.
-            m.entry.readiness = Readiness::draining;
+            m.entry.state = EndpointState::draining;
             if (place == set.end()) set[id] = {m.entry, m.priority, {}};
             else place->second = {m.entry, m.priority, {}};
         } else {
             // Leaves, as it was: after the grace it is gone.
-            m.entry.readiness = reserve ? Readiness::live : Readiness::gone, m.inSet = false;
+            m.entry.state = reserve ? EndpointState::active : EndpointState::removed, m.inSet = false;
             if (place != set.end()) {
                 const Duration since = place->second.leaving.value_or(now);
                 if (now - since >= rules.grace) set.erase(place);
                 else {
-                    place->second.leaving = since, place->second.entry.readiness = Readiness::draining;
+                    place->second.leaving = since, place->second.entry.state = EndpointState::draining;
                     m.entry = place->second.entry, m.priority = place->second.priority, m.inSet = true;
                     later(since + rules.grace);
                 }
@@ -285,7 +286,7 @@
 
 // What can't matter any more: stops and withdrawals of instances that none lists and that are out of the set.
 void Merge::forget() {
-    std::set<ServerId> known;
+    std::set<EndpointId> known;
     for (const auto &s : sources)
         for (const auto &[id, held] : s.listed) known.insert(id);
     for (const auto &[id, place] : set) known.insert(id);
@@ -302,7 +303,7 @@
         if (!s.read) continue;
         SavedSource one{rules.sources[k].name, s.from, s.at, s.freshUntil - s.at, {}, {}, s.withdrawn};
         for (const auto &[id, held] : s.listed) one.listed.emplace_back(held.claim, held.since);
-        for (const auto &[id, stop] : s.stops) one.stops[id] = {stop.readiness, stop.since};
+        for (const auto &[id, stop] : s.stops) one.stops[id] = {stop.state, stop.since};
         out.push_back(std::move(one));
     }
     return out;
--- a/src/membership/merge.hpp
+++ b/src/membership/merge.hpp
@@ -22,7 +22,7 @@
 
 struct MergeRules {
     std::vector<SourceRule> sources;  // the first has precedence
-    // An hour outlasts most outages of name servers.
+    // An hour outlasts most outages of name endpoints.
     Duration longestStale =
         std::chrono::hours(1);  // beyond the end of a reading's lifetime; then its source has failed
     double confirmShare = 0.3;  // 0 to 1: a loss of more than this part of what a source listed is held
@@ -39,7 +39,7 @@
 constexpr Duration kForever = std::chrono::hours(24 * 365 * 100);
 
 struct Claim {
-    ServerEntry entry;
+    EndpointEntry entry;
     // Lower ones come first. kNoClass: its source knows no classes; it is in the first one, whichever that
     // is.
     int priority = -1;
@@ -49,7 +49,7 @@
 // All that a source lists at one time.
 struct Reading {
     Duration at{}, lifetime{};
-    std::string from;  // who told: one name server or another
+    std::string from;  // who told: one name endpoint or another
     std::vector<Claim> claims;
     bool certain = false;           // set by hand: a loss needs no confirmation
     std::set<std::string> unknown;  // of `as`: nothing was learned of these, they stand as they were
@@ -67,7 +67,7 @@
 };
 
 struct Member {
-    ServerEntry entry;
+    EndpointEntry entry;
     int priority = kNoClass;
     bool inSet = true;  // false: only shown
     std::string reason;
@@ -88,8 +88,8 @@
     std::string name, from;
     Duration at{}, lifetime{};
     std::vector<std::pair<Claim, Duration>> listed;  // and since when it is, live, without a break
-    std::map<ServerId, std::pair<Readiness, Duration>> stops;
-    std::map<ServerId, Duration> withdrawn;
+    std::map<EndpointId, std::pair<EndpointState, Duration>> stops;
+    std::map<EndpointId, Duration> withdrawn;
 };
 
 class Merge {
@@ -119,26 +119,26 @@
         Duration since{};  // listed live without a break since then
     };
     struct Stop {
-        Readiness readiness = Readiness::draining;
+        EndpointState state = EndpointState::draining;
         Duration since{};
     };
     struct Source {
         bool read = false;
         Duration at{}, freshUntil{};
         std::string from, fault;
-        std::map<ServerId, Held> listed;
-        std::map<ServerId, Stop> stops;          // told to stop: draining or gone
-        std::map<ServerId, Duration> withdrawn;  // listed once, not any more
-        std::map<ServerId, Duration> held;       // missing, waiting for confirmation since then
+        std::map<EndpointId, Held> listed;
+        std::map<EndpointId, Stop> stops;          // told to stop: draining or gone
+        std::map<EndpointId, Duration> withdrawn;  // listed once, not any more
+        std::map<EndpointId, Duration> held;       // missing, waiting for confirmation since then
     };
     struct Place {
-        ServerEntry entry;
+        EndpointEntry entry;
         int priority = kNoClass;
         std::optional<Duration> leaving;
     };
     // What the sources together say of one instance.
     struct Said {
-        Readiness readiness = Readiness::live;
+        EndpointState state = EndpointState::active;
         bool listed = false;           // by the one that decides
         const Held *fields = nullptr;  // of the first that lists it
         std::size_t decider = 0;
@@ -147,14 +147,14 @@
     SourceState stateOf(const Source &s, Duration now) const;
     Duration failsAt(const Source &s) const;
     void claim(Source &s, Duration at, const Claim &c, bool first);
-    void withdraw(Source &s, const ServerId &id, Duration at);
-    Said say(const ServerId &id, const std::vector<std::size_t> &ranks, std::size_t counted) const;
+    void withdraw(Source &s, const EndpointId &id, Duration at);
+    Said say(const EndpointId &id, const std::vector<std::size_t> &ranks, std::size_t counted) const;
     void forget();
 
     MergeRules rules;
     std::vector<Source> sources;
-    std::map<ServerId, Place> set;
-    std::map<BuildNo, int> open;  // the last class of priority that is open
+    std::map<EndpointId, Place> set;
+    std::map<BuildNumber, int> open;  // the last class of priority that is open
 };
 
 }  // namespace deckcart::membership
--- a/src/membership/restart.cpp
+++ b/src/membership/restart.cpp
@@ -4,11 +4,11 @@
 
 namespace deckcart::membership {
 
-bool mayStartAnew(const std::vector<ServerEntry> &listed, std::optional<Phase> phase) {
-    std::set<BuildNo> builds;
+bool mayStartAnew(const std::vector<EndpointEntry> &listed, std::optional<RolloutPhase> phase) {
+    std::set<BuildNumber> builds;
     for (const auto &e : listed)
-        if (e.readiness == Readiness::live) builds.insert(e.build);
-    return builds.size() <= 1 && phase != Phase::onTrial;
+        if (e.state == EndpointState::active) builds.insert(e.build);
+    return builds.size() <= 1 && phase != RolloutPhase::canary;
 }
 
 }  // namespace deckcart::membership
--- a/src/platform/control_plane.cpp
+++ b/src/platform/control_plane.cpp
@@ -15,8 +15,8 @@
     return Duration{unixMs * 1000} - offset;
 }
 
-ListTold listTold(const Members &told) {
-    ListTold out{told.complete, {}};
+EndpointListUpdate listTold(const Members &told) {
+    EndpointListUpdate out{told.complete, {}};
     for (const auto &m : told.members) {
         out.entries.push_back(m.entry);
         if (m.startedAtMs > 0) out.entries.back().startedAt = onClock(m.startedAtMs);
--- a/src/platform/control_plane.hpp
+++ b/src/platform/control_plane.hpp
@@ -74,6 +74,6 @@
 
 // Unix time to the gateway's clock and back: read once, so that a fact does not move.
 Duration onClock(std::int64_t unixMs);
-ListTold listTold(const Members &told);
+EndpointListUpdate listTold(const Members &told);
 
 }  // namespace deckcart::platform
--- a/src/platform/directory.hpp
+++ b/src/platform/directory.hpp
@@ -10,15 +10,15 @@
     // One stay of an instance at an address: connections of another one are of no use.
     struct Place {
         asio::ip::tcp::endpoint address;
-        BuildNo build = 0;
+        BuildNumber build = 0;
         std::int64_t startedAtMs = 0;
         bool operator==(const Place &) const = default;
     };
     void note(const Members &told);
-    const Place *find(const ServerId &id) const;
+    const Place *find(const EndpointId &id) const;
 
   private:
-    std::map<ServerId, Place> places;
+    std::map<EndpointId, Place> places;
 };
 
 }  // namespace deckcart::platform
--- a/src/platform/documents.cpp
+++ b/src/platform/documents.cpp
@@ -63,21 +63,21 @@
     return *n;
 }
 
-constexpr std::pair<const char *, Phase> kPhases[] = {{"Progressing", Phase::onTrial},
-                                                      {"Aborting", Phase::goingBack},
-                                                      {"Healthy", Phase::released},
-                                                      {"Aborted", Phase::withdrawn}};
-Phase phaseNamed(const std::string &said) {
+constexpr std::pair<const char *, RolloutPhase> kPhases[] = {{"Progressing", RolloutPhase::canary},
+                                                             {"Aborting", RolloutPhase::rollingBack},
+                                                             {"Healthy", RolloutPhase::released},
+                                                             {"Aborted", RolloutPhase::rolledBack}};
+RolloutPhase phaseNamed(const std::string &said) {
     for (const auto &[name, phase] : kPhases)
         if (said == name) return phase;
     bad("progress", "holds an unknown word");
 }
 
 // The same fields, in JSON and in a form.
-template <class From> StageNews newsOf(const From &from) {
+template <class From> RolloutUpdate newsOf(const From &from) {
     return {false,
             Outcome::ok,
-            BuildNo(number(from, "image", 0, kMostBuild)),
+            BuildNumber(number(from, "image", 0, kMostBuild)),
             int(number(from, "ring", 0, kMostStage)),
             phaseNamed(text(from, "progress")),
             number(from, "ceiling", 0, 1),
@@ -114,20 +114,20 @@
     out.generation = generation.get<std::int64_t>(), out.complete = reset.get<bool>();
     for (const auto &one : list) {
         Member m;
-        ServerEntry &e = m.entry;
+        EndpointEntry &e = m.entry;
         e.id = text(one, "instanceId", "instances");
         if (e.id.empty() || e.id.size() > 256) bad("instances.instanceId", "is empty or too long");
         const std::string state = text(one, "lifecycle", "instances");
-        e.readiness = state == "Ready"         ? Readiness::live
-                      : state == "Terminating" ? Readiness::draining
-                      : state == "Gone"
-                          ? Readiness::gone
-                          : (bad("instances.lifecycle", "holds an unknown word"), Readiness::gone);
+        e.state = state == "Ready"         ? EndpointState::active
+                  : state == "Terminating" ? EndpointState::draining
+                  : state == "Gone"
+                      ? EndpointState::removed
+                      : (bad("instances.lifecycle", "holds an unknown word"), EndpointState::removed);
         // One that is gone may be told by its id alone.
-        const bool gone = e.readiness == Readiness::gone;
+        const bool gone = e.state == EndpointState::removed;
         if (!gone || one.contains("hostPort")) m.address = addressOf(one, "hostPort", "instances");
         if (!gone || one.contains("release"))
-            e.build = BuildNo(number(one, "release", 0, kMostBuild, "instances"));
+            e.build = BuildNumber(number(one, "release", 0, kMostBuild, "instances"));
         if (one.contains("zone")) {
             const auto zone = std::ranges::find(zones, text(one, "zone", "instances"));
             e.zone = zone == zones.end() ? int(zones.size()) : int(zone - zones.begin());
@@ -141,8 +141,8 @@
     return out;
 }
 
-StageNews readNews(const json &from) { return newsOf(from); }
-StageNews readNews(const Form &from) { return newsOf(from); }
+RolloutUpdate readNews(const json &from) { return newsOf(from); }
+RolloutUpdate readNews(const Form &from) { return newsOf(from); }
 
 Form readForm(std::string_view text) {
     Form out;
@@ -171,17 +171,17 @@
     return out;
 }
 
-TallyTold readCounts(const Form &from, const std::vector<std::string> &routes) {
+UsageReport readCounts(const Form &from, const std::vector<std::string> &routes) {
     const auto route = std::ranges::find(routes, text(from, "type"));
     if (route == routes.end()) bad("type", "names no route");
-    TallyTold out{BuildNo(number(from, "image", 0, kMostBuild)), int(route - routes.begin()),
-                  int(number(from, "n", 0, 1e9)), int(number(from, "bad", 0, 1e9)),
-                  Duration{std::llround(number(from, "lag_ms", 0, kMostLagMs) * 1000)}};
+    UsageReport out{BuildNumber(number(from, "image", 0, kMostBuild)), int(route - routes.begin()),
+                    int(number(from, "n", 0, 1e9)), int(number(from, "bad", 0, 1e9)),
+                    Duration{std::llround(number(from, "lag_ms", 0, kMostLagMs) * 1000)}};
     if (out.lost > out.counted) bad("bad", "is over n");
     return out;
 }
 
-StageNews readVoteAnswer(int status, const std::string &body) {
+RolloutUpdate readVoteAnswer(int status, const std::string &body) {
     if (status == 500) return voteFailed(Outcome::error);
     pugi::xml_document doc;
     const bool whole = doc.load_buffer(body.data(), body.size(), pugi::parse_default, pugi::encoding_utf8);
@@ -198,8 +198,8 @@
     const auto item = doc.child("Response").child("items").child("item");
     for (const auto &field : item.children()) fields[field.name()] = field.text().get();
     try {
-        StageNews out = readNews(fields);
-        out.answersVote = true;
+        RolloutUpdate out = readNews(fields);
+        out.isVoteReply = true;
         return out;
     } catch (const std::invalid_argument &) {
         return voteFailed(Outcome::timeout);
@@ -207,10 +207,10 @@
 }
 
 std::string voteForm(const Vote &vote) {
-    const char *opinion = vote.verdict == Verdict::on     ? "PROCEED"
-                          : vote.verdict == Verdict::hold ? "HOLD"
-                          : vote.verdict == Verdict::back ? "ROLLBACK"
-                                                          : "WITHDRAW";
+    const char *opinion = vote.verdict == Verdict::promote    ? "PROCEED"
+                          : vote.verdict == Verdict::hold     ? "HOLD"
+                          : vote.verdict == Verdict::rollBack ? "ROLLBACK"
+                                                              : "WITHDRAW";
     return "Action=RecordOpinion&image=" + std::to_string(vote.build) + "&ring=" + std::to_string(vote.step) +
            "&opinion=" + opinion;
 }
--- a/src/platform/documents.hpp
+++ b/src/platform/documents.hpp
@@ -14,7 +14,7 @@
 
 // An instance as discovery lists it.
 struct Member {
-    ServerEntry entry;                               // but for startedAt, which is on the reader's clock
+    EndpointEntry entry;                             // but for startedAt, which is on the reader's clock
     std::optional<asio::ip::tcp::endpoint> address;  // always there but for one that is gone
     std::int64_t startedAtMs = 0;                    // Unix time; 0: long ago
 };
@@ -25,16 +25,16 @@
 };
 Members readMembers(const nlohmann::json &from, const std::vector<std::string> &zones);
 
-StageNews readNews(const nlohmann::json &from);
+RolloutUpdate readNews(const nlohmann::json &from);
 // A form, as in the event stream: name=value&... Throws where a name is missing or a value can't be read.
 using Form = std::map<std::string, std::string>;
 Form readForm(std::string_view text);
-StageNews readNews(const Form &from);
-TallyTold readCounts(const Form &from, const std::vector<std::string> &routes);
+RolloutUpdate readNews(const Form &from);
+UsageReport readCounts(const Form &from, const std::vector<std::string> &routes);
 
 // What a call of a vote came back with: status and body. A body that can't be read is Outcome::timeout: the
 // vote may have counted.
-StageNews readVoteAnswer(int status, const std::string &body);
+RolloutUpdate readVoteAnswer(int status, const std::string &body);
 std::string voteForm(const Vote &vote);
 
 // Lines of an event stream to whole events.
@@ -54,7 +54,7 @@
     double cores = 1;
     std::size_t memoryMb = 0, sockets = 0;
     Members known;
-    std::optional<StageNews> news;
+    std::optional<RolloutUpdate> news;
     wire::BirthSettings settings;
 };
 Start readStart(const std::string &text);
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -6,16 +6,16 @@
 
 class RespCall : public Call {
   public:
-    RespCall(RespUpstreams &of, std::weak_ptr<bool> here, ServerId to, RespUpstreams::Connection over)
-        : upstreams(of), alive(std::move(here)), server(std::move(to)), connection(std::move(over)) {}
+    RespCall(RespUpstreams &of, std::weak_ptr<bool> here, EndpointId to, RespUpstreams::Connection over)
+        : upstreams(of), alive(std::move(here)), endpoint(std::move(to)), connection(std::move(over)) {}
     ~RespCall() override { release({}); }
 
-    void start(const DownstreamRequest &request, const std::string &, HandOver handOver, BuildNo,
+    void start(const DownstreamRequest &request, const std::string &, HandOver handOver, BuildNumber,
                CallOwner *owner) override {
         // What the try was decided for is what it goes to: an id may come back elsewhere, or as another
         // build.
         const auto bytes = [this, &request, handOver = std::move(handOver)]() -> std::string {
-            const auto *now = upstreams.directory.find(server);
+            const auto *now = upstreams.directory.find(endpoint);
             if (!now || !(*now == connection->place)) return {};
             const auto left = handOver();
             return left ? instanceCommand(commandOf(request), *left) : std::string{};
@@ -40,13 +40,13 @@
     void release(Duration) override {
         if (std::exchange(released, true)) return;
         if (alive.expired()) return connection->drop();
-        upstreams.give(server, connection);
+        upstreams.give(endpoint, connection);
     }
 
   private:
     RespUpstreams &upstreams;
     std::weak_ptr<bool> alive;
-    ServerId server;
+    EndpointId endpoint;
     RespUpstreams::Connection connection;
     bool released = false;
 };
@@ -55,12 +55,12 @@
                              const Bounds &most, const wire::BirthSettings &with)
     : context(io), clock(time), directory(where), bounds(most), settings(with) {}
 
-RespUpstreams::Connection RespUpstreams::connect(const ServerId &server) {
+RespUpstreams::Connection RespUpstreams::connect(const EndpointId &endpoint) {
     using Use = IdleConnections<Placed>::Use;
-    const auto *place = directory.find(server);
+    const auto *place = directory.find(endpoint);
     if (!place) return nullptr;
     const Duration now = clock.now(), rested = now - bounds.restFor;
-    auto one = idle.take(server, [&](Placed &kept) {
+    auto one = idle.take(endpoint, [&](Placed &kept) {
         if (!(kept.place == *place)) return Use::none;                 // of a former address, start or build
         if (now - kept.idleSince >= bounds.idleFor) return Use::none;  // its instance may be closing it
         if (kept.idleSince > rested) return Use::waits;
@@ -73,27 +73,27 @@
     return one;
 }
 
-std::shared_ptr<Call> RespUpstreams::take(const ServerId &server) {
-    const auto connection = connect(server);
-    return connection ? std::make_shared<RespCall>(*this, alive, server, connection) : nullptr;
+std::shared_ptr<Call> RespUpstreams::take(const EndpointId &endpoint) {
+    const auto connection = connect(endpoint);
+    return connection ? std::make_shared<RespCall>(*this, alive, endpoint, connection) : nullptr;
 }
 
-void RespUpstreams::give(const ServerId &server, const Connection &connection) {
+void RespUpstreams::give(const EndpointId &endpoint, const Connection &connection) {
     --busy;
-    const auto *now = directory.find(server);
+    const auto *now = directory.find(endpoint);
     if (!connection->reusable() || !now || !(*now == connection->place)) return connection->drop();
-    idle.keep(server, connection, clock.now());
+    idle.keep(endpoint, connection, clock.now());
 }
 
-void RespUpstreams::probe(const ServerId &server, Probed done) {
-    const auto connection = connect(server);
+void RespUpstreams::probe(const EndpointId &endpoint, Probed done) {
+    const auto connection = connect(endpoint);
     if (!connection) return done({});
     const auto timer = std::make_shared<asio::steady_timer>(context, probeWithin(settings.connectWithin));
-    const auto finish = [this, server, connection, timer, done,
+    const auto finish = [this, endpoint, connection, timer, done,
                          here = std::weak_ptr(alive)](std::vector<double> load) {
         timer->cancel();
         if (here.expired()) return connection->drop();
-        give(server, connection);
+        give(endpoint, connection);
         done(std::move(load));
     };
     connection->call(
--- a/src/platform/upstream_pool.hpp
+++ b/src/platform/upstream_pool.hpp
@@ -18,11 +18,11 @@
     RespUpstreams(asio::io_context &context, const Clock &clock, const Directory &directory,
                   const Bounds &bounds, const wire::BirthSettings &settings);
 
-    std::shared_ptr<Call> take(const ServerId &server) override;
-    void closeIdle(const ServerId &server) override { idle.close(server); }
+    std::shared_ptr<Call> take(const EndpointId &endpoint) override;
+    void closeIdle(const EndpointId &endpoint) override { idle.close(endpoint); }
     void sweep(Duration now) override { idle.sweep(now, bounds.idleFor); }
     Duration sweepEvery() const override { return bounds.sweepEvery; }
-    void probe(const ServerId &server, Probed done) override;
+    void probe(const EndpointId &endpoint, Probed done) override;
     std::size_t connections() const { return busy + idle.size(); }
 
   private:
@@ -33,9 +33,9 @@
         const Directory::Place place;
     };
     using Connection = std::shared_ptr<Placed>;
-    Connection connect(const ServerId &server);  // empty: it has no place, or a bound is reached
+    Connection connect(const EndpointId &endpoint);  // empty: it has no place, or a bound is reached
     // Every connection taken is given back once, whatever became of it.
-    void give(const ServerId &server, const Connection &connection);
+    void give(const EndpointId &endpoint, const Connection &connection);
 
     asio::io_context &context;
     const Clock &clock;
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,7 +1,7 @@
 // The decision module. Callers reach it by Policy::decide, once for each instance and batch, with what
 // happened; it returns what that instance does now. The interface is include/deckcart/policy.hpp.
 //
-// A request goes through: place() picks the build (sticky hash under 0.7 of the cap), pick() the server
+// A request goes through: place() picks the build (sticky hash under 0.7 of the cap), pick() the endpoint
 // (lower of two), send() passes passes() - the one place that holds the rules - and settle() reads how a try
 // ended. judge() compares the trial build with the earlier one, window by window, and sets the vote.
 #include <algorithm>
@@ -25,9 +25,9 @@
 constexpr double kSlowRatio = 2;  // p95, not 1.5: at high load a build one tenth slower queues twice as long
 constexpr Duration kTick = 20ms;  // housekeeping: well under the shortest wait that it decides on
 constexpr Duration kCountEvery =
-    100ms;                           // servers are counted, builds judged: nothing they tell changes sooner
+    100ms;                           // endpoints are counted, builds judged: nothing they tell changes sooner
 constexpr Duration kSlowSpan = 10s;  // latencies are kept this long to find the least count
-constexpr double kOneServer = 1.6;   // a build is slow on most of its servers by this much, not on one
+constexpr double kOneServer = 1.6;   // a build is slow on most of its endpoints by this much, not on one
 constexpr std::size_t kReference = 200;  // latencies of the earlier build under full load that are kept
 constexpr double kFleetSlow = 1.2;   // times its full-load median that make the earlier build slow as well
 constexpr double kPulseDoubt = 1.5;  // over the root of the answers: about one spread of such a median
@@ -50,7 +50,7 @@
                  kRetryBurst = 10;  // further attempts a request, more would feed a jam; saved up
 constexpr double kLatencyGain = 0.25,
                  kLatencyFade = 4;  // of a new latency; seconds until it has mostly faded
-constexpr int kEjectAfter = 2;      // unanswered attempts in a row that put a server aside
+constexpr int kEjectAfter = 2;      // unanswered attempts in a row that put a endpoint aside
 constexpr double kMostAside = 0.4;  // part of a build put aside at most: beyond it is no machine's trouble
 constexpr double kSilent = 4;  // times the usual latency, fleet's slowness included, that tell of silence
 constexpr double kShedFrom = 0.45, kShedSpan = 0.5;  // of the objective: half a mean's head-room, evenly more
@@ -65,7 +65,7 @@
 constexpr int kPairsBack = 3,
               kWrongBack = 2;      // requests failed on trial only, reports of wrong answers: 'back'
 constexpr double kAtHome = 0.6;    // of other zones' choices passed over: one zone of three keeps over half
-constexpr int kManyGateways = 16;  // from so many on, own in-flight is a small part of what a server holds
+constexpr int kManyGateways = 16;  // from so many on, own in-flight is a small part of what a endpoint holds
 constexpr double kFleetLoses =
     0.2;                         // of the earlier build's attempts: then failures are not the trial's alone
 constexpr int kPooledVotes = 4;  // where 'back' takes so many votes, each may rest on little evidence
@@ -88,9 +88,9 @@
     return how == Outcome::error || how == Outcome::timeout || how == Outcome::reset;
 }
 
-// One record a server, found by its id.
-struct Server {
-    ServerEntry entry;
+// One record a endpoint, found by its id.
+struct Endpoint {
+    EndpointEntry entry;
     std::set<std::pair<Duration, RequestId>> out;  // attempts under way, oldest first
     double slowness = 1;                           // latency over the route's usual one, decaying
     Duration slownessAt{};
@@ -99,7 +99,7 @@
     Duration asideUntil{};
     Duration asideFor{};
     std::deque<Duration> coldSends;
-    BuildNo ranBefore = 0;  // the build that the id was listed with until then
+    BuildNumber ranBefore = 0;  // the build that the id was listed with until then
     Duration changedAt{};
     double inHand = 0;  // requests that it holds, of all gateways, as last told
     Duration inHandAt{};
@@ -107,18 +107,18 @@
     Duration goneAt{};      // left the list then
     double coldChance = 0;  // rounds the broken part of what may be sent while cold
 
-    bool listed() const { return entry.readiness == Readiness::live; }
+    bool listed() const { return entry.state == EndpointState::active; }
     Duration age(Duration now) const { return entry.startedAt ? now - *entry.startedAt : Duration{1h}; }
 };
 
 struct Attempt {
-    Server *server;
-    BuildNo build;
+    Endpoint *endpoint;
+    BuildNumber build;
     int zone, cell;
     Duration sent;
     bool cold;
     bool out = true;
-    bool calledOff = false;  // given up on, or copied, for the server's silence
+    bool calledOff = false;  // given up on, or copied, for the endpoint's silence
     Outcome how = Outcome::ok;
 
     bool mayHaveRun() const { return out || !provesNotRun(how); }
@@ -129,8 +129,8 @@
     Duration arrived;
     std::vector<Attempt> attempts;
     bool answered = false;
-    std::vector<Server *> asked;  // the two choices while their load is asked for
-    std::size_t waiting = 0;      // of these, not answered yet
+    std::vector<Endpoint *> asked;  // the two choices while their load is asked for
+    std::size_t waiting = 0;        // of these, not answered yet
 
     bool outstanding() const { return std::ranges::any_of(attempts, &Attempt::out); }
     const Attempt *firstThatMayHaveRun() const {
@@ -154,7 +154,7 @@
     std::map<int, Cell> routes;
     std::deque<std::pair<Duration, double>>
         slowness;  // of completed attempts, over the route's usual latency
-    std::map<ServerId, Cell> servers;
+    std::map<EndpointId, Cell> endpoints;
 
     double sum(double Cell::*what) const {
         double n = 0;
@@ -163,14 +163,14 @@
     }
     double count() const { return sum(&Cell::n); }
     bool losesMany() const { return sum(&Cell::fails) >= std::max(4.0, kFleetLoses * count()); }
-    void add(int route, const ServerId &server, bool failed, bool error, double ratio) {
-        for (Cell *c : {&routes[route], &servers[server]})
+    void add(int route, const EndpointId &endpoint, bool failed, bool error, double ratio) {
+        for (Cell *c : {&routes[route], &endpoints[endpoint]})
             c->n += 1, c->fails += failed, c->errors += error, c->slow += failed ? 0 : ratio;
     }
-    // The lower median server's mean slowness, or share of failures, of those with some answers.
+    // The lower median endpoint's mean slowness, or share of failures, of those with some answers.
     double common(bool failures) const {
         std::vector<double> means;
-        for (const auto &[id, c] : servers)
+        for (const auto &[id, c] : endpoints)
             if (failures ? c.n >= 4 : c.n - c.fails >= 4)
                 means.push_back(failures ? c.fails / c.n : c.slow / (c.n - c.fails));
         return quantile(std::move(means), 0.499);
@@ -224,9 +224,9 @@
     std::mt19937 rng;
     std::vector<Action> out;
 
-    std::map<ServerId, Server> servers;
-    std::map<BuildNo, std::vector<Server *>> live;  // by build, as last listed; in any order
-    // Of the live servers, at the last count: the stage's machines and places, and how warm they are.
+    std::map<EndpointId, Endpoint> endpoints;
+    std::map<BuildNumber, std::vector<Endpoint *>> live;  // by build, as last listed; in any order
+    // Of the live endpoints, at the last count: the stage's machines and places, and how warm they are.
     struct {
         double ready = 0, others = 0;  // warmth that may be sent to, on the build told last and on the rest
         double fresh = 0, places = 0;
@@ -239,13 +239,14 @@
 
     std::map<RequestId, Request> requests;
     std::vector<std::deque<Duration>> taken;  // accepted requests by route, within the exposure span
-    std::map<BuildNo, std::vector<std::deque<Duration>>> trials;  // attempts at a build by route, likewise
-    std::vector<double> usual;                                    // by route: usual seconds of an answer
+    std::map<BuildNumber, std::vector<std::deque<Duration>>>
+        trials;                 // attempts at a build by route, likewise
+    std::vector<double> usual;  // by route: usual seconds of an answer
     std::vector<int> usualSeen;
-    std::deque<std::pair<Duration, Server *>> done;  // answers of warm servers within the overload span
-    std::deque<Duration> ends;                       // answers within the last kPaceSpan
-    double perServer = 0;                            // of these, what one warm server has given
-    double fleet = 1;                                // median slowness of the warm servers
+    std::deque<std::pair<Duration, Endpoint *>> done;  // answers of warm endpoints within the overload span
+    std::deque<Duration> ends;                         // answers within the last kPaceSpan
+    double perServer = 0;                              // of these, what one warm endpoint has given
+    double fleet = 1;                                  // median slowness of the warm endpoints
     std::deque<std::pair<Duration, std::pair<int, bool>>>
         fates;                                        // requests that ended: account, whether in time
     std::map<int, std::pair<double, double>> fateOf;  // of these, by account: all, in time
@@ -253,16 +254,16 @@
         recent;                    // accepted requests and their accounts, of the overload span
     std::vector<double> recentOf;  // of these, by account that has a share
     double retryBudget = kRetryBurst;
-    std::map<std::string, BuildNo> stays;  // keys that a build has answered
-    BuildNo allStay = 0;                   // all keys stay from this one on
-    std::map<std::pair<std::string, BuildNo>, int>
+    std::map<std::string, BuildNumber> stays;  // keys that a build has answered
+    BuildNumber allStay = 0;                   // all keys stay from this one on
+    std::map<std::pair<std::string, BuildNumber>, int>
         asking;  // attempts under way by key and build, where keys stay
 
-    bool told = false;         // stage news has come since the start
-    StageNews news, lastTold;  // the furthest stage of the newest build; what was told last, be it older
-    Duration newsBegan{};      // when the furthest stage began
-    BuildNo sentBack = 0;      // the last build that went back
-    Duration firstTold{};      // since when this gateway knows of any stage
+    bool told = false;             // stage news has come since the start
+    RolloutUpdate news, lastTold;  // the furthest stage of the newest build; what was told last, be it older
+    Duration newsBegan{};          // when the furthest stage began
+    BuildNumber sentBack = 0;      // the last build that went back
+    Duration firstTold{};          // since when this gateway knows of any stage
 
     Arm trial, earlier, lastEarlier;
     Duration windowBegan{};
@@ -305,41 +306,42 @@
     double chance() { return double(rng()) / 4294967296.0; }
     std::size_t any(std::size_t n) { return std::size_t(rng() % n); }
 
-    // The part of its capacity that a server has by now, on the slowest path the settings allow.
-    double warmth(const Server &s) const {
+    // The part of its capacity that a endpoint has by now, on the slowest path the settings allow.
+    double warmth(const Endpoint &s) const {
         const Duration age = s.age(now);
         if (age >= v.warmWithin || v.warmWithin <= Duration{0}) return 1;
         return v.coldFrom + (1 - v.coldFrom) * std::max(0.0, secs(age) / secs(v.warmWithin));
     }
     // Whether it may not be warm yet, with a margin for the news of its start.
-    bool cold(const Server &s) const { return s.age(now) < v.warmWithin + kWindowSpan; }
-    double slowness(const Server &s) const {
+    bool cold(const Endpoint &s) const { return s.age(now) < v.warmWithin + kWindowSpan; }
+    double slowness(const Endpoint &s) const {
         const double keep = std::exp(-secs(now - s.slownessAt) / kLatencyFade);
         double figure = 1 + (s.slowness - 1) * keep;
-        // The oldest try under way tells of a server that answers nothing before any time-out does.
+        // The oldest try under way tells of a endpoint that answers nothing before any time-out does.
         const auto oldest = s.out.empty() ? requests.end() : requests.find(s.out.begin()->second);
         if (oldest != requests.end())
             figure = std::max(figure, 0.5 * secs(now - s.out.begin()->first) / usualOf(oldest->second));
         return figure;
     }
 
-    bool onTrial(BuildNo b) const {
+    bool onTrial(BuildNumber b) const {
         return !told ? b > oldestListed()
-                     : b > news.build || (b == news.build && news.phase != Phase::released);
+                     : b > news.build || (b == news.build && news.phase != RolloutPhase::released);
     }
-    BuildNo oldestListed() const { return live.empty() ? 1 << 30 : live.begin()->first; }
+    BuildNumber oldestListed() const { return live.empty() ? 1 << 30 : live.begin()->first; }
     // The newest listed build that is not on trial; 0 if none.
-    BuildNo baseBuild() const {
+    BuildNumber baseBuild() const {
         const auto at =
             std::find_if(live.rbegin(), live.rend(), [&](const auto &b) { return !onTrial(b.first); });
         return at == live.rend() ? 0 : at->first;
     }
     // For the rules the stricter one counts, the furthest stage or the one told last.
-    bool bound(BuildNo b) const {
-        return onTrial(b) || (b == news.build && (lastTold.build < b || lastTold.phase != Phase::released));
+    bool bound(BuildNumber b) const {
+        return onTrial(b) ||
+               (b == news.build && (lastTold.build < b || lastTold.phase != RolloutPhase::released));
     }
-    double cap(BuildNo b) const {
-        const double first = v.exposureCaps.empty() ? 0 : v.exposureCaps.front();
+    double cap(BuildNumber b) const {
+        const double first = v.exposureLimits.empty() ? 0 : v.exposureLimits.front();
         if (!told || b != news.build) return first;
         return std::min(news.cap, lastTold.build == b ? lastTold.cap : first);
     }
@@ -359,29 +361,29 @@
         // Once no build below the released one is listed, one number stands for all the keys, or they would
         // add up for ever. Harm: earlier machines that return unannounced get nothing until the build goes
         // back.
-        if (v.keysStay && told && news.phase == Phase::released && oldestListed() == news.build)
+        if (v.stickyKeys && told && news.phase == RolloutPhase::released && oldestListed() == news.build)
             allStay = news.build, stays.clear();
         // Here, since nobody may read them for long: with no build on trial they grew with every request.
-        for (auto &queue : taken) forget(queue, now - v.exposureSpan + kTick);
-        forget(pulse, now - kPulseSpan), forget(met, now - v.voteLife);
+        for (auto &queue : taken) forget(queue, now - v.exposureWindow + kTick);
+        forget(pulse, now - kPulseSpan), forget(met, now - v.voteLifetime);
         count = {};
         std::vector<double> slow;
         for (const auto &[build, list] : live)
-            for (Server *s : list) {
+            for (Endpoint *s : list) {
                 const bool isNew = build == news.build;
-                if (v.replacedInPlace || withinColdBudget(*s))
+                if (v.inPlaceReplacement || withinColdBudget(*s))
                     (isNew ? count.ready : count.others) += warmth(*s);
                 count.fresh += isNew;
                 if (isNew)
                     count.lastStart = std::max(count.lastStart, s->entry.startedAt.value_or(Duration{0}));
-                count.places += v.replacedInPlace || !isNew;
+                count.places += v.inPlaceReplacement || !isNew;
                 count.anyCold = count.anyCold || cold(*s);
                 if (s->age(now) >= coldEvidence() && !aside(*s)) slow.push_back(slowness(*s));
             }
         // Servers that have left since gave some of these answers: who is left did not bear them all.
         forget(done, now - v.overloadFor, [](const auto &entry) { --entry.second->given; });
         const auto gives = [](const auto &entry) { return entry.second.given > 0; };
-        const auto givers = std::size_t(std::ranges::count_if(servers, gives));
+        const auto givers = std::size_t(std::ranges::count_if(endpoints, gives));
         const auto bore = std::max({slow.size(), givers, std::size_t{1}});
         perServer = double(done.size()) / double(bore);
         fleet = std::max(1.0, quantile(std::move(slow), 0.5));
@@ -390,24 +392,24 @@
         const auto step = std::size_t(news.step);
         return step < v.stageShares.size() ? v.stageShares[step] : 1;
     }
-    int step(BuildNo b) const {
+    int step(BuildNumber b) const {
         return told && b == news.build && lastTold.build == b ? std::min(news.step, lastTold.step) : 0;
     }
 
     // Exception where the platform's stages are shorter than those that the waits were tuned for: they shrink
     // alike, or no good build could be released before the next is due. Harm: less evidence on each stage.
     Duration paced(Duration wait) const {
-        if (v.leastStage <= Duration{0} || v.leastStage >= kStageTuned) return wait;
-        return Duration{wait.count() * v.leastStage.count() / kStageTuned.count()};
+        if (v.minStageDuration <= Duration{0} || v.minStageDuration >= kStageTuned) return wait;
+        return Duration{wait.count() * v.minStageDuration.count() / kStageTuned.count()};
     }
-    // Answers of servers younger than this are no evidence; no longer than the settings call them cold.
+    // Answers of endpoints younger than this are no evidence; no longer than the settings call them cold.
     Duration coldEvidence() const {
         return v.warmWithin > Duration{0} ? std::min(kColdEvidence, v.warmWithin + kWindowSpan)
                                           : kColdEvidence;
     }
 
     // ---- the rules: the one place that every send passes ----
-    bool passes(const Request &request, Server &s) {
+    bool passes(const Request &request, Endpoint &s) {
         const Route &rt = route(request);
         // every request one timely answer
         if (request.answered || now >= request.in.notAfter) return false;
@@ -422,9 +424,9 @@
         }
         if (!s.listed()) return false;  // drains
         // exposure
-        const BuildNo build = s.entry.build;
+        const BuildNumber build = s.entry.build;
         if (bound(build)) {
-            if (step(build) < v.guardedStages && rt.effect != Effect::retriable) return false;
+            if (step(build) < v.idempotentOnlyStages && rt.effect != Effect::retriable) return false;
             if (!withinCap(build, request.in.route)) return false;
         }
         const auto stay = stays.find(request.in.key);
@@ -436,29 +438,29 @@
             if (at->first.first != request.in.key) break;
             if (at->first.second != sentBack) return false;
         }
-        return withinColdBudget(s);  // cold servers
+        return withinColdBudget(s);  // cold endpoints
     }
 
-    std::deque<Duration> &attemptsAt(BuildNo build, int route) {
+    std::deque<Duration> &attemptsAt(BuildNumber build, int route) {
         return trials.try_emplace(build, routesCounted()).first->second[counted(route)];
     }
     // Counts attempts over a tick more and accepted requests over a tick less than the span: it may end
     // anywhere.
-    bool withinCap(BuildNo build, int route) {
+    bool withinCap(BuildNumber build, int route) {
         const double share = cap(build);
         if (share <= 0) return false;
         const std::size_t c = counted(route);
         auto &attempts = attemptsAt(build, route);
-        forget(attempts, now - v.exposureSpan - kTick);
-        forget(taken[c], now - v.exposureSpan + kTick);
+        forget(attempts, now - v.exposureWindow - kTick);
+        forget(taken[c], now - v.exposureWindow + kTick);
         return double(attempts.size()) + 1 <= v.exposureAllowance + share * double(taken[c].size());
     }
 
-    // Guards a cold server against all gateways together: over the stated span, as far as it has run, each
-    // sends a part of the tip multiple x its warmth x what a warm server has answered of this gateway's
+    // Guards a cold endpoint against all gateways together: over the stated span, as far as it has run, each
+    // sends a part of the tip multiple x its warmth x what a warm endpoint has answered of this gateway's
     // requests (no burst raises that); the broken part of a request by a chance drawn once a start. Harm:
     // small stages.
-    bool withinColdBudget(Server &s) const {
+    bool withinColdBudget(Endpoint &s) const {
         const Duration age = s.age(now);
         if (!cold(s)) return true;
         forget(s.coldSends, now - v.overloadFor);
@@ -467,17 +469,17 @@
         return sent + 1 <= s.coldChance + v.tipMultiple * kColdMargin * warmth(s) * run * perServer;
     }
 
-    bool aside(const Server &s) const { return now < s.asideUntil; }
+    bool aside(const Endpoint &s) const { return now < s.asideUntil; }
 
-    // Inside a build: the lower of two random servers by (in-flight + 1) x decaying latency / weight.
-    std::vector<Server *> two(const Request &request, BuildNo build, bool desperate) {
-        std::vector<Server *> chosen;
+    // Inside a build: the lower of two random endpoints by (in-flight + 1) x decaying latency / weight.
+    std::vector<Endpoint *> two(const Request &request, BuildNumber build, bool desperate) {
+        std::vector<Endpoint *> chosen;
         const auto at = live.find(build);
         const std::size_t n = at == live.end() ? 0 : at->second.size();
         for (std::size_t i = 0; i < n && chosen.size() < 2; ++i) {
             std::swap(at->second[i], at->second[i + any(n - i)]);
-            Server &s = *at->second[i];
-            const bool tried = std::ranges::count(request.attempts, &s, &Attempt::server) > 0;
+            Endpoint &s = *at->second[i];
+            const bool tried = std::ranges::count(request.attempts, &s, &Attempt::endpoint) > 0;
             // A price on crossing zones keeps most choices at home where load is asked for; score() does the
             // rest.
             const bool away = v.crossZoneFee > 0 && asksLoad() && s.entry.zone != v.zone;
@@ -486,21 +488,21 @@
         }
         return chosen;
     }
-    // Exception where servers tell their load to probes and gateways are many, so own in-flight says nothing:
-    // the two are asked. Covers uneven gateways, crowded machines. Harm: price and delay.
+    // Exception where endpoints tell their load to probes and gateways are many, so own in-flight says
+    // nothing: the two are asked. Covers uneven gateways, crowded machines. Harm: price and delay.
     bool asksLoad() const { return v.inHandField >= 0 && many(); }
     bool ask(Request &request) {
         if (!asksLoad()) return false;
-        for (const BuildNo build : place(request))
+        for (const BuildNumber build : place(request))
             if (request.asked.empty()) request.asked = two(request, build, false);
         if (request.asked.size() < 2) return false;
-        for (const Server *s : request.asked) out.push_back(Probe{s->entry.id});
+        for (const Endpoint *s : request.asked) out.push_back(Probe{s->entry.id});
         request.waiting = request.asked.size();
         return true;
     }
     void on(const ProbeEnded &p) {
-        const auto at = servers.find(p.server);
-        if (at == servers.end()) return;
+        const auto at = endpoints.find(p.endpoint);
+        if (at == endpoints.end()) return;
         if (asksLoad() && std::size_t(v.inHandField) < p.load.size())
             at->second.inHand = p.load[std::size_t(v.inHandField)], at->second.inHandAt = now;
         for (auto it = requests.begin(); it != requests.end();) {
@@ -511,7 +513,7 @@
                 go(here);
         }
     }
-    double score(const Server &s) const {
+    double score(const Endpoint &s) const {
         const double far = s.entry.zone == v.zone ? 1 : 1 + 4 * v.crossZoneFee;
         const double weight = s.entry.weight > 0 ? s.entry.weight : 1;
         const double others = s.inHand * std::exp(-secs(now - s.inHandAt) / kLatencyFade);
@@ -529,10 +531,10 @@
     }
 
     // The builds in the order in which this request should try them.
-    std::vector<BuildNo> place(const Request &request) const {
-        const BuildNo base = baseBuild();
-        const bool open = told && news.phase == Phase::onTrial && !bad;
-        const BuildNo rev = told ? news.build : 0;
+    std::vector<BuildNumber> place(const Request &request) const {
+        const BuildNumber base = baseBuild();
+        const bool open = told && news.phase == RolloutPhase::canary && !bad;
+        const BuildNumber rev = told ? news.build : 0;
         bool toTrial = false;
         if (open) {
             const std::string &key =
@@ -542,31 +544,31 @@
             if (!request.attempts.empty())
                 toTrial = onTrial(request.attempts.back().build)
                               ? false
-                              : toTrial || !v.keysStay || hasRoom(request.in.route);
+                              : toTrial || !v.stickyKeys || hasRoom(request.in.route);
         }
-        std::vector<BuildNo> order;
+        std::vector<BuildNumber> order;
         if (toTrial) order.push_back(rev);
         if (base) order.push_back(base);
-        if (!toTrial && told && news.phase != Phase::withdrawn) order.push_back(rev);
+        if (!toTrial && told && news.phase != RolloutPhase::rolledBack) order.push_back(rev);
         for (auto at = live.rbegin(); at != live.rend(); ++at)
             if (at->first < base) order.push_back(at->first);
         return order;
     }
 
     bool dispatch(Request &request) {  // true if a try went out
-        const auto lower = [&](const std::vector<Server *> &from) {
-            Server *best = nullptr;
-            for (Server *s : from)
+        const auto lower = [&](const std::vector<Endpoint *> &from) {
+            Endpoint *best = nullptr;
+            for (Endpoint *s : from)
                 if (!best || score(*s) < score(*best)) best = s;
             if (best && request.attempts.empty() && tooLate(request)) giveUp(request);
             else if (best) send(request, *best);
             return best != nullptr;
         };
-        std::erase_if(request.asked, [&](Server *s) { return aside(*s) || !passes(request, *s); });
-        if (lower(std::vector<Server *>(std::move(request.asked)))) return true;
+        std::erase_if(request.asked, [&](Endpoint *s) { return aside(*s) || !passes(request, *s); });
+        if (lower(std::vector<Endpoint *>(std::move(request.asked)))) return true;
         const auto order = place(request);
         for (const bool desperate : {false, true})
-            for (const BuildNo build : order)
+            for (const BuildNumber build : order)
                 if (lower(two(request, build, desperate))) return true;
         return false;
     }
@@ -590,13 +592,14 @@
         shedAt = now;
         return true;
     }
-    // How many times the usual it takes to answer what is under way (Little's law); silent servers left out.
+    // How many times the usual it takes to answer what is under way (Little's law); silent endpoints left
+    // out.
     double pressure() {
         forget(ends, now - kPaceSpan);
         double under = 0, work = 0;
         for (const auto &[id, request] : requests)
             for (const Attempt &t : request.attempts)
-                if (t.out && !aside(*t.server)) ++under, work += usualOf(request);
+                if (t.out && !aside(*t.endpoint)) ++under, work += usualOf(request);
         if (under < kFewUnderWay) return 1;
         const double pace = std::max(1.0, double(ends.size())) / secs(kPaceSpan);
         return under / pace / (work / under);
@@ -614,13 +617,13 @@
                kOverShare * v.accountShares[std::size_t(account)] * double(recent.size());
     }
 
-    void send(Request &request, Server &s) {
+    void send(Request &request, Endpoint &s) {
         if (!passes(request, s)) return;
         request.attempts.push_back(
             {&s, s.entry.build, s.entry.zone, s.entry.cell, now, s.age(now) < coldEvidence()});
         s.out.insert({now, request.in.requestId});
         if (cold(s)) s.coldSends.push_back(now);
-        if (v.keysStay && !request.in.key.empty()) ++asking[{request.in.key, s.entry.build}];
+        if (v.stickyKeys && !request.in.key.empty()) ++asking[{request.in.key, s.entry.build}];
         if (bound(s.entry.build)) attemptsAt(s.entry.build, request.in.route).push_back(now);
         out.push_back(SendAttempt{request.in.requestId, s.entry.id});
     }
@@ -657,33 +660,34 @@
     template <class Other> void on(const Other &) {}  // notes, streams: not decided on yet; the start is done
 
     void follow() {
-        out.push_back(FollowList{true});
+        out.push_back(WatchEndpoints{true});
         askAgainAt = now + std::max<Duration>(v.askWithin / 2, kWindowSpan);
     }
-    void on(const ListFailed &) { askAgainAt = now + kWindowSpan / 2, following = false; }
-    void on(const ListTold &list) {
-        const auto leaves = [&](Server &s) {
-            if (s.entry.readiness != Readiness::gone) s.entry.readiness = Readiness::gone, s.goneAt = now;
+    void on(const EndpointListFailed &) { askAgainAt = now + kWindowSpan / 2, following = false; }
+    void on(const EndpointListUpdate &list) {
+        const auto leaves = [&](Endpoint &s) {
+            if (s.entry.state != EndpointState::removed)
+                s.entry.state = EndpointState::removed, s.goneAt = now;
         };
-        for (auto &[id, s] : servers)
+        for (auto &[id, s] : endpoints)
             if (list.complete) leaves(s);
         // Who left long ago is forgotten, or addresses would add up; not before it would be warm again, so
         // that what it was sent while cold still counts if it returns.
-        std::erase_if(servers, [&](const auto &one) {
-            const Server &s = one.second;
+        std::erase_if(endpoints, [&](const auto &one) {
+            const Endpoint &s = one.second;
             const auto holds = [&](const auto &request) {
                 return std::ranges::count(request.second.asked, &s) +
-                           std::ranges::count(request.second.attempts, &s, &Attempt::server) >
+                           std::ranges::count(request.second.attempts, &s, &Attempt::endpoint) >
                        0;
             };
-            return s.entry.readiness == Readiness::gone && s.given == 0 &&
+            return s.entry.state == EndpointState::removed && s.given == 0 &&
                    now - s.goneAt > v.warmWithin + v.overloadFor + kWindowSpan &&
                    std::ranges::none_of(requests, holds);
         });
         for (Arm *arm : {&trial, &earlier, &lastEarlier})
-            std::erase_if(arm->servers, [&](const auto &one) { return !servers.contains(one.first); });
+            std::erase_if(arm->endpoints, [&](const auto &one) { return !endpoints.contains(one.first); });
         for (const auto &e : list.entries) {
-            Server &s = servers[e.id];
+            Endpoint &s = endpoints[e.id];
             if (s.entry.startedAt != e.startedAt || s.entry.build != e.build) {
                 s.slowness = 1, s.unanswered = 0, s.asideUntil = s.asideFor = Duration{0};
                 s.coldSends.clear();
@@ -691,12 +695,12 @@
             }
             if (!s.entry.id.empty() && s.entry.build != e.build)
                 s.ranBefore = s.entry.build, s.changedAt = now;
-            if (e.readiness == Readiness::gone) leaves(s);
+            if (e.state == EndpointState::removed) leaves(s);
             s.entry = e;
         }
         following = true;
         live.clear();
-        for (auto &[id, s] : servers)
+        for (auto &[id, s] : endpoints)
             if (s.listed()) live[s.entry.build].push_back(&s);
         countServers();
     }
@@ -745,7 +749,7 @@
         Attempt &t = request.attempts[std::size_t(end.attemptNumber)];
         if (!t.out) return;  // told before: it must not count twice, nor prove the contrary
         t.out = false, t.how = end.how;
-        t.server->out.erase({t.sent, end.requestId});
+        t.endpoint->out.erase({t.sent, end.requestId});
         const auto asked = asking.find({request.in.key, t.build});
         if (asked != asking.end() && --asked->second == 0) asking.erase(asked);
         if (end.how == Outcome::ok) ends.push_back(now);
@@ -768,28 +772,28 @@
         drop(it);
     }
 
-    // A server is silent on a try when nothing has come from it since, for several times the usual latency.
-    bool silent(const Server &s, const Attempt &t) const { return s.answeredAt < t.sent; }
-    void unanswered(Server &s) {
+    // A endpoint is silent on a try when nothing has come from it since, for several times the usual latency.
+    bool silent(const Endpoint &s, const Attempt &t) const { return s.answeredAt < t.sent; }
+    void unanswered(Endpoint &s) {
         if (++s.unanswered < kEjectAfter || aside(s)) return;
         double gone = 1, all = 0;
         if (const auto at = live.find(s.entry.build); at != live.end())
-            for (const Server *other : at->second) ++all, gone += aside(*other);
+            for (const Endpoint *other : at->second) ++all, gone += aside(*other);
         if (gone > std::max(1.0, kMostAside * all)) return;
         s.asideFor = std::clamp(s.asideFor * 2, kEjectFirst, kEjectMost);
         s.asideUntil = now + s.asideFor;
     }
 
-    // Reads how a try ended: the server's health and latency, the usual times, the evidence on the builds.
+    // Reads how a try ended: the endpoint's health and latency, the usual times, the evidence on the builds.
     void settle(Request &request, const Attempt &t, const AttemptEnded &end) {
-        Server &s = *t.server;
+        Endpoint &s = *t.endpoint;
         const auto r = std::size_t(request.in.route);
         const double took = secs(now - t.sent);
         const bool answered = end.how == Outcome::ok || end.how == Outcome::unreadable;
         // What ended unread may have been answered well all the same: its key stays as well. An error is an
         // answer, and no good one. Guards against a key that goes back to an earlier build. Harm: keys bound
         // to a bad build.
-        if (v.keysStay && !provesNotRun(end.how) && end.how != Outcome::error && !request.in.key.empty() &&
+        if (v.stickyKeys && !provesNotRun(end.how) && end.how != Outcome::error && !request.in.key.empty() &&
             t.build > allStay)
             stays[request.in.key] = std::max(stays[request.in.key], t.build);
         if (end.how == Outcome::ok) {
@@ -813,19 +817,19 @@
     void evidence(const Request &request, const Attempt &t, const AttemptEnded &end, double ratio) {
         // What can't be read is a connection's trouble, of either build alike.
         if (!told || provesNotRun(end.how) || end.how == Outcome::unreadable) return;
-        if (news.phase != Phase::onTrial && news.phase != Phase::released) return;
+        if (news.phase != RolloutPhase::canary && news.phase != RolloutPhase::released) return;
         // Of one that went back before this one came: neither the trial nor what it is held against. Guards
         // against its late failures hiding the next one's. Harm: none seen.
         if (t.build < news.build && t.build == sentBack) return;
         const bool isTrial = t.build == news.build;
         const bool failed = isFailure(end.how);
-        // A server that answers nothing is a machine's trouble: its silence tells nothing of the build.
-        if (failed && end.how != Outcome::error && t.server->unanswered >= kEjectAfter) return;
+        // A endpoint that answers nothing is a machine's trouble: its silence tells nothing of the build.
+        if (failed && end.how != Outcome::error && t.endpoint->unanswered >= kEjectAfter) return;
         Arm &arm = isTrial ? trial : earlier;
         // A try cut short took at least so long; or a slow build's slowest answers would not count.
         const bool cutShort = end.how == Outcome::cancelled || end.how == Outcome::timeout;
-        const bool counts = t.build <= news.build && !t.cold && t.server->unanswered < kEjectAfter;
-        if (cutShort && counts && ratio > 1 && v.votesToGoBack >= kPooledVotes)
+        const bool counts = t.build <= news.build && !t.cold && t.endpoint->unanswered < kEjectAfter;
+        if (cutShort && counts && ratio > 1 && v.votesToRollBack >= kPooledVotes)
             arm.slowness.push_back({now, ratio});
         if (end.how == Outcome::cancelled) return;
         if (end.how == Outcome::ok && request.attempts.size() > 1) {
@@ -842,7 +846,7 @@
         ownErrors += isTrial && end.how == Outcome::error;
         if (isTrial) met.push_back({now, 0}), ++canaryAttempts;
         if (t.cold || t.build > news.build || (eased && t.sent < easedAt + kWindowSpan)) return;
-        arm.add(request.in.route, t.server->entry.id, failed, end.how == Outcome::error, ratio);
+        arm.add(request.in.route, t.endpoint->entry.id, failed, end.how == Outcome::error, ratio);
         if (end.how == Outcome::ok) {
             arm.slowness.push_back({now, ratio});
             while (arm.slowness.front().first < now - kSlowSpan) arm.slowness.pop_front();
@@ -857,15 +861,15 @@
         }
     }
 
-    void on(const WrongReported &w) {
-        const auto at = servers.find(w.server);
-        if (at == servers.end() || !told) return;
+    void on(const IncorrectResponseReported &w) {
+        const auto at = endpoints.find(w.endpoint);
+        if (at == endpoints.end() || !told) return;
         // The id may have come to run another build since that try was sent.
-        const Server &s = at->second;
+        const Endpoint &s = at->second;
         if ((now - w.since < s.changedAt ? s.ranBefore : s.entry.build) == news.build)
-            ++wrong, met.push_back({now, 1 / std::max(0.01, v.wrongReported)});
+            ++wrong, met.push_back({now, 1 / std::max(0.01, v.incorrectReportRate)});
     }
-    void on(const TallyTold &c) {
+    void on(const UsageReport &c) {
         if (!told || c.since > now - newsBegan || c.build > news.build) return;
         Arm &arm = c.build == news.build ? tallyTrial : tallyEarlier;
         auto &cell = arm.routes[c.route];
@@ -892,14 +896,14 @@
         }
         return lost > other + kFailMargin * ours.count() && lost > kFailRatio * other;
     }
-    static std::pair<int, int> order(const StageNews &n) {  // a build passes through these one way
-        const int phase = n.phase == Phase::onTrial ? 0 : n.phase == Phase::released ? 1 : 2;
-        return {n.phase == Phase::withdrawn ? 3 : phase, n.step};
+    static std::pair<int, int> order(const RolloutUpdate &n) {  // a build passes through these one way
+        const int phase = n.phase == RolloutPhase::canary ? 0 : n.phase == RolloutPhase::released ? 1 : 2;
+        return {n.phase == RolloutPhase::rolledBack ? 3 : phase, n.step};
     }
-    void on(const StageNews &n) {
-        if (n.answersVote) {
+    void on(const RolloutUpdate &n) {
+        if (n.isVoteReply) {
             votePending = false;
-            if (n.how == Outcome::ok) standing = lastVote, voteDue = now + v.voteLife * 6 / 10;
+            if (n.how == Outcome::ok) standing = lastVote, voteDue = now + v.voteLifetime * 6 / 10;
             else voteDue = now + (n.how == Outcome::moot ? kMootRetry : kVoteRetry);
         }
         if (n.how != Outcome::ok) return;
@@ -920,7 +924,7 @@
             bad = eased = false, wrong = pairsTrial = pairsEarlier = canaryAttempts = ownErrors = 0;
             lastEarlier = Arm{}, met.clear(), pooledUntil = Duration{0};
         }
-        if (n.phase == Phase::goingBack || n.phase == Phase::withdrawn) {
+        if (n.phase == RolloutPhase::rollingBack || n.phase == RolloutPhase::rolledBack) {
             sentBack = n.build;
             std::erase_if(stays, [&](const auto &stay) { return stay.second >= n.build; });
             if (allStay >= n.build) allStay = 0;
@@ -933,12 +937,12 @@
         }
         healthy = unhealthy = tallySick = 0;
         tallyTrial = tallyEarlier = Arm{}, lastTrialFailure = Duration{0};
-        wanted = bad ? Verdict::back : Verdict::none;
+        wanted = bad ? Verdict::rollBack : Verdict::none;
         standing = Verdict::none, voteDue = now, votePending = false;
     }
 
     bool fullLoad() const {  // whether the earlier build bears about all that the fleet gets
-        if (!told || news.phase != Phase::onTrial) return true;
+        if (!told || news.phase != RolloutPhase::canary) return true;
         return suspicion == Suspicion::none && slowSince == Duration{0} && trialShare() < 0.25;
     }
 
@@ -950,7 +954,7 @@
         if (pulse.size() < kPulseLeast || reference.size() < kPulseLeast) return;
         const double slow = quantile(valuesSince(pulse, Duration{0}), 0.5) / quantile(reference, 0.5);
         // Machines replaced in place are missed until their successors are warm: that alone slows the rest.
-        const bool warming = v.replacedInPlace && count.anyCold;
+        const bool warming = v.inPlaceReplacement && count.anyCold;
         if (slow <= kFleetSlow + kPulseDoubt / std::sqrt(double(pulse.size()))) slowSince = Duration{0};
         else if (slowSince == Duration{0}) slowSince = now;
         const bool lasting = slowSince != Duration{0} && now - slowSince >= kSlowFor && !warming;
@@ -1036,7 +1040,7 @@
     void convict(const std::string &grounds) {
         if (bad) return;
         bad = true;
-        want(Verdict::back, grounds);
+        want(Verdict::rollBack, grounds);
     }
     void want(Verdict verdict, const std::string &grounds) {
         if (verdict != wanted) wanted = verdict, why = grounds, voteDue = now;
@@ -1045,19 +1049,21 @@
     void judge() {
         if (now < countDue) return;
         countServers();
-        if (!told || bad || (news.phase != Phase::onTrial && news.phase != Phase::released)) return;
+        if (!told || bad || (news.phase != RolloutPhase::canary && news.phase != RolloutPhase::released))
+            return;
         if (wrong >= kWrongBack) return convict("wrong answers");
         // Where two or three votes are needed each rests on a pair less; the pooled ones lapse and so need
         // one.
-        const int pairs = v.votesToGoBack > 1 && v.votesToGoBack < kPooledVotes ? kPairsBack - 1 : kPairsBack;
+        const int pairs =
+            v.votesToRollBack > 1 && v.votesToRollBack < kPooledVotes ? kPairsBack - 1 : kPairsBack;
         if (pairsTrial >= pairs && pairsTrial > 2 * pairsEarlier + 1 &&
             apart(pairsTrial, canaryAttempts, &Arm::Cell::errors))
             return convict("pairs");
         judgeTally();
         if (bad) return;
-        if (v.votesToGoBack >= kPooledVotes && pooledDoubts()) pooledUntil = now + v.voteLife;
-        if (now < pooledUntil) return want(Verdict::back, "pooled doubts");
-        if (wanted == Verdict::back) want(Verdict::none, "doubts gone");
+        if (v.votesToRollBack >= kPooledVotes && pooledDoubts()) pooledUntil = now + v.voteLifetime;
+        if (now < pooledUntil) return want(Verdict::rollBack, "pooled doubts");
+        if (wanted == Verdict::rollBack) want(Verdict::none, "doubts gone");
         const Arm &base = enough(earlier) ? earlier : lastEarlier;
         if (now - windowBegan >= kWindowSpan && enough(trial) && enough(base)) {
             const bool errors = tooMany(trial, base, true);
@@ -1070,24 +1076,24 @@
             else ++healthy;
             if (!sick && (late || reason == "failures")) unhealthy = 0;  // late empty: a slow streak stands
             if (unhealthy >= kUnhealthyStreak) return convict(reason);
-            if (sick && wanted == Verdict::on) want(Verdict::none, reason);
+            if (sick && wanted == Verdict::promote) want(Verdict::none, reason);
             closeWindow();
         }
-        if (news.phase != Phase::onTrial) return;
+        if (news.phase != RolloutPhase::canary) return;
         suspect();
         if (bad) return;
-        if (v.gate == Gate::clock)
+        if (v.gate == PromotionRule::timer)
             return want(unhealthy > 0 ? Verdict::hold : healthy > 0 ? Verdict::none : wanted, reason);
         const auto clock = clockStart();
-        if (wanted == Verdict::on || !clock || now < *clock + paced(kPatience) || unhealthy > 0) return;
+        if (wanted == Verdict::promote || !clock || now < *clock + paced(kPatience) || unhealthy > 0) return;
         if (suspicion != Suspicion::none || (slowSince != Duration{0} && now >= clearUntil)) return;
         // Quiet is what this gateway has listened to. Guards against an 'on' of one that has started since,
         // or has seen no answer of the trial in a rough time. Harm: a restart delays its vote.
         const bool rough = earlier.losesMany() || shedOfLate();
         const bool quiet = now - std::max({newsBegan, firstTold, lastTrialFailure}) >= paced(kQuiet) &&
                            tallySick == 0 && !(rough && met.empty());
-        if (healthy >= kHealthyStreak) want(Verdict::on, "healthy");
-        else if (quiet) want(Verdict::on, "quiet");
+        if (healthy >= kHealthyStreak) want(Verdict::promote, "healthy");
+        else if (quiet) want(Verdict::promote, "quiet");
     }
 
     // Exception before slowness or time-outs are blamed on the build: an even share a machine first, what was
@@ -1104,21 +1110,22 @@
         if (enough(earlier)) lastEarlier = earlier;
         for (Arm *arm : {&trial, &earlier}) {
             arm->routes.clear();
-            for (auto &[id, c] : arm->servers) c.n /= 2, c.fails /= 2, c.errors /= 2, c.slow /= 2;
+            for (auto &[id, c] : arm->endpoints) c.n /= 2, c.fails /= 2, c.errors /= 2, c.slow /= 2;
         }
         windowBegan = now;
     }
 
     void vote() {
-        if (!told || now < voteDue || (votePending && now < voteSent + v.voteAnswerWithin + kVoteRetry))
-            return;
-        if (news.phase != Phase::onTrial && (news.phase != Phase::released || wanted != Verdict::back))
+        if (!told || now < voteDue || (votePending && now < voteSent + v.voteTimeout + kVoteRetry)) return;
+        if (news.phase != RolloutPhase::canary &&
+            (news.phase != RolloutPhase::released || wanted != Verdict::rollBack))
             return;
         if (wanted == Verdict::none && standing == Verdict::none) return;
         out.push_back(Vote{news.build, news.step, wanted});
-        if (wanted == Verdict::back && (lastVote != wanted || standing != wanted)) log("vote back: " + why);
+        if (wanted == Verdict::rollBack && (lastVote != wanted || standing != wanted))
+            log("vote back: " + why);
         lastVote = wanted, votePending = true, voteSent = now;
-        voteDue = now + v.voteLife * 6 / 10;
+        voteDue = now + v.voteLifetime * 6 / 10;
     }
 
     void on(const TimerFired &) {
@@ -1134,19 +1141,19 @@
         }
     }
 
-    // A try on a server silent since for several times the usual is copied or called off, so that the request
-    // can go elsewhere. Covers hung and dying machines, cut links. Harm: a long request's work is thrown
-    // away.
+    // A try on a endpoint silent since for several times the usual is copied or called off, so that the
+    // request can go elsewhere. Covers hung and dying machines, cut links. Harm: a long request's work is
+    // thrown away.
     void watch(Request &request) {
         const int last = int(request.attempts.size()) - 1;
         Attempt &t = request.attempts.back();
         const Duration most = span(kSilent * fleet * usualOf(request));
-        if (!t.out || t.calledOff || !silent(*t.server, t) || now - t.sent < most) return;
+        if (!t.out || t.calledOff || !silent(*t.endpoint, t) || now - t.sent < most) return;
         if (last + 1 >= v.maxAttempts || !mayGoAgain(request) || retryBudget < 1) return;
         if (now + span(usualOf(request)) >= request.arrived + route(request).latencyObjective) return;
         t.calledOff = true;
         if (v.mayCopy) {
-            unanswered(*t.server);
+            unanswered(*t.endpoint);
             if (dispatch(request)) retryBudget -= 1;
         } else if (v.mayCancel) out.push_back(CancelAttempt{request.in.requestId, last});
     }
@@ -1155,7 +1162,7 @@
 Policy::Policy() = default;
 Policy::~Policy() = default;
 
-std::vector<Action> Policy::decide(InstanceId who, Duration now, const std::vector<Event> &happened) {
+std::vector<Action> Policy::decide(GatewayId who, Duration now, const std::vector<Event> &happened) {
     std::vector<Action> out;
     for (const auto &event : happened) {
         if (std::holds_alternative<Stopped>(event)) records.erase(who);
--- a/src/scenarios/invariant_checker.cpp
+++ b/src/scenarios/invariant_checker.cpp
@@ -59,7 +59,7 @@
             for (const auto *t : mine->second)
                 if (t->received > c.answered + f.slack && !halted(c.gateway, c.answered, t->received))
                     breach(Rule::oneAnswer, c.requestId, t->received,
-                           "sent to " + t->server + " after its final answer at " + at(c.answered));
+                           "sent to " + t->endpoint + " after its final answer at " + at(c.answered));
         }
     }
     // What a stopped gateway had handed to its sockets, an instance may read late.
@@ -79,27 +79,27 @@
             for (const auto *t : list) {
                 if (ran && rt.effect == Effect::nonRetriable)
                     breach(Rule::noEffectTwice, request, t->received,
-                           "non-retriable, sent to " + t->server + " though it may have run on " +
-                               ran->server + " at " + at(ran->received));
+                           "non-retriable, sent to " + t->endpoint + " though it may have run on " +
+                               ran->endpoint + " at " + at(ran->received));
                 if (ran && rt.effect == Effect::deduped) {
                     if (t->received > ran->received + rt.repeatWindow + f.slack)
                         breach(Rule::noEffectTwice, request, t->received,
-                               "deduped, sent again to " + t->server + " after the memory of " +
+                               "deduped, sent again to " + t->endpoint + " after the memory of " +
                                    at(ran->received));
                     const bool inGroup =
                         rt.group == Group::all ||
                         (t->zone == ran->zone && (rt.group == Group::zone || t->cell == ran->cell));
                     if (!inGroup)
                         breach(Rule::noEffectTwice, request, t->received,
-                               "deduped, sent again to " + t->server + " outside the group of " +
-                                   ran->server);
+                               "deduped, sent again to " + t->endpoint + " outside the group of " +
+                                   ran->endpoint);
                 }
                 if (t->mayHaveRun && !ran) ran = t;
             }
             const bool sheddable = rt.effect == Effect::deduped && rt.group == Group::all;
             if (ran && c->second->end == ClientEnd::shed && !sheddable && ran->received < c->second->answered)
                 breach(Rule::noEffectTwice, request, c->second->answered,
-                       "shed though it may have run on " + ran->server);
+                       "shed though it may have run on " + ran->endpoint);
         }
     }
 
@@ -111,25 +111,25 @@
     }
 
     void drains() {
-        std::map<std::pair<int, ServerId>, std::vector<const ToldServer *>> told;
-        for (const auto &t : r.servers) told[{t.gateway, t.server}].push_back(&t);
+        std::map<std::pair<int, EndpointId>, std::vector<const EndpointNotification *>> told;
+        for (const auto &t : r.endpoints) told[{t.gateway, t.endpoint}].push_back(&t);
         for (const auto &t : r.instances) {
             const auto c = client.find(t.requestId);
             if (c == client.end()) continue;
             const int gateway = c->second->gateway;
-            const auto list = told.find({gateway, t.server});
+            const auto list = told.find({gateway, t.endpoint});
             if (list == told.end()) continue;
-            const ToldServer *last =
+            const EndpointNotification *last =
                 nullptr;  // the first that told it is not live, since it was told live last
             for (const auto *news : list->second) {
                 if (news->at > t.received) break;
-                if (news->readiness == Readiness::live) last = nullptr;
+                if (news->state == EndpointState::active) last = nullptr;
                 else if (!last) last = news;
             }
             if (last && t.received > last->at + f.drainGrace + f.slack &&
                 sameLife(gateway, last->at, t.received) && !halted(gateway, last->at, t.received))
                 breach(Rule::drains, t.requestId, t.received,
-                       "sent to " + t.server + ", which gateway " + std::to_string(gateway) +
+                       "sent to " + t.endpoint + ", which gateway " + std::to_string(gateway) +
                            " was told at " + at(last->at) + " to leave");
         }
     }
@@ -138,41 +138,42 @@
         for (const auto &fall : r.fallen) {
             std::size_t all = 0, informed = 0;
             for (const auto &t : r.instances) {
-                if (t.server != fall.server || t.received < fall.from || t.received > fall.until) continue;
+                if (t.endpoint != fall.endpoint || t.received < fall.from || t.received > fall.until)
+                    continue;
                 ++all;
                 const auto c = client.find(t.requestId);
                 if (c == client.end()) continue;
-                informed += std::ranges::any_of(r.servers, [&](const ToldServer &news) {
-                    return news.gateway == c->second->gateway && news.server == t.server && news.startedNow &&
-                           news.at <= t.received;
+                informed += std::ranges::any_of(r.endpoints, [&](const EndpointNotification &news) {
+                    return news.gateway == c->second->gateway && news.endpoint == t.endpoint &&
+                           news.startedNow && news.at <= t.received;
                 });
             }
             if (3 * informed >= 2 * all)
-                breach(Rule::coldServers, fall.server, fall.until,
+                breach(Rule::coldServers, fall.endpoint, fall.until,
                        "fell over while cold: " + std::to_string(all) + " tries from " + at(fall.from) +
                            " on, " + std::to_string(informed) + " of gateways that knew of its start");
         }
     }
 
-    bool onTrial(const ToldRelease *k, BuildNo build) const {
+    bool onTrial(const RolloutNotification *k, BuildNumber build) const {
         if (!k) return build > f.firstBuild;
-        return build > k->build || (build == k->build && k->phase != Phase::released);
+        return build > k->build || (build == k->build && k->phase != RolloutPhase::released);
     }
-    double cap(const ToldRelease *k, BuildNo build) const {
+    double cap(const RolloutNotification *k, BuildNumber build) const {
         if (!onTrial(k, build)) return 1e9;
         return k && k->build == build ? k->cap : f.firstCap;
     }
 
     void exposure() {
-        std::map<int, std::vector<ToldRelease>> news;
+        std::map<int, std::vector<RolloutNotification>> news;
         for (const auto &t : r.releases) news[t.gateway].push_back(t);
         struct Sent {
             Duration at;
             const InstanceRecord *t;
             const ClientRecord *c;
         };
-        std::map<std::tuple<int, BuildNo, int>, std::vector<Sent>> sent;  // gateway, build, route or -1
-        std::map<std::pair<int, int>, std::vector<Duration>> taken;       // gateway, route or -1
+        std::map<std::tuple<int, BuildNumber, int>, std::vector<Sent>> sent;  // gateway, build, route or -1
+        std::map<std::pair<int, int>, std::vector<Duration>> taken;           // gateway, route or -1
         const auto counted = [&](int route) { return f.exposurePerRoute ? route : -1; };
         for (const auto &c : r.clients)
             if (c.sent != Duration{0} && c.end != ClientEnd::unreached)
@@ -192,8 +193,8 @@
             for (std::size_t k = 0; k < list.size(); ++k) {
                 const Duration now = list[k].at;
                 // The loosest of what it may go by: what it knew a grace ago, and all that it was told since.
-                const ToldRelease *before = nullptr;
-                std::vector<const ToldRelease *> valid;
+                const RolloutNotification *before = nullptr;
+                std::vector<const RolloutNotification *> valid;
                 for (const auto &n : told) {
                     if (n.at <= now - f.drainGrace - f.slack) before = &n;
                     else if (n.at <= now) valid.push_back(&n);
@@ -205,23 +206,23 @@
                 for (const auto *n : valid) {
                     most = std::max(most, cap(n, build));
                     trial = trial && onTrial(n, build);
-                    guarded = guarded && (n && n->build == build ? n->step : 0) < f.guardedStages;
+                    guarded = guarded && (n && n->build == build ? n->step : 0) < f.idempotentOnlyStages;
                 }
                 if (!trial) continue;
                 if (guarded && route(*list[k].c).effect != Effect::retriable)
                     breach(Rule::exposure, list[k].t->requestId, now,
                            "not retriable, sent to build " + std::to_string(build) + " in a guarded stage");
                 // Counted afresh from where a lower cap came to bind, or the build was not on trial before.
-                Duration from = now - f.exposureSpan;
+                Duration from = now - f.exposureWindow;
                 for (std::size_t n = 0; n < told.size(); ++n) {
-                    const ToldRelease *prior = n ? &told[n - 1] : nullptr;
+                    const RolloutNotification *prior = n ? &told[n - 1] : nullptr;
                     if (told[n].at <= now && cap(&told[n], build) < cap(prior, build))
                         from = std::max(from, told[n].at + f.drainGrace);
                 }
                 const auto sentThere =
                     std::ranges::count_if(list, [&](const Sent &s) { return s.at > from && s.at <= now; });
                 const auto accepted = std::ranges::upper_bound(requests, now + f.slack) -
-                                      std::ranges::lower_bound(requests, now - f.exposureSpan - f.slack);
+                                      std::ranges::lower_bound(requests, now - f.exposureWindow - f.slack);
                 if (double(sentThere) > f.exposureAllowance + most * double(accepted) + 1e-9 &&
                     !halted(gateway, from, now))
                     breach(Rule::exposure, list[k].t->requestId, now,
@@ -233,8 +234,8 @@
         }
     }
 
-    void keysStay() {
-        if (!f.keysStay) return;
+    void stickyKeys() {
+        if (!f.stickyKeys) return;
         std::map<std::pair<int, std::string>, std::vector<const ClientRecord *>> answered;
         for (const auto &c : r.clients)
             if (c.end == ClientEnd::completed && !c.key.empty()) answered[{c.gateway, c.key}].push_back(&c);
@@ -247,10 +248,10 @@
             for (const auto *a : list->second) {
                 if (a->build <= t.build || a->answered + f.slack >= t.received) continue;
                 if (!sameLife(gateway, a->answered, t.received)) continue;
-                const bool sentBack = std::ranges::any_of(r.releases, [&](const ToldRelease &n) {
+                const bool sentBack = std::ranges::any_of(r.releases, [&](const RolloutNotification &n) {
                     return n.gateway == gateway && n.at <= t.received && n.build >= a->build &&
                            n.at >= a->answered - f.slack &&
-                           (n.phase == Phase::goingBack || n.phase == Phase::withdrawn);
+                           (n.phase == RolloutPhase::rollingBack || n.phase == RolloutPhase::rolledBack);
                 });
                 if (sentBack) continue;
                 breach(Rule::exposure, t.requestId, t.received,
@@ -283,7 +284,7 @@
     auditor.drains();
     auditor.coldServers();
     auditor.exposure();
-    auditor.keysStay();
+    auditor.stickyKeys();
     std::ranges::stable_sort(auditor.found, {}, &Breach::at);
     return std::move(auditor.found);
 }
--- a/src/scenarios/invariant_checker.hpp
+++ b/src/scenarios/invariant_checker.hpp
@@ -23,39 +23,39 @@
     Duration givesUp{};
     Duration answered{};  // zero: never
     ClientEnd end = ClientEnd::none;
-    int answers = 0;    // final answers that came
-    BuildNo build = 0;  // that the answer says it is from; told by the instance itself
+    int answers = 0;        // final answers that came
+    BuildNumber build = 0;  // that the answer says it is from; told by the instance itself
 };
 
 // One upstream try, as an instance saw it.
 struct InstanceRecord {
     std::string requestId;
-    ServerId server;
+    EndpointId endpoint;
     int zone = 0, cell = 0;
-    BuildNo build = 0;
+    BuildNumber build = 0;
     Duration received{};
     bool mayHaveRun = true;  // false: turned away unread, with the sign for it
 };
 
-struct ToldServer {
+struct EndpointNotification {
     int gateway = 0;
     Duration at{};
-    ServerId server;
-    BuildNo build = 0;
-    Readiness readiness = Readiness::live;
+    EndpointId endpoint;
+    BuildNumber build = 0;
+    EndpointState state = EndpointState::active;
     bool startedNow = false;  // tells of a start
 };
-struct ToldRelease {
+struct RolloutNotification {
     int gateway = 0;
     Duration at{};
-    BuildNo build = 0;
+    BuildNumber build = 0;
     int step = 0;
-    Phase phase = Phase::onTrial;
+    RolloutPhase phase = RolloutPhase::canary;
     double cap = 0;
 };
 // A cold instance fell over: it had got more in this window than the rule allows.
 struct FellOver {
-    ServerId server;
+    EndpointId endpoint;
     Duration from{}, until{};
 };
 enum class Halt { killed, stopped };
@@ -68,8 +68,8 @@
 struct Records {
     std::vector<ClientRecord> clients;
     std::vector<InstanceRecord> instances;
-    std::vector<ToldServer> servers;
-    std::vector<ToldRelease> releases;
+    std::vector<EndpointNotification> endpoints;
+    std::vector<RolloutNotification> releases;
     std::vector<FellOver> fallen;
     std::vector<GatewayHalt> halts;
 };
@@ -78,11 +78,11 @@
     std::vector<Route> routes;
     Duration drainGrace{};
     double exposureAllowance = 0;
-    Duration exposureSpan{};
-    bool exposurePerRoute = false, keysStay = false;
+    Duration exposureWindow{};
+    bool exposurePerRoute = false, stickyKeys = false;
     double firstCap = 0;
-    int guardedStages = 0;
-    BuildNo firstBuild = 0;  // builds above it are on trial until told otherwise
+    int idempotentOnlyStages = 0;
+    BuildNumber firstBuild = 0;  // builds above it are on trial until told otherwise
     // Two sockets do not see one moment: events this close are not told apart. Over the way between two
     // processes of one busy machine; harm: a breach shorter than it goes unseen.
     Duration slack = std::chrono::milliseconds(100);
--- a/src/scenarios/records.cpp
+++ b/src/scenarios/records.cpp
@@ -36,18 +36,18 @@
                                   {"build", c.build}});
     for (const auto &t : r.instances)
         out["instances"].push_back({{"req", t.requestId},
-                                    {"server", t.server},
+                                    {"server", t.endpoint},
                                     {"zone", t.zone},
                                     {"cell", t.cell},
                                     {"build", t.build},
                                     {"received", us(t.received)},
                                     {"mayHaveRun", t.mayHaveRun}});
-    for (const auto &t : r.servers)
+    for (const auto &t : r.endpoints)
         out["servers"].push_back({{"gateway", t.gateway},
                                   {"at", us(t.at)},
-                                  {"server", t.server},
+                                  {"server", t.endpoint},
                                   {"build", t.build},
-                                  {"readiness", int(t.readiness)},
+                                  {"readiness", int(t.state)},
                                   {"startedNow", t.startedNow}});
     for (const auto &t : r.releases)
         out["releases"].push_back({{"gateway", t.gateway},
@@ -57,7 +57,7 @@
                                    {"phase", int(t.phase)},
                                    {"cap", t.cap}});
     for (const auto &f : r.fallen)
-        out["fallen"].push_back({{"server", f.server}, {"from", us(f.from)}, {"until", us(f.until)}});
+        out["fallen"].push_back({{"server", f.endpoint}, {"from", us(f.from)}, {"until", us(f.until)}});
     for (const auto &h : r.halts)
         out["halts"].push_back(
             {{"gateway", h.gateway}, {"how", int(h.how)}, {"from", us(h.from)}, {"until", us(h.until)}});
@@ -75,11 +75,11 @@
         r.instances.push_back({t.at("req"), t.at("server"), t.at("zone"), t.at("cell"), t.at("build"),
                                span(t, "received"), t.at("mayHaveRun")});
     for (const auto &t : from.at("servers"))
-        r.servers.push_back({t.at("gateway"), span(t, "at"), t.at("server"), t.at("build"),
-                             within(t, "readiness", Readiness::gone), t.at("startedNow")});
+        r.endpoints.push_back({t.at("gateway"), span(t, "at"), t.at("server"), t.at("build"),
+                               within(t, "readiness", EndpointState::removed), t.at("startedNow")});
     for (const auto &t : from.at("releases"))
         r.releases.push_back({t.at("gateway"), span(t, "at"), t.at("build"), t.at("step"),
-                              within(t, "phase", Phase::withdrawn), t.at("cap")});
+                              within(t, "phase", RolloutPhase::rolledBack), t.at("cap")});
     for (const auto &f : from.at("fallen"))
         r.fallen.push_back({f.at("server"), span(f, "from"), span(f, "until")});
     for (const auto &h : from.at("halts"))
--- a/src/scenarios/runner.cpp
+++ b/src/scenarios/runner.cpp
@@ -266,7 +266,7 @@
     void begin(const Trouble &t) {
         Active a{t.at + t.lasts, nullptr, nullptr, Duration{0}};
         const auto hit = some(t);
-        std::vector<ServerId> ids;
+        std::vector<EndpointId> ids;
         for (const auto *i : hit) ids.push_back(i->id());
         // An instance may be gone when its trouble ends: it is looked up anew.
         const auto each = [this, ids](auto what) {
@@ -433,9 +433,10 @@
             rules.push_back(std::move(one));
         }
         const auto &last = desk.stage();
-        const bool released = last.build == world.trial && last.phase == deckcart::Phase::released;
-        const bool sentBack = last.build == world.trial && (last.phase == deckcart::Phase::goingBack ||
-                                                            last.phase == deckcart::Phase::withdrawn);
+        const bool released = last.build == world.trial && last.phase == deckcart::RolloutPhase::released;
+        const bool sentBack =
+            last.build == world.trial && (last.phase == deckcart::RolloutPhase::rollingBack ||
+                                          last.phase == deckcart::RolloutPhase::rolledBack);
         out.verdictRight = !day.releaseAt || (day.shouldRelease ? released : sentBack);
         std::size_t twice = 0;
         for (const auto &[mark, n] : world.effects) twice += n > 1;
@@ -491,9 +492,9 @@
     RuleFigures f;
     for (const auto &r : day.routes) f.routes.push_back(r.rule);
     f.drainGrace = day.drainGrace, f.exposureAllowance = day.exposureAllowance,
-    f.exposureSpan = day.exposureSpan;
-    f.exposurePerRoute = day.exposurePerRoute, f.keysStay = day.keysStay, f.firstCap = day.caps.front();
-    f.guardedStages = day.guardedStages, f.firstBuild = 1;
+    f.exposureWindow = day.exposureWindow;
+    f.exposurePerRoute = day.exposurePerRoute, f.stickyKeys = day.stickyKeys, f.firstCap = day.caps.front();
+    f.idempotentOnlyStages = day.idempotentOnlyStages, f.firstBuild = 1;
     return f;
 }
 
--- a/src/scenarios/scenario.cpp
+++ b/src/scenarios/scenario.cpp
@@ -181,16 +181,16 @@
     const json &r = part(document, "release");
     if (r.contains("atMs")) d.releaseAt = ms(r, "atMs", 0);
     d.caps = r.value("caps", std::vector<double>{0.1, 0.4, 1}), d.shares = r.value("shares", d.caps);
-    d.exposureAllowance = r.value("spareTries", 2.0), d.exposureSpan = ms(r, "exposureSpanMs", 4000);
-    d.voteLife = ms(r, "voteLifeMs", 6000), d.leastStage = ms(r, "leastStageMs", 1500);
+    d.exposureAllowance = r.value("spareTries", 2.0), d.exposureWindow = ms(r, "exposureSpanMs", 4000);
+    d.voteLifetime = ms(r, "voteLifeMs", 6000), d.minStageDuration = ms(r, "leastStageMs", 1500);
     d.drainGrace = ms(r, "drainGraceMs", 500);
     const auto delay = r.value("newsDelayMs", std::vector<double>{50, 300});
     d.leastNewsDelay = Duration{std::llround(delay[0] * 1000)},
     d.mostNewsDelay = Duration{std::llround(delay[1] * 1000)};
-    d.exposurePerRoute = r.value("exposurePerRoute", false), d.keysStay = r.value("keysStay", false);
-    d.inPlace = r.value("replacedInPlace", false), d.guardedStages = r.value("guardedStages", 0);
-    d.votesToGoBack = r.value("votesToGoBack", 1), d.toAdvance = r.value("toAdvance", 2);
-    d.wrongReported = r.value("wrongReported", 0.0), d.tallies = r.value("tallies", false);
+    d.exposurePerRoute = r.value("exposurePerRoute", false), d.stickyKeys = r.value("keysStay", false);
+    d.inPlace = r.value("replacedInPlace", false), d.idempotentOnlyStages = r.value("guardedStages", 0);
+    d.votesToRollBack = r.value("votesToGoBack", 1), d.toAdvance = r.value("toAdvance", 2);
+    d.incorrectReportRate = r.value("wrongReported", 0.0), d.tallies = r.value("tallies", false);
     if (d.caps.size() != d.shares.size())
         refuse("/release/shares", "has another number of stages than /release/caps");
     if (d.toAdvance > int(d.gatewayWeights.size()))
@@ -226,7 +226,7 @@
     return read;
 }
 
-std::string srvNameOf(BuildNo build, const std::string &zone) {
+std::string srvNameOf(BuildNumber build, const std::string &zone) {
     return "_relay._tcp.b" + std::to_string(build) + "." + zone + ".example.org.";
 }
 
@@ -266,19 +266,19 @@
            {"release",
             {{"replacedInPlace", d.inPlace},
              {"exposurePerRoute", d.exposurePerRoute},
-             {"keysStay", d.keysStay},
-             {"guardedStages", d.guardedStages},
+             {"keysStay", d.stickyKeys},
+             {"guardedStages", d.idempotentOnlyStages},
              {"spareTries", d.exposureAllowance},
-             {"exposureSpanMs", inMs(d.exposureSpan)},
+             {"exposureSpanMs", inMs(d.exposureWindow)},
              {"caps", d.caps},
              {"shares", d.shares},
-             {"voteLifeMs", inMs(d.voteLife)},
-             {"votesToGoBack", d.votesToGoBack},
-             {"wrongReported", d.wrongReported}}}};
+             {"voteLifeMs", inMs(d.voteLifetime)},
+             {"votesToGoBack", d.votesToRollBack},
+             {"wrongReported", d.incorrectReportRate}}}};
     if (!accounts.empty()) s["accounts"] = std::move(accounts);
     if (!nameServers.empty()) {
         json names = json::array();
-        for (const BuildNo build : {1, 2})
+        for (const BuildNumber build : {1, 2})
             for (const auto &zone : d.zones)
                 names.push_back({{"name", srvNameOf(build, zone)}, {"build", build}, {"zone", zone}});
         s["sources"] = {
--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -87,10 +87,11 @@
     nlohmann::json release;  // what the gateways are told, as /release of their settings
     std::vector<double> caps, shares;
     double exposureAllowance = 2;
-    Duration exposureSpan{}, voteLife{}, leastStage{}, drainGrace{}, leastNewsDelay{}, mostNewsDelay{};
-    bool exposurePerRoute = false, keysStay = false, inPlace = false;
-    int guardedStages = 0, votesToGoBack = 1, toAdvance = 2;
-    double wrongReported = 0;
+    Duration exposureWindow{}, voteLifetime{}, minStageDuration{}, drainGrace{}, leastNewsDelay{},
+        mostNewsDelay{};
+    bool exposurePerRoute = false, stickyKeys = false, inPlace = false;
+    int idempotentOnlyStages = 0, votesToRollBack = 1, toAdvance = 2;
+    double incorrectReportRate = 0;
     BadBuild bad;
     bool tallies = false;
     int maxAttempts = 4;
@@ -112,6 +113,6 @@
 nlohmann::json settingsOf(const Day &day, int gateway, const std::string &deskAddress,
                           const std::vector<std::string> &nameServers = {});
 // The name of the SRV records of a build in a zone.
-std::string srvNameOf(BuildNo build, const std::string &zone);
+std::string srvNameOf(BuildNumber build, const std::string &zone);
 
 }  // namespace deckcart::rehearsal
--- a/src/settings/gateway_settings.cpp
+++ b/src/settings/gateway_settings.cpp
@@ -171,27 +171,30 @@
     void release() {
         const json &from = part(doc, "release");
         auto &v = out.module;
-        v.gate = Gate::byCount, v.exposureAllowance = 2, v.exposureSpan = std::chrono::seconds(4);
-        v.exposureCaps = {0.1, 0.4, 1}, v.stageShares = {0.1, 0.4, 1};
-        v.voteLife = std::chrono::seconds(6), v.voteAnswerWithin = std::chrono::milliseconds(800);
+        v.gate = PromotionRule::quorum, v.exposureAllowance = 2, v.exposureWindow = std::chrono::seconds(4);
+        v.exposureLimits = {0.1, 0.4, 1}, v.stageShares = {0.1, 0.4, 1};
+        v.voteLifetime = std::chrono::seconds(6), v.voteTimeout = std::chrono::milliseconds(800);
         word(from, "gate", v.gate,
-             {{"first-vote", Gate::firstVote}, {"by-count", Gate::byCount}, {"clock", Gate::clock}});
-        take(from, "replacedInPlace", v.replacedInPlace), take(from, "exposurePerRoute", v.exposurePerRoute);
-        take(from, "keysStay", v.keysStay), take(from, "guardedStages", v.guardedStages);
-        take(from, "spareTries", v.exposureAllowance), take(from, "exposureSpanMs", v.exposureSpan);
-        take(from, "caps", v.exposureCaps), take(from, "shares", v.stageShares);
-        take(from, "voteLifeMs", v.voteLife), take(from, "voteAnswerWithinMs", v.voteAnswerWithin);
-        take(from, "votesToGoBack", v.votesToGoBack), take(from, "wrongReported", v.wrongReported);
-        if (v.exposureCaps.size() != v.stageShares.size())
+             {{"first-vote", PromotionRule::firstVote},
+              {"by-count", PromotionRule::quorum},
+              {"clock", PromotionRule::timer}});
+        take(from, "replacedInPlace", v.inPlaceReplacement),
+            take(from, "exposurePerRoute", v.exposurePerRoute);
+        take(from, "keysStay", v.stickyKeys), take(from, "guardedStages", v.idempotentOnlyStages);
+        take(from, "spareTries", v.exposureAllowance), take(from, "exposureSpanMs", v.exposureWindow);
+        take(from, "caps", v.exposureLimits), take(from, "shares", v.stageShares);
+        take(from, "voteLifeMs", v.voteLifetime), take(from, "voteAnswerWithinMs", v.voteTimeout);
+        take(from, "votesToGoBack", v.votesToRollBack), take(from, "wrongReported", v.incorrectReportRate);
+        if (v.exposureLimits.size() != v.stageShares.size())
             refuse("/release/caps", "has another number of stages than /release/shares");
-        if (!std::ranges::is_sorted(v.exposureCaps))
+        if (!std::ranges::is_sorted(v.exposureLimits))
             refuse("/release/caps", "falls from one stage to the next");
         if (!std::ranges::is_sorted(v.stageShares))
             refuse("/release/shares", "falls from one stage to the next");
-        if (v.voteAnswerWithin >= v.voteLife)
+        if (v.voteTimeout >= v.voteLifetime)
             refuse("/release/voteAnswerWithinMs",
                    "is not below /release/voteLifeMs: votes would lapse unseen");
-        if (v.votesToGoBack > v.gateways)
+        if (v.votesToRollBack > v.gateways)
             refuse("/release/votesToGoBack", "is over /gateway/count: a bad build could never be sent back");
     }
 
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -122,34 +122,36 @@
     v.tipMultiple = may<double>(safety, "TipMultiple", 1);
     v.overloadFor = optionalDuration(safety, "OverloadForS");
     if (family.contains("GateMode"))
-        v.gate = word<Gate>(
-            family, "GateMode",
-            {{"first_voice", Gate::firstVote}, {"by_count", Gate::byCount}, {"automatic", Gate::clock}});
-    v.replacedInPlace = may<std::string>(family, "ReplaceMode") == "replace";
+        v.gate = word<PromotionRule>(family, "GateMode",
+                                     {{"first_voice", PromotionRule::firstVote},
+                                      {"by_count", PromotionRule::quorum},
+                                      {"automatic", PromotionRule::timer}});
+    v.inPlaceReplacement = may<std::string>(family, "ReplaceMode") == "replace";
     v.exposurePerRoute = may<std::string>(family, "Per") == "each_class";
-    v.keysStay = may<bool>(family, "KeysStay");
-    v.guardedStages = may<int>(family, "GuardedStages");
+    v.stickyKeys = may<bool>(family, "KeysStay");
+    v.idempotentOnlyStages = may<int>(family, "GuardedStages");
     v.exposureAllowance = may<double>(family, "SpareTries");
-    v.exposureSpan = optionalDuration(family, "SpanS");
-    v.exposureCaps = numbers(family, "ExposureCaps");
+    v.exposureWindow = optionalDuration(family, "SpanS");
+    v.exposureLimits = numbers(family, "ExposureCaps");
     v.stageShares = numbers(family, "Shares");
-    v.leastStage = optionalDuration(family, "LeastStageS");
-    v.voteLife = optionalDuration(family, "BallotTtlS");
-    v.voteAnswerWithin = optionalDuration(family, "ApiTimeoutS");
-    v.votesToGoBack = may<int>(family, "VotesToRevert", 1);
-    v.wrongReported = may<double>(family, "ComplaintShare");
+    v.minStageDuration = optionalDuration(family, "LeastStageS");
+    v.voteLifetime = optionalDuration(family, "BallotTtlS");
+    v.voteTimeout = optionalDuration(family, "ApiTimeoutS");
+    v.votesToRollBack = may<int>(family, "VotesToRevert", 1);
+    v.incorrectReportRate = may<double>(family, "ComplaintShare");
     return v;
 }
 
-ServerEntry serverEntry(const json &from) {
-    ServerEntry e;
+EndpointEntry serverEntry(const json &from) {
+    EndpointEntry e;
     e.id = need<std::string>(from, "Instance");
     e.zone = may<int>(from, "RackZone");
     e.cell = may<int>(from, "Pod");
-    e.build = static_cast<BuildNo>(may<double>(from, "Runs"));
-    e.readiness = word<Readiness>(
-        from, "Readiness",
-        {{"live", Readiness::live}, {"quiescing", Readiness::draining}, {"dead", Readiness::gone}});
+    e.build = static_cast<BuildNumber>(may<double>(from, "Runs"));
+    e.state = word<EndpointState>(from, "Readiness",
+                                  {{"live", EndpointState::active},
+                                   {"quiescing", EndpointState::draining},
+                                   {"dead", EndpointState::removed}});
     e.weight = may<double>(from, "Scale", 1);
     const Duration started = optionalDuration(from, "StartedAtS");
     if (started > Duration{0}) e.startedAt = started;
@@ -196,32 +198,32 @@
     batch.now = needDuration(root, "TsS");
     const json &in = field(root, "in");
     if (!in.is_array()) throw BadBatch("field in is not an array");
-    std::map<InstanceId, std::size_t> places;
+    std::map<GatewayId, std::size_t> places;
     for (const auto &event : in) {
         if (!event.is_object()) throw BadBatch("an event is not an object");
         const auto kind = need<std::string>(event, "m");
         if (kind == "LIST") {
-            std::vector<ServerEntry> entries;
+            std::vector<EndpointEntry> entries;
             for (const auto &entry : rows(event, "NodesList")) entries.push_back(serverEntry(entry));
             lists[may<std::int64_t>(event, "Table")] = std::move(entries);
             continue;
         }
-        const auto who = may<InstanceId>(event, "Who");
+        const auto who = may<GatewayId>(event, "Who");
         const auto [place, added] = places.try_emplace(who, batch.instances.size());
         if (added) batch.instances.push_back({who, {}});
         auto &out = batch.instances[place->second].events;
         const auto request = [&] { return need<RequestId>(event, "Req"); };
-        const auto server = [&] { return need<std::string>(event, "Instance"); };
+        const auto endpoint = [&] { return need<std::string>(event, "Instance"); };
         if (kind == "INIT")
             out.push_back(Started{startValues(field(event, "Params"), need<std::uint64_t>(event, "Seed"))});
         else if (kind == "DETACH") out.push_back(Stopped{});
         else if (kind == "PEERS_KNOWN") {
             const auto form = need<std::string>(event, "Form");
-            if (form == "FAILED") out.push_back(ListFailed{});
+            if (form == "FAILED") out.push_back(EndpointListFailed{});
             else {
                 const auto list = lists.find(may<std::int64_t>(event, "Table"));
                 if (list == lists.end()) throw BadBatch("field Table names no list");
-                out.push_back(ListTold{form != "INCREMENTAL", list->second});
+                out.push_back(EndpointListUpdate{form != "INCREMENTAL", list->second});
             }
         } else if (kind == "CALL") {
             RequestArrived a{request(), may<std::string>(event, "Affinity"), may<int>(event, "Grade"),
@@ -233,30 +235,31 @@
                 AttemptEnded{request(), may<int>(event, "SendNo"), may<bool>(event, "Last"), outcome(event)});
         else if (kind == "EXPIRED") out.push_back(RequestAbandoned{request()});
         else if (kind == "WAKE") out.push_back(TimerFired{});
-        else if (kind == "STATUS_BACK") out.push_back(ProbeEnded{server(), numbers(event, "Telemetry")});
+        else if (kind == "STATUS_BACK") out.push_back(ProbeEnded{endpoint(), numbers(event, "Telemetry")});
         else if (kind == "MESSAGE") continue;  // of peers: nothing is told to them
         else if (kind == "PROMOTION") {
             const int phase = may<int>(event, "Standing");
             if (phase < 0 || phase > 3) throw BadBatch("field Standing holds an unknown number");
-            out.push_back(StageNews{may<int>(event, "Sense") == 1, outcome(event), may<int>(event, "BuildNo"),
-                                    may<int>(event, "Step"), static_cast<Phase>(phase),
-                                    may<double>(event, "Cap"), optionalDuration(event, "SinceS")});
+            out.push_back(RolloutUpdate{may<int>(event, "Sense") == 1, outcome(event),
+                                        may<int>(event, "BuildNo"), may<int>(event, "Step"),
+                                        static_cast<RolloutPhase>(phase), may<double>(event, "Cap"),
+                                        optionalDuration(event, "SinceS")});
         } else if (kind == "TALLY")
-            out.push_back(TallyTold{may<int>(event, "BuildNo"), may<int>(event, "Grade"),
-                                    may<int>(event, "Many"), may<int>(event, "Lost"),
-                                    optionalDuration(event, "SinceS")});
+            out.push_back(UsageReport{may<int>(event, "BuildNo"), may<int>(event, "Grade"),
+                                      may<int>(event, "Many"), may<int>(event, "Lost"),
+                                      optionalDuration(event, "SinceS")});
         else if (kind == "REPORTED_WRONG")
-            out.push_back(WrongReported{server(), optionalDuration(event, "SinceS")});
+            out.push_back(IncorrectResponseReported{endpoint(), optionalDuration(event, "SinceS")});
         else throw BadBatch("field m holds an unknown event " + kind);
     }
     return batch;
 }
 
-json write(InstanceId who, const Action &action) {
+json write(GatewayId who, const Action &action) {
     json out =
         std::visit(Overload{
                        [](const SendAttempt &a) {
-                           return json{{"m", "ROUTE"}, {"Req", a.requestId}, {"Instance", a.server}};
+                           return json{{"m", "ROUTE"}, {"Req", a.requestId}, {"Instance", a.endpoint}};
                        },
                        [](const CancelAttempt &a) {
                            return json{{"m", "CALL_OFF"}, {"Req", a.requestId}, {"SendNo", a.attemptNumber}};
@@ -273,9 +276,9 @@
                            return json{{"m", "SLEEP"}, {"SleepForS", seconds(a.after)}, {"Handle", 0}};
                        },
                        [](const Probe &a) {
-                           return json{{"m", "INSPECT"}, {"Instance", a.server}};
+                           return json{{"m", "INSPECT"}, {"Instance", a.endpoint}};
                        },
-                       [](const FollowList &a) {
+                       [](const WatchEndpoints &a) {
                            return json{{"m", "KEEP_INFORMED"}, {"Active", a.active}};
                        },
                        [](const Vote &a) {
--- a/src/simulator/codec.hpp
+++ b/src/simulator/codec.hpp
@@ -14,7 +14,7 @@
 };
 
 struct Happened {
-    InstanceId who = 0;
+    GatewayId who = 0;
     std::vector<Event> events;
 };
 struct Batch {
@@ -43,10 +43,10 @@
     Batch read(const std::string &line);
 
   private:
-    std::map<std::int64_t, std::vector<ServerEntry>> lists;  // by number; a new one supersedes the old
+    std::map<std::int64_t, std::vector<EndpointEntry>> lists;  // by number; a new one supersedes the old
 };
 
-nlohmann::json write(InstanceId who, const Action &action);
+nlohmann::json write(GatewayId who, const Action &action);
 
 // Reads batches until the end of input, one reply a line; returns the exit status.
 int serve(std::istream &in, std::ostream &out, std::ostream &err);
--- a/tests/path/cells_test.cpp
+++ b/tests/path/cells_test.cpp
@@ -44,7 +44,7 @@
     asio::io_context &io;
     tcp::acceptor acceptor;
     tcp::socket peer;
-    ServerId id;
+    EndpointId id;
     std::deque<tcp::socket> fillers;
     bool accepted = false;
     std::string in;
@@ -93,20 +93,22 @@
     }
 
     auto &other = instances.emplace_back(io, [](auto, auto &) { return ok(); });
-    const auto listed = [&](const ServerId &id, Readiness as) { desk.list(id, 1, as); };
+    const auto listed = [&](const EndpointId &id, EndpointState as) { desk.list(id, 1, as); };
     if (fault == "dies") victim.acceptor.close(), victim.close(true);
     if (fault == "resets") victim.close(true);
     if (fault == "answerLost") victim.close(false);
     if (fault == "refuses") victim.acceptor.close();
     if (fault == "bytesCut") victim.write(answering ? "yy" : "HTTP/1.1 20"), victim.close(false);
     if (fault == "full") victim.write(status(503, "X-Instance-Full: 1\r\n").bytes), victim.close(false);
-    if (fault == "listLate" || fault == "drain") listed(victim.id, Readiness::draining);
+    if (fault == "listLate" || fault == "drain") listed(victim.id, EndpointState::draining);
     if (fault == "listContradicts")
-        for (const auto as : {Readiness::draining, Readiness::live, Readiness::gone, Readiness::live})
+        for (const auto as :
+             {EndpointState::draining, EndpointState::active, EndpointState::removed, EndpointState::active})
             listed(victim.id, as);
     if (fault == "coldStart") desk.list(other.id(), 2);
     if (fault == "listLost" || fault == "deskErrs" || fault == "deskSilent") desk.fails = true;
-    if (fault == "deskLate" || fault == "capLowered") desk.stage = {2, 0, Phase::onTrial, 0, Duration{0}};
+    if (fault == "deskLate" || fault == "capLowered")
+        desk.stage = {2, 0, RolloutPhase::canary, 0, Duration{0}};
     if (fault == "stalled") clock.ahead = 1500ms;
     if (fault == "settings") {
         document["release"] = {{"spareTries", 9}};
@@ -118,7 +120,7 @@
     if (fault == "surge")
         for (int k = 0; k < 50; ++k)
             client().send("GET /x HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 300\r\n\r\n");
-    listed(other.id(), Readiness::live);
+    listed(other.id(), EndpointState::active);
     const bool goesOn = fault == "slow" || fault == "trickles" || fault == "resultTwice";
     if (goesOn && stage != "sending" && stage != "connecting") {
         for (std::size_t k = 0; fault == "trickles" && k < 64; ++k) victim.write(rest.substr(k, 1));
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -55,12 +55,12 @@
         silentSince = std::chrono::steady_clock::now();
     }
     auto silentFor() const { return std::chrono::steady_clock::now() - silentSince; }
-    bool listed(const ServerId &id) const {
+    bool listed(const EndpointId &id) const {
         return std::ranges::any_of(gateway->listed(), [&](const auto &s) { return s.id == id; });
     }
     bool drains() const {
         return std::ranges::any_of(gateway->listed(),
-                                   [](const auto &s) { return s.readiness == Readiness::draining; });
+                                   [](const auto &s) { return s.state == EndpointState::draining; });
     }
     // To the instance with its first command, in ms.
     static int timeTold(const RespInstance &one) {
@@ -78,7 +78,7 @@
                        {"release", 1}}}}}
             .dump(indent);
     }
-    SlowToConnect &slowToConnect(const ServerId &id) {
+    SlowToConnect &slowToConnect(const EndpointId &id) {
         auto &made = slows.emplace_back(io);
         standin.list(id, made.address());
         return made;
@@ -139,10 +139,10 @@
     fallSilent();
     ASSERT_TRUE(until([&] { return !standin.watchers.empty(); })) << "opened anew";
     standin.list("s1", one.address(), 1, "Terminating");
-    ASSERT_TRUE(until([&] { return gateway->listed()[0].readiness == Readiness::draining; }));
+    ASSERT_TRUE(until([&] { return gateway->listed()[0].state == EndpointState::draining; }));
     old->write(change("s1", "Ready", -1, 900) + "\n");
     settleDown();
-    EXPECT_EQ(gateway->listed()[0].readiness, Readiness::draining);
+    EXPECT_EQ(gateway->listed()[0].state, EndpointState::draining);
 }
 
 // ---- shutdown, at the gateway: what the loop has not come to yet is what crosses ----
