--- a/bench/sources_bench.cpp
+++ b/bench/sources_bench.cpp
@@ -157,10 +157,10 @@
     const auto memory = resident();
     int lookups = 0;
     std::size_t targets = 0;
-    dns::ResolverOrders orders;
-    orders.servers = {at}, orders.refresh.floor = std::chrono::milliseconds(20);
-    orders.refresh.ceiling = std::chrono::milliseconds(20), orders.questionsASecond = 10000;
-    dns::Resolver r(io, clock, orders, 1,
+    dns::ResolverSettings settings;
+    settings.servers = {at}, settings.refresh.floor = std::chrono::milliseconds(20);
+    settings.refresh.ceiling = std::chrono::milliseconds(20), settings.questionsASecond = 10000;
+    dns::Resolver r(io, clock, settings, 1,
                     [&](const std::string &, const dns::Found &found, Duration, std::size_t) {
                         ++lookups, targets = found.targets.size();
                     });
--- a/include/deckcart/policy.hpp
+++ b/include/deckcart/policy.hpp
@@ -23,9 +23,9 @@
 using BuildNumber = int;
 
 // unreadable: an answer has begun that can't be read to its end; the instance may have given a good one
-enum class Outcome { ok, error, full, timeout, connectFailed, reset, cancelled, moot, unreadable };
-enum class Effect { retriable, deduped, nonRetriable };
-enum class Group { all, zone, cell };
+enum class Outcome { ok, error, overloaded, timeout, connectFailed, reset, cancelled, obsolete, malformed };
+enum class Idempotency { idempotent, withKey, nonIdempotent };
+enum class DeduplicationScope { all, zone, cell };
 enum class EndpointState { active, draining, removed };
 enum class PromotionRule { firstVote, quorum, timer };
 enum class RolloutPhase { canary, rollingBack, released, rolledBack };
@@ -33,33 +33,34 @@
 
 struct Route {
     Duration latencyObjective{};  // when an answer is wanted
-    Effect effect = Effect::retriable;
-    Group group = Group::all;
-    Duration repeatWindow{};
+    Idempotency idempotency = Idempotency::idempotent;
+    DeduplicationScope deduplicationScope = DeduplicationScope::all;
+    Duration deduplicationWindow{};
 };
 
-struct StartValues {
+struct PolicySettings {
     std::uint64_t seed = 0;
     int gateways = 1;
     int zone = 0;
     std::vector<Route> routes;
-    std::vector<double> accountShares;
+    std::vector<double> tenantQuotas;
     // what is allowed
-    bool mayCopy = false;
-    bool mayCancel = false;
+    bool hedgingAllowed = false;
+    bool cancellationAllowed = false;
     int maxAttempts = 1;
-    Duration longestRetryAfter{};
-    Duration sendsWithin{};  // a try may reach its endpoint so much later than it was decided
-    bool retryAfterTold = false;
-    bool listMustBeAsked = false;
-    Duration askWithin{};
-    double crossZoneFee = 0;
-    int inHandField = -1;  // place of the requests in hand in a report to a probe; -1: not told, or no probes
+    Duration maxRetryAfter{};
+    Duration maxSendDelay{};  // a try may reach its endpoint so much later than it was decided
+    bool retryAfterSupported = false;
+    bool subscriptionRequired = false;
+    Duration subscribeWithin{};
+    double crossZoneCost = 0;
+    int inFlightReportField =
+        -1;  // place of the requests in hand in a report to a probe; -1: not told, or no probes
     // figures of the rules
-    double coldFrom = 1;
-    Duration warmWithin{};
-    double tipMultiple = 1;
-    Duration overloadFor{};
+    double initialCapacity = 1;
+    Duration warmUpTime{};
+    double overloadMultiple = 1;
+    Duration overloadWindow{};
     // releases
     PromotionRule gate = PromotionRule::firstVote;
     bool inPlaceReplacement = false;
@@ -89,7 +90,7 @@
 
 // ---- what happened ----
 struct Started {
-    StartValues values;
+    PolicySettings values;
 };
 struct Stopped {};
 struct EndpointListUpdate {
@@ -101,7 +102,7 @@
     RequestId requestId = 0;
     std::string key;
     int route = 0;
-    int account = 0;
+    int tenant = 0;
     Duration notAfter{};
 };
 struct AttemptEnded {
@@ -151,11 +152,11 @@
     RequestId requestId = 0;
     int attemptNumber = 0;
 };
-struct Shed {
+struct ShedRequest {
     RequestId requestId = 0;
     Duration retryIn{};
 };
-struct EndErrored {
+struct FailRequest {
     RequestId requestId = 0;
 };
 struct SetTimer {
@@ -175,8 +176,8 @@
 struct LogLine {
     std::string words;
 };
-using Action = std::variant<SendAttempt, CancelAttempt, Shed, EndErrored, SetTimer, Probe, WatchEndpoints,
-                            Vote, LogLine>;
+using Action = std::variant<SendAttempt, CancelAttempt, ShedRequest, FailRequest, SetTimer, Probe,
+                            WatchEndpoints, Vote, LogLine>;
 
 // The records of the instances that one process hosts. They share nothing.
 class Policy {
--- a/src/cli/api_calls.cpp
+++ b/src/cli/api_calls.cpp
@@ -66,10 +66,10 @@
 
 bool refused(const std::string &file, const std::string &text) {
     try {
-        const auto read = readOrders(nlohmann::json::parse(text));
+        const auto read = parseSettings(nlohmann::json::parse(text));
         for (const auto &one : read.refused)
             std::cerr << file << ": " << (one.path.empty() ? "/" : one.path) << ": " << one.reason << '\n';
-        return !read.orders;
+        return !read.settings;
     } catch (const nlohmann::json::parse_error &fault) {
         std::cerr << file << ": " << fault.what() << '\n';
         return true;
--- a/src/control_plane/http_client.cpp
+++ b/src/control_plane/http_client.cpp
@@ -82,8 +82,8 @@
     return s;
 }
 
-EndpointEntry entryOf(const ListedEndpoint &s, const GatewayOrders &orders) {
-    return {s.id, orders.zoneNo(s.zone), s.cell, s.build, s.state, s.weight, {}};
+EndpointEntry entryOf(const ListedEndpoint &s, const GatewaySettings &settings) {
+    return {s.id, settings.zoneNo(s.zone), s.cell, s.build, s.state, s.weight, {}};
 }
 
 ListedEndpoint listedOf(const EndpointEntry &e, const std::vector<std::string> &zones, Duration now) {
@@ -116,8 +116,8 @@
     return s;
 }
 
-DeskClient::DeskClient(asio::io_context &io, const GatewayOrders &with, Now clock, Tell to)
-    : context(io), orders(with), now(std::move(clock)), tell(std::move(to)) {}
+DeskClient::DeskClient(asio::io_context &io, const GatewaySettings &with, Now clock, Tell to)
+    : context(io), settings(with), now(std::move(clock)), tell(std::move(to)) {}
 
 DeskClient::~DeskClient() { follow(false); }
 
@@ -139,31 +139,32 @@
 }
 
 void DeskClient::list() {
-    if (!orders.desk) return;
-    auto call =
-        http::Fetch::start(context, orders.desk->address, request("GET", "/v1/fleet?gateway=" + orders.id),
-                           {}, orders.desk->answerWithin, [this](const http::Fetched &got) {
-                               listing = nullptr;
-                               try {
-                                   if (!got.ok()) throw std::invalid_argument("no answer");
-                                   const json said = json::parse(got.body);
-                                   const auto at = need<std::uint64_t>(said, "version");
-                                   tellList(need<json>(said, "instances"), true);
-                                   if (said.contains("stage")) tellStage(said["stage"], false, Outcome::ok);
-                                   version = at;
-                                   watch();
-                               } catch (const std::exception &) {
-                                   lost();
-                               }
-                           });
+    if (!settings.desk) return;
+    auto call = http::Fetch::start(context, settings.desk->address,
+                                   request("GET", "/v1/fleet?gateway=" + settings.id), {},
+                                   settings.desk->answerWithin, [this](const http::Fetched &got) {
+                                       listing = nullptr;
+                                       try {
+                                           if (!got.ok()) throw std::invalid_argument("no answer");
+                                           const json said = json::parse(got.body);
+                                           const auto at = need<std::uint64_t>(said, "version");
+                                           tellList(need<json>(said, "instances"), true);
+                                           if (said.contains("stage"))
+                                               tellStage(said["stage"], false, Outcome::ok);
+                                           version = at;
+                                           watch();
+                                       } catch (const std::exception &) {
+                                           lost();
+                                       }
+                                   });
     listing = call;
 }
 
 void DeskClient::watch() {
     watching = http::Fetch::start(
-        context, orders.desk->address,
-        request("GET", "/v1/fleet?gateway=" + orders.id + "&watch=" + std::to_string(version)), {},
-        orders.desk->silentFor,
+        context, settings.desk->address,
+        request("GET", "/v1/fleet?gateway=" + settings.id + "&watch=" + std::to_string(version)), {},
+        settings.desk->silentFor,
         [this](const http::Fetched &) { lost(); },  // 410 too: the next follow lists anew
         [this](std::string_view line) {
             try {
@@ -182,7 +183,7 @@
     else if (kind == "tally") {
         for (const auto &row : need<json>(said, "tally")) {
             const auto route = need<int>(row, "route");
-            if (route < 0 || std::size_t(route) >= orders.routes.size()) continue;
+            if (route < 0 || std::size_t(route) >= settings.routes.size()) continue;
             tell(UsageReport{need<int>(row, "build"), route, need<int>(row, "counted"),
                              need<int>(row, "lost"), milli(need<double>(row, "sinceMs"))});
         }
@@ -197,7 +198,7 @@
     if (starts.size() > kStartsKept) starts.clear();
     for (const auto &entry : entries) {
         const ListedEndpoint s = readListed(entry);
-        EndpointEntry e = entryOf(s, orders);
+        EndpointEntry e = entryOf(s, settings);
         if (s.age) e.startedAt = starts.try_emplace({s.id, s.incarnation}, now() - *s.age).first->second;
         list.entries.push_back(std::move(e));
     }
@@ -210,21 +211,21 @@
 }
 
 void DeskClient::vote(const Vote &vote, Duration within) {
-    if (!orders.desk) return;
+    if (!settings.desk) return;
     auto head = request("POST", "/v1/votes");
     head.headers = {{"Content-Type", "application/json"},
                     {"Idempotency-Key",
-                     orders.id + "-" + std::to_string(now().count()) + "-" + std::to_string(++votesSent)}};
-    const json body{{"gateway", orders.id},
+                     settings.id + "-" + std::to_string(now().count()) + "-" + std::to_string(++votesSent)}};
+    const json body{{"gateway", settings.id},
                     {"build", vote.build},
                     {"step", vote.step},
                     {"verdict", nameOf(vote.verdict)}};
     calls.add(http::Fetch::start(
-        context, orders.desk->address, head, body.dump(), within, [this](const http::Fetched &got) {
+        context, settings.desk->address, head, body.dump(), within, [this](const http::Fetched &got) {
             // No answer, or a broken one: the vote may have counted.
             Outcome how = !got.inTime || got.how != http::CallEnd::complete ? Outcome::timeout
-                          : got.head.status == 409                          ? Outcome::moot
-                          : got.head.status == 429                          ? Outcome::full
+                          : got.head.status == 409                          ? Outcome::obsolete
+                          : got.head.status == 429                          ? Outcome::overloaded
                           : got.ok()                                        ? Outcome::ok
                                                                             : Outcome::error;
             try {
--- a/src/control_plane/http_client.hpp
+++ b/src/control_plane/http_client.hpp
@@ -27,7 +27,7 @@
 nlohmann::json toJson(const ListedEndpoint &endpoint);
 ListedEndpoint readListed(const nlohmann::json &from);
 // As the module takes it, but for when it started: that is on the reader's clock.
-EndpointEntry entryOf(const ListedEndpoint &endpoint, const GatewayOrders &orders);
+EndpointEntry entryOf(const ListedEndpoint &endpoint, const GatewaySettings &settings);
 
 // The way back, with its age at `now`.
 ListedEndpoint listedOf(const EndpointEntry &entry, const std::vector<std::string> &zones, Duration now);
@@ -50,7 +50,7 @@
   public:
     using Tell = std::function<void(Event)>;
     using Now = std::function<Duration()>;
-    DeskClient(asio::io_context &context, const GatewayOrders &orders, Now now, Tell tell);
+    DeskClient(asio::io_context &context, const GatewaySettings &settings, Now now, Tell tell);
     ~DeskClient() override;
     DeskClient(const DeskClient &) = delete;
     DeskClient &operator=(const DeskClient &) = delete;
@@ -68,7 +68,7 @@
     http::RequestHead request(const std::string &method, const std::string &target) const;
 
     asio::io_context &context;
-    const GatewayOrders &orders;
+    const GatewaySettings &settings;
     Now now;
     Tell tell;
     std::uint64_t version = 0, votesSent = 0;
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -52,9 +52,10 @@
     }
 };
 
-Resolver::Resolver(asio::io_context &io, const Clock &with, ResolverOrders given, std::uint64_t seed, Tell to)
-    : context(io), clock(with), orders(std::move(given)), chance(seed), tell(std::move(to)),
-      servers(orders.servers.size()), cap(orders.questionsASecond), capTimer(io) {}
+Resolver::Resolver(asio::io_context &io, const Clock &with, ResolverSettings given, std::uint64_t seed,
+                   Tell to)
+    : context(io), clock(with), settings(std::move(given)), chance(seed), tell(std::move(to)),
+      servers(settings.servers.size()), cap(settings.questionsASecond), capTimer(io) {}
 
 Resolver::~Resolver() {
     *alive = false;
@@ -64,7 +65,7 @@
 void Resolver::follow(const std::string &name, bool haveView) {
     if (followed.contains(name)) return;
     auto &of = *followed
-                    .emplace(name, std::make_unique<Followed>(context, name, orders.refresh,
+                    .emplace(name, std::make_unique<Followed>(context, name, settings.refresh,
                                                               std::uint32_t(chance())))
                     .first->second;
     wait(of, of.refresh.first(haveView));
@@ -127,7 +128,7 @@
 }
 
 void Resolver::sendWaiting() {
-    while (!waiting.empty() && out.size() < orders.inFlight && !capWaits) {
+    while (!waiting.empty() && out.size() < settings.inFlight && !capWaits) {
         if (const Duration in = cap.take(clock.now()); in > Duration{0}) {
             capWaits = true;
             capTimer.expires_after(in);
@@ -168,7 +169,7 @@
 
 void Resolver::overUdp(const std::shared_ptr<Query> &query) {
     ++counted.udp;
-    const auto to = orders.servers[query->now.server];
+    const auto to = settings.servers[query->now.server];
     asio::error_code fault;
     // A socket for each attempt has a port of its own, drawn by the system; connected, it takes datagrams
     // from the server's address and port only (RFC 5452, 9).
@@ -198,7 +199,7 @@
 
 void Resolver::overTcp(const std::shared_ptr<Query> &query) {
     ++counted.tcp;
-    const auto at = orders.servers[query->now.server];
+    const auto at = settings.servers[query->now.server];
     query->bytes.insert(query->bytes.begin(),
                         {std::uint8_t(query->bytes.size() >> 8), std::uint8_t(query->bytes.size())});
     query->stream.async_connect(tcp::endpoint(at.address(), at.port()),
--- a/src/dns/resolver.hpp
+++ b/src/dns/resolver.hpp
@@ -12,7 +12,7 @@
 
 namespace deckcart::dns {
 
-struct ResolverOrders {
+struct ResolverSettings {
     std::vector<asio::ip::udp::endpoint> servers;  // the same address serves TCP
     RefreshRules refresh;
     double questionsASecond = 50;
@@ -25,11 +25,11 @@
 
 class Resolver {
   public:
-    // A name was looked up. `server` is the place in ResolverOrders::servers of the SRV reply; meaningless
+    // A name was looked up. `server` is the place in ResolverSettings::servers of the SRV reply; meaningless
     // where it failed.
     using Tell = std::function<void(const std::string &name, const Found &found, Duration lifetime,
                                     std::size_t server)>;
-    Resolver(asio::io_context &context, const Clock &clock, ResolverOrders orders, std::uint64_t seed,
+    Resolver(asio::io_context &context, const Clock &clock, ResolverSettings settings, std::uint64_t seed,
              Tell tell);
     ~Resolver();
     Resolver(const Resolver &) = delete;
@@ -62,7 +62,7 @@
 
     asio::io_context &context;
     const Clock &clock;
-    ResolverOrders orders;
+    ResolverSettings settings;
     std::mt19937_64 chance;
     Tell tell;
     ServerMemory servers;
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -13,7 +13,7 @@
 
 struct Clients::Request {
     int route = 0, attempts = 0, maxAttempts = 1;
-    std::string key, account, mark;
+    std::string key, tenant, mark;
     double workMs = 0;
     Duration asked{}, givesUp{};
 };
@@ -75,17 +75,16 @@
         // A few keys are far more popular than the rest.
         request->key = "k" + std::to_string(int(d.keys * std::pow(chance01(), 3)));
         double who = chance01();
-        for (std::size_t k = 0; k < d.accounts.size(); ++k)
-            if ((who -= d.accountShares[k]) < 0 || k + 1 == d.accounts.size()) {
-                request->account = d.accounts[k];
+        for (std::size_t k = 0; k < d.tenants.size(); ++k)
+            if ((who -= d.tenantQuotas[k]) < 0 || k + 1 == d.tenants.size()) {
+                request->tenant = d.tenants[k];
                 break;
             }
         request->mark = "m" + std::to_string(++named);
         request->workMs = r.leastWorkMs + (r.mostWorkMs - r.leastWorkMs) * chance01();
         request->asked = world.clock.now(), request->givesUp = request->asked + r.routeTimeout;
         request->maxAttempts = 1 + d.retries;
-        const bool heedless =
-            heedlessTimes > 1 && !d.accounts.empty() && request->account == d.accounts.front();
+        const bool heedless = heedlessTimes > 1 && !d.tenants.empty() && request->tenant == d.tenants.front();
         if (heedless) request->maxAttempts = int(heedlessTimes);
         service[std::size_t(request->route)].asked += 1;
         ask(request);
@@ -129,7 +128,7 @@
                     {"Idempotency-Key", request->mark},
                     {"X-Work-Ms", std::to_string(request->workMs)},
                     {"X-Remaining-Ms", std::to_string(left.count() / 1000)}};
-    if (!request->account.empty()) head.headers.push_back({"X-Account", request->account});
+    if (!request->tenant.empty()) head.headers.push_back({"X-Account", request->tenant});
     if (request->attempts > 1) head.headers.push_back({"X-Repeat", "1"});
     head.length = 5;
     world.records.clients.push_back(std::move(record));
@@ -197,9 +196,10 @@
     }
     const bool done = record.end == ClientEnd::completed;
     // May it be asked again: safe by its route, or by what the answer says.
-    const bool safe = rule.effect == Effect::retriable || record.end == ClientEnd::shed ||
-                      record.end == ClientEnd::unreached ||
-                      (rule.effect == Effect::deduped && now + back <= request->asked + rule.repeatWindow);
+    const bool safe =
+        rule.idempotency == Idempotency::idempotent || record.end == ClientEnd::shed ||
+        record.end == ClientEnd::unreached ||
+        (rule.idempotency == Idempotency::withKey && now + back <= request->asked + rule.deduplicationWindow);
     if (done || !safe || request->attempts >= request->maxAttempts || now + back >= request->givesUp)
         return settle(*request, record.end, wrong, now);
     const bool heedless = request->maxAttempts > 1 + d.retries;
--- a/src/fakes/clients.hpp
+++ b/src/fakes/clients.hpp
@@ -1,4 +1,4 @@
-// Stand-ins for clinics' and shops' systems: an open loop of requests with keys, accounts, marks and
+// Stand-ins for clinics' and shops' systems: an open loop of requests with keys, tenants, marks and
 // time-outs of their own, each tried again at most once, and a record of what came back.
 #pragma once
 
@@ -19,7 +19,7 @@
     void start(Duration until);
     bool idle() const { return ended && calls.empty() && waiting == 0; }
     double burst = 1;          // times the usual rate
-    double heedlessTimes = 1;  // attempts of the first account's clients for each request
+    double heedlessTimes = 1;  // attempts of the first tenant's clients for each request
 
     // By route, of the requests asked: how they ended, retries counted as part of the first try.
     struct Service {
--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -153,7 +153,7 @@
         for (const auto &entry : event["instances"]) {
             const ListedEndpoint s = readListed(entry);
             world.records.endpoints.push_back(
-                {gateway, at, s.id, s.build, s.state, s.age && *s.age < world.day.warmWithin});
+                {gateway, at, s.id, s.build, s.state, s.age && *s.age < world.day.warmUpTime});
         }
     if (event.contains("stage")) {
         const RolloutStage s = readStage(event["stage"]);
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -81,20 +81,21 @@
 double Instance::warmth() const {
     const auto &d = world.day;
     const double age =
-        double((world.clock.now() - started).count()) / double(std::max(Duration{1}, d.warmWithin).count());
-    return age >= 1 ? 1 : d.coldFrom + (1 - d.coldFrom) * age;
+        double((world.clock.now() - started).count()) / double(std::max(Duration{1}, d.warmUpTime).count());
+    return age >= 1 ? 1 : d.initialCapacity + (1 - d.initialCapacity) * age;
 }
 
 // More than the stated multiple of what it can do now, over the stated time.
 bool Instance::pushedOver(double workMs) {
     const auto &d = world.day;
     const Duration now = world.clock.now();
-    if (now - started >= d.warmWithin) return false;
+    if (now - started >= d.warmUpTime) return false;
     sentCold.push_back({now, workMs});
-    while (sentCold.front().first < now - d.overloadFor) sentCold.pop_front();
+    while (sentCold.front().first < now - d.overloadWindow) sentCold.pop_front();
     double sum = 0;
     for (const auto &[when, ms] : sentCold) sum += ms;
-    return sum > d.tipMultiple * d.cores * warmth() * milliseconds(d.overloadFor) + kPushSlack * workMs;
+    return sum >
+           d.overloadMultiple * d.cores * warmth() * milliseconds(d.overloadWindow) + kPushSlack * workMs;
 }
 
 void Instance::serve(std::shared_ptr<http::Exchange> exchange) {
@@ -108,7 +109,7 @@
     world.allWork.push_back(job.came);
     if (runs == world.trial) world.trialWork.push_back(job.came);
     if (pushedOver(job.workMs)) {
-        world.records.fallen.push_back({name, job.came - world.day.overloadFor, job.came});
+        world.records.fallen.push_back({name, job.came - world.day.overloadWindow, job.came});
         // On a turn of its own: this call comes from its own door.
         asio::post(context, [this, here = std::weak_ptr(alive)] {
             if (here.expired()) return;
@@ -154,9 +155,9 @@
         // All instances drop a repeat within the window, from when the first of them takes it up.
         const auto &rule = world.day.routes[std::size_t(job.route)].rule;
         if (const std::string *mark = job.exchange->head.find("Idempotency-Key");
-            mark && rule.effect == Effect::deduped) {
+            mark && rule.idempotency == Idempotency::withKey) {
             const auto seen = world.marks.find(*mark);
-            job.repeat = seen != world.marks.end() && now - seen->second <= rule.repeatWindow;
+            job.repeat = seen != world.marks.end() && now - seen->second <= rule.deduplicationWindow;
             if (!job.repeat) world.marks[*mark] = now;
         }
         ++busy;
@@ -186,7 +187,7 @@
     const bool fails = faulty(job, BadKind::fails) || (old && faulty(job, BadKind::later)) ||
                        (int(waiting.size()) >= world.day.cores && faulty(job, BadKind::busy));
     const std::string *mark = head.find("Idempotency-Key");
-    if (mark && !job.repeat && route.rule.effect != Effect::retriable) {
+    if (mark && !job.repeat && route.rule.idempotency != Idempotency::idempotent) {
         if (!fails) ++world.effects[*mark];
         else world.marks.erase(*mark);  // nothing was done: a repeat is none
     }
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -27,15 +27,15 @@
 
 }  // namespace
 
-EndpointWatcher::EndpointWatcher(asio::io_context &io, const Clock &steady, const GatewayOrders &orders,
+EndpointWatcher::EndpointWatcher(asio::io_context &io, const Clock &steady, const GatewaySettings &settings,
                                  std::uint64_t seed, Log to, Now now, Tell teller,
                                  const std::vector<membership::SavedSource> &saved,
                                  const EndpointWatcher *before)
-    : clock(std::move(now)), tell(std::move(teller)), log(std::move(to)), rules(orders.sources->merge),
+    : clock(std::move(now)), tell(std::move(teller)), log(std::move(to)), rules(settings.sources->merge),
       merge(rules), timer(io) {
     if (before) merge.adopt(before->merge), last = before->last, everTold = before->everTold;
     else merge.recall(saved);
-    const auto &given = *orders.sources;
+    const auto &given = *settings.sources;
     for (std::size_t k = 0; k < rules.sources.size(); ++k) {
         const auto &source = rules.sources[k];
         if (source.kind == membership::SourceKind::desk) desk = k;
--- a/src/gateway/endpoint_watcher.hpp
+++ b/src/gateway/endpoint_watcher.hpp
@@ -14,8 +14,8 @@
   public:
     using Tell = std::function<void(Event)>;
     using Now = std::function<Duration()>;
-    // `saved`: what a process before this one knew; `before`: the feed of the orders before these.
-    EndpointWatcher(asio::io_context &context, const Clock &clock, const GatewayOrders &orders,
+    // `saved`: what a process before this one knew; `before`: the feed of the settings before these.
+    EndpointWatcher(asio::io_context &context, const Clock &clock, const GatewaySettings &settings,
                     std::uint64_t seed, Log log, Now now, Tell tell,
                     const std::vector<membership::SavedSource> &saved, const EndpointWatcher *before);
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -55,13 +55,13 @@
     switch (how) {
     case Outcome::ok: return "ok";
     case Outcome::error: return "error";
-    case Outcome::full: return "full";
+    case Outcome::overloaded: return "full";
     case Outcome::timeout: return "timeout";
     case Outcome::connectFailed: return "connect-failed";
     case Outcome::reset: return "reset";
     case Outcome::cancelled: return "cancelled";
-    case Outcome::moot: return "moot";
-    case Outcome::unreadable: return "unreadable";
+    case Outcome::obsolete: return "moot";
+    case Outcome::malformed: return "unreadable";
     }
     return "moot";
 }
@@ -106,11 +106,11 @@
 
 // ---- start and end ----
 
-Gateway::Gateway(asio::io_context &io, const Clock &time, GatewayOrders with, std::uint64_t seeded, Log to,
+Gateway::Gateway(asio::io_context &io, const Clock &time, GatewaySettings with, std::uint64_t seeded, Log to,
                  const asio::ip::tcp::endpoint &listen, ShellFaults wrong)
     : Gateway(io, time, std::move(with), seeded, std::move(to), HttpWays(io, listen), wrong) {}
 
-Gateway::Gateway(asio::io_context &io, const Clock &time, GatewayOrders with, std::uint64_t seeded, Log to,
+Gateway::Gateway(asio::io_context &io, const Clock &time, GatewaySettings with, std::uint64_t seeded, Log to,
                  const Ways &ways, ShellFaults wrong)
     : context(io), clock(time), given(std::move(with)), seed(seeded), log(std::move(to)), faults(wrong),
       chance(seeded), nextRequestId((seeded & 0xffffff) << 24), lastSeen(time.now()),
@@ -146,7 +146,7 @@
 void Gateway::startModule() {
     ++current;
     records[current] = 0;
-    StartValues values = given.module;
+    PolicySettings values = given.module;
     values.seed = seed + std::uint64_t(current) * 0x9e3779b97f4a7c15u;
     happened(Started{std::move(values)}, current);
 }
@@ -183,11 +183,11 @@
     return membership::mayStartAnew(entries, told ? std::optional(told->phase) : std::nullopt);
 }
 
-void Gateway::apply(GatewayOrders orders, bool newModule, bool sourcesMoved) {
-    const bool deskMoved = orders.desk.has_value() != given.desk.has_value() ||
-                           (orders.desk && orders.desk->address != given.desk->address);
+void Gateway::apply(GatewaySettings settings, bool newModule, bool sourcesMoved) {
+    const bool deskMoved = settings.desk.has_value() != given.desk.has_value() ||
+                           (settings.desk && settings.desk->address != given.desk->address);
     // A request in hand keeps its rule's number: rules only change with the module, which then starts anew.
-    given = std::move(orders);
+    given = std::move(settings);
     front->limit();
     if (newModule) {
         const GatewayId before = current;
@@ -299,7 +299,7 @@
     const RequestAttributes &attributes = request.taken->attributes;
     request.came = came, request.clientEnd = came + attributes.wait,
     request.told = request.clientEnd - given.answerMargin;
-    RequestArrived in{id, attributes.key, int(attributes.route), attributes.account, request.told};
+    RequestArrived in{id, attributes.key, int(attributes.route), attributes.tenant, request.told};
     request.name = attributes.name;
     if (request.name.empty()) request.name = given.id + "-" + std::to_string(id);
     requests.emplace(id, std::move(made));
@@ -309,7 +309,7 @@
         return forget(request);
     }
     if (lastSeen >= request.told) {  // nothing was sent for it: saying so lets the client come back
-        finish(request, "shed", false, given.module.longestRetryAfter);
+        finish(request, "shed", false, given.module.maxRetryAfter);
         return forget(request);
     }
     request.taken->onGone = [this, id] {
@@ -339,7 +339,7 @@
     // that have been handed over.
     for (std::size_t k = 0; k < request.attempts.size(); ++k)
         if (!request.attempts[k].over && !request.attempts[k].call->handedOver()) {
-            attemptEnded(id, int(k), Outcome::moot);
+            attemptEnded(id, int(k), Outcome::obsolete);
             if (!requests.contains(id)) return;
         }
     if (!request.outstanding()) forget(request);
@@ -493,13 +493,13 @@
                 if (!request.attempts[std::size_t(a.attemptNumber)].streaming || request.answered)
                     attemptEnded(a.requestId, a.attemptNumber, Outcome::cancelled);
             },
-            [&](const Shed &a) {
+            [&](const ShedRequest &a) {
                 const auto it = requests.find(a.requestId);
                 if (it == requests.end()) return;
                 finish(*it->second, "shed", false, a.retryIn);
                 forget(*it->second);
             },
-            [&](const EndErrored &a) {
+            [&](const FailRequest &a) {
                 const auto it = requests.find(a.requestId);
                 if (it == requests.end()) return;
                 const auto &attempts = it->second->attempts;
@@ -546,9 +546,10 @@
         happened(AttemptEnded{what.requestId, no, over || request.answered, how}, record);
     };
     // Its client has closed, and this loop has not come to read that yet.
-    if (!request.answered && !request.taken->clientThere()) return moot(Outcome::moot, true);
+    if (!request.answered && !request.taken->clientThere()) return moot(Outcome::obsolete, true);
     // The request is over, or bound to an answer that has begun, or its end has passed on the real clock.
-    if (request.answered || request.streaming >= 0 || lastSeen >= request.told) return moot(Outcome::moot);
+    if (request.answered || request.streaming >= 0 || lastSeen >= request.told)
+        return moot(Outcome::obsolete);
     const auto call = upstreams->take(endpoint);
     if (!call) return moot(Outcome::connectFailed);  // no address, or its connections are all in use
     ++counted.attempts;
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -37,10 +37,10 @@
 
 class Gateway {
   public:
-    Gateway(asio::io_context &context, const Clock &clock, GatewayOrders orders, std::uint64_t seed, Log log,
-            const asio::ip::tcp::endpoint &listen, ShellFaults faults = {});  // HTTP on both sides
-    Gateway(asio::io_context &context, const Clock &clock, GatewayOrders orders, std::uint64_t seed, Log log,
-            const Ways &ways, ShellFaults faults = {});
+    Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings, std::uint64_t seed,
+            Log log, const asio::ip::tcp::endpoint &listen, ShellFaults faults = {});  // HTTP on both sides
+    Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings, std::uint64_t seed,
+            Log log, const Ways &ways, ShellFaults faults = {});
     ~Gateway();
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
@@ -51,10 +51,10 @@
     void tell(const RolloutUpdate &news) { happened(news); }  // as last known
     // The same where the list has sources of its own; read with readSaved() on this gateway's clock.
     void remember(const std::vector<membership::SavedSource> &saved);
-    // Takes new orders while requests go on. A new start of the module (newModule) takes the requests that
+    // Takes new settings while requests go on. A new start of the module (newModule) takes the requests that
     // come from now on; those in hand end under the old one. Only where one build is listed: see
     // mayRestartModule().
-    void apply(GatewayOrders orders, bool newModule, bool sourcesMoved = false);
+    void apply(GatewaySettings settings, bool newModule, bool sourcesMoved = false);
     bool mayRestartModule() const;
     // Refuses new requests, finishes those in hand, then calls back.
     void drain(std::function<void()> done);
@@ -66,7 +66,7 @@
     const GatewayCounts &counts() const { return counted; }
     std::size_t inHand() const { return requests.size(); }
     std::size_t connections() const { return front->connections(); }
-    const GatewayOrders &orders() const { return given; }
+    const GatewaySettings &settings() const { return given; }
     std::vector<ListedEndpoint> listed() const;
     std::optional<RolloutStage> stage() const { return told; }
     std::function<void()> onListed;                    // the list, or what a source says, has changed
@@ -113,7 +113,7 @@
 
     asio::io_context &context;
     const Clock &clock;
-    GatewayOrders given;
+    GatewaySettings given;
     std::uint64_t seed;
     Log log;
     ShellFaults faults;
--- a/src/gateway/http_transport.cpp
+++ b/src/gateway/http_transport.cpp
@@ -36,8 +36,8 @@
 
 class HttpRequest : public DownstreamRequest {
   public:
-    HttpRequest(std::shared_ptr<http::Exchange> e, const GatewayOrders &with)
-        : exchange(std::move(e)), orders(with) {
+    HttpRequest(std::shared_ptr<http::Exchange> e, const GatewaySettings &with)
+        : exchange(std::move(e)), settings(with) {
         exchange->onGone = [this] {
             if (const auto tell = onGone) tell();
         };
@@ -71,22 +71,22 @@
         http::AnswerHead answer;
         answer.status = status;
         answer.headers = {
-            {kEndHeader, end}, {orders.headers.requestId, name}, {"Content-Type", "text/plain"}};
+            {kEndHeader, end}, {settings.headers.requestId, name}, {"Content-Type", "text/plain"}};
         answer.headers.insert(answer.headers.end(), more.begin(), more.end());
         exchange->answer(std::move(answer), std::string(end) + "\n");
     }
-    const GatewayOrders &orders;
+    const GatewaySettings &settings;
 };
 
 class HttpFront : public Front {
   public:
-    HttpFront(asio::io_context &io, const asio::ip::tcp::endpoint &at, const GatewayOrders &with,
+    HttpFront(asio::io_context &io, const asio::ip::tcp::endpoint &at, const GatewaySettings &with,
               FrontOwner to)
-        : orders(with), owner(std::move(to)),
+        : settings(with), owner(std::move(to)),
           door(io, at, with.door, [this](std::shared_ptr<http::Exchange> e) { arrived(std::move(e)); }) {}
 
     asio::ip::tcp::endpoint address() const override { return door.address(); }
-    void limit() override { door.limit(orders.door); }
+    void limit() override { door.limit(settings.door); }
     void drain(std::function<void()> ended) override { door.drain(), ended(); }
     std::size_t connections() const override { return door.connections(); }
 
@@ -95,9 +95,9 @@
         const auto &head = exchange->head;
         const std::string path = head.target.substr(0, head.target.find('?'));
         std::size_t rule = 0;
-        while (rule < orders.routes.size() &&
-               !((orders.routes[rule].method.empty() || orders.routes[rule].method == head.method) &&
-                 path.starts_with(orders.routes[rule].pathPrefix)))
+        while (rule < settings.routes.size() &&
+               !((settings.routes[rule].method.empty() || settings.routes[rule].method == head.method) &&
+                 path.starts_with(settings.routes[rule].pathPrefix)))
             ++rule;
         const auto refuse = [&](int status, const char *end, const char *words,
                                 std::vector<http::Header> more) {
@@ -106,8 +106,8 @@
             answer.headers.insert(answer.headers.end(), {{kEndHeader, end}, {"Content-Type", "text/plain"}});
             exchange->answer(std::move(answer), words);
         };
-        if (orders.routes.empty()) return refuse(503, "shed", "no settings yet\n", {{"Retry-After", "1"}});
-        if (rule == orders.routes.size()) {
+        if (settings.routes.empty()) return refuse(503, "shed", "no settings yet\n", {{"Retry-After", "1"}});
+        if (rule == settings.routes.size()) {
             owner.unrouted();
             return refuse(404, "errored", "no route takes this\n", {});
         }
@@ -116,18 +116,18 @@
             return found ? *found : std::string{};
         };
         RequestAttributes attributes;
-        attributes.route = rule, attributes.key = text(orders.headers.key),
-        attributes.name = text(orders.headers.requestId);
-        attributes.account = accountNo(orders.accounts, text(orders.headers.account));
-        attributes.wait = orders.routes[rule].routeTimeout;
-        if (const auto left = wholeNumber(text(orders.headers.remaining)); left && *left >= 0)
+        attributes.route = rule, attributes.key = text(settings.headers.key),
+        attributes.name = text(settings.headers.requestId);
+        attributes.tenant = tenantIndex(settings.tenants, text(settings.headers.tenant));
+        attributes.wait = settings.routes[rule].routeTimeout;
+        if (const auto left = wholeNumber(text(settings.headers.remaining)); left && *left >= 0)
             attributes.wait = std::min(attributes.wait, Duration{std::llround(std::min(*left, 1e9) * 1000)});
-        auto request = std::make_shared<HttpRequest>(std::move(exchange), orders);
+        auto request = std::make_shared<HttpRequest>(std::move(exchange), settings);
         request->attributes = std::move(attributes);
         owner.arrived(std::move(request));
     }
 
-    const GatewayOrders &orders;
+    const GatewaySettings &settings;
     FrontOwner owner;
     http::Door door;
 };
@@ -136,8 +136,9 @@
 
 class HttpCall : public Call, private http::CallSink {
   public:
-    HttpCall(Pool &of, const GatewayOrders &with, EndpointId to, std::shared_ptr<http::ClientConnection> over)
-        : pool(of), orders(with), endpoint(std::move(to)), connection(std::move(over)) {}
+    HttpCall(Pool &of, const GatewaySettings &with, EndpointId to,
+             std::shared_ptr<http::ClientConnection> over)
+        : pool(of), settings(with), endpoint(std::move(to)), connection(std::move(over)) {}
 
     void start(const DownstreamRequest &request, const std::string &name, HandOver handOver, BuildNumber of,
                CallOwner *to) override {
@@ -148,16 +149,16 @@
         out.method = in.method, out.target = in.target;
         out.headers.reserve(in.headers.size() + 3);
         for (const auto &h : in.headers)
-            if (http::travels(in, h.first) && !http::sameName(h.first, orders.headers.remaining))
+            if (http::travels(in, h.first) && !http::sameName(h.first, settings.headers.remaining))
                 out.headers.push_back(h);
-        if (!in.find(orders.headers.requestId)) out.headers.push_back({orders.headers.requestId, name});
+        if (!in.find(settings.headers.requestId)) out.headers.push_back({settings.headers.requestId, name});
         // What is left of the client's wait, as it is now. None: it ends as its connection is made, by its
         // time.
         const Duration left = handOver().value_or(Duration{0});
-        out.headers.push_back({orders.headers.remaining, std::to_string(left.count() / 1000)});
+        out.headers.push_back({settings.headers.remaining, std::to_string(left.count() / 1000)});
         out.headers.push_back({"Via", "1.1 deckcart"});
         if (!exchange.body.empty() || in.length || in.chunked) out.length = exchange.body.size();
-        connection->call(*parseAddress(endpoint), orders.upstream.connectWithin,
+        connection->call(*parseAddress(endpoint), settings.upstream.connectWithin,
                          http::write(out) + exchange.body, in.method == "HEAD", this);
     }
     bool handedOver() const override { return connection->handedOver(); }
@@ -186,19 +187,21 @@
     }
     void onCallEnd(http::CallEnd how) override {
         if (how == http::CallEnd::complete) {
-            const bool full = head.status == 503 && head.find(orders.headers.full);
-            return owner->onCallEnd(head.status < 500 ? Outcome::ok : full ? Outcome::full : Outcome::error);
+            const bool full = head.status == 503 && head.find(settings.headers.full);
+            return owner->onCallEnd(head.status < 500 ? Outcome::ok
+                                    : full            ? Outcome::overloaded
+                                                      : Outcome::error);
         }
         // Whether it may have run is told by the bytes that were handed over. An idle connection that closes
         // as the request goes out has taken them: it may have run.
         const bool none = how == http::CallEnd::connectFailed || !connection->handedOver();
         owner->onCallEnd(none                            ? Outcome::connectFailed
-                         : how == http::CallEnd::garbage ? Outcome::unreadable
+                         : how == http::CallEnd::garbage ? Outcome::malformed
                                                          : Outcome::reset);
     }
 
     Pool &pool;
-    const GatewayOrders &orders;
+    const GatewaySettings &settings;
     EndpointId endpoint;
     BuildNumber build = 0;
     std::shared_ptr<http::ClientConnection> connection;
@@ -222,11 +225,11 @@
 
 class HttpUpstreams : public Upstreams {
   public:
-    HttpUpstreams(asio::io_context &io, const GatewayOrders &with)
-        : context(io), orders(with), pool(io, with) {}
+    HttpUpstreams(asio::io_context &io, const GatewaySettings &with)
+        : context(io), settings(with), pool(io, with) {}
     std::shared_ptr<Call> take(const EndpointId &endpoint) override {
         const auto connection = parseAddress(endpoint) ? pool.take(endpoint) : nullptr;
-        return connection ? std::make_shared<HttpCall>(pool, orders, endpoint, connection) : nullptr;
+        return connection ? std::make_shared<HttpCall>(pool, settings, endpoint, connection) : nullptr;
     }
     void closeIdle(const EndpointId &endpoint) override { pool.closeIdle(endpoint); }
     void sweep(Duration now) override { pool.sweep(now); }
@@ -234,29 +237,29 @@
         const auto to = parseAddress(endpoint);
         if (!to) return done({});
         http::RequestHead head;
-        head.method = "GET", head.target = orders.upstream.probePath;
+        head.method = "GET", head.target = settings.upstream.probePath;
         probes.add(http::Fetch::start(
-            context, *to, head, {}, orders.upstream.probeWithin,
-            [this, done](const http::Fetched &got) { done(loadOf(got.head, orders.headers.load)); }));
+            context, *to, head, {}, settings.upstream.probeWithin,
+            [this, done](const http::Fetched &got) { done(loadOf(got.head, settings.headers.load)); }));
     }
 
   private:
     asio::io_context &context;
-    const GatewayOrders &orders;
+    const GatewaySettings &settings;
     Pool pool;
     http::Fetches probes;
 };
 
 }  // namespace
 
-std::unique_ptr<Front> HttpWays::front(const GatewayOrders &orders, FrontOwner owner) const {
-    return std::make_unique<HttpFront>(context, listen, orders, std::move(owner));
+std::unique_ptr<Front> HttpWays::front(const GatewaySettings &settings, FrontOwner owner) const {
+    return std::make_unique<HttpFront>(context, listen, settings, std::move(owner));
 }
-std::unique_ptr<Upstreams> HttpWays::upstreams(const GatewayOrders &orders) const {
-    return std::make_unique<HttpUpstreams>(context, orders);
+std::unique_ptr<Upstreams> HttpWays::upstreams(const GatewaySettings &settings) const {
+    return std::make_unique<HttpUpstreams>(context, settings);
 }
-std::unique_ptr<Desk> HttpWays::desk(const GatewayOrders &orders, DeskOwner owner) const {
-    return std::make_unique<DeskClient>(context, orders, std::move(owner.now), std::move(owner.tell));
+std::unique_ptr<Desk> HttpWays::desk(const GatewaySettings &settings, DeskOwner owner) const {
+    return std::make_unique<DeskClient>(context, settings, std::move(owner.now), std::move(owner.tell));
 }
 
 }  // namespace deckcart
--- a/src/gateway/http_transport.hpp
+++ b/src/gateway/http_transport.hpp
@@ -10,9 +10,9 @@
 class HttpWays : public Ways {
   public:
     HttpWays(asio::io_context &io, const asio::ip::tcp::endpoint &at) : context(io), listen(at) {}
-    std::unique_ptr<Front> front(const GatewayOrders &orders, FrontOwner owner) const override;
-    std::unique_ptr<Upstreams> upstreams(const GatewayOrders &orders) const override;
-    std::unique_ptr<Desk> desk(const GatewayOrders &orders, DeskOwner owner) const override;
+    std::unique_ptr<Front> front(const GatewaySettings &settings, FrontOwner owner) const override;
+    std::unique_ptr<Upstreams> upstreams(const GatewaySettings &settings) const override;
+    std::unique_ptr<Desk> desk(const GatewaySettings &settings, DeskOwner owner) const override;
 
   private:
     asio::io_context &context;
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -2,14 +2,14 @@
 
 namespace deckcart {
 
-Pool::Pool(asio::io_context &io, const GatewayOrders &with) : context(io), orders(with) {}
+Pool::Pool(asio::io_context &io, const GatewaySettings &with) : context(io), settings(with) {}
 
 std::shared_ptr<http::ClientConnection> Pool::take(const EndpointId &endpoint) {
     using Use = IdleConnections<http::ClientConnection>::Use;
     auto one = idle.take(endpoint, [](const auto &kept) { return kept.reusable() ? Use::takes : Use::none; });
     const auto at = busy.find(endpoint);
-    if (!one && (at == busy.end() ? 0 : at->second) >= orders.upstream.connections) return nullptr;
-    if (!one) one = std::make_shared<http::ClientConnection>(context, orders.door.headBytes);
+    if (!one && (at == busy.end() ? 0 : at->second) >= settings.upstream.connections) return nullptr;
+    if (!one) one = std::make_shared<http::ClientConnection>(context, settings.door.headBytes);
     ++busy[endpoint];
     return one;
 }
--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -10,7 +10,7 @@
 
 class Pool {
   public:
-    Pool(asio::io_context &context, const GatewayOrders &orders);
+    Pool(asio::io_context &context, const GatewaySettings &settings);
 
     // An idle connection, else a new one; empty when the bound is reached.
     std::shared_ptr<http::ClientConnection> take(const EndpointId &endpoint);
@@ -18,11 +18,11 @@
     void give(const EndpointId &endpoint, const std::shared_ptr<http::ClientConnection> &connection,
               Duration now);
     void closeIdle(const EndpointId &endpoint) { idle.close(endpoint); }
-    void sweep(Duration now) { idle.sweep(now, orders.upstream.idleFor); }  // ends those idle for too long
+    void sweep(Duration now) { idle.sweep(now, settings.upstream.idleFor); }  // ends those idle for too long
 
   private:
     asio::io_context &context;
-    const GatewayOrders &orders;
+    const GatewaySettings &settings;
     IdleConnections<http::ClientConnection> idle;
     std::map<EndpointId, std::size_t> busy;
 };
--- a/src/gateway/service.cpp
+++ b/src/gateway/service.cpp
@@ -34,16 +34,16 @@
             if (fault)
                 return log.warn("state", {{"folder", start.state.string()}, {"fault", fault.message()}}), 1;
         }
-        GatewayOrders orders;
+        GatewaySettings settings;
         const auto saved = read("settings.json", kSettingsFormat);
         if (saved && saved->contains("settings")) {
-            auto got = readOrders(saved->at("settings"));
-            if (got.orders) orders = *got.orders, document = saved->at("settings");
+            auto got = parseSettings(saved->at("settings"));
+            if (got.settings) settings = *got.settings, document = saved->at("settings");
             else log.warn("settings-refused", {{"from", "settings.json"}, {"refused", toJson(got.refused)}});
         }
         const auto seed = document.value("/gateway/seed"_json_pointer, std::uint64_t{std::random_device{}()});
         try {
-            gateway = std::make_unique<Gateway>(context, clock, std::move(orders), seed, log, start.listen,
+            gateway = std::make_unique<Gateway>(context, clock, std::move(settings), seed, log, start.listen,
                                                 start.faults);
             http::DoorLimits limits;
             limits.connections = 256, limits.bodyBytes = kMostDocument;
@@ -188,14 +188,14 @@
         if (path == "/v1/settings") {
             if (only("GET")) answer(call, 200, document);
         } else if (path == "/v1/schemas/settings") {
-            if (only("GET")) answer(call, 200, ordersSchema());
+            if (only("GET")) answer(call, 200, settingsSchema());
         } else if (path == "/v1/status") {
             if (only("GET")) answer(call, 200, counts());
         } else if (path == "/v1/members") {
             if (!only("GET")) return;
             json body{{"instances", json::array()}};
             if (auto *feed = gateway->members()) {
-                body = toJson(feed->view(), feed->sources(), gateway->orders().zones, feed->now());
+                body = toJson(feed->view(), feed->sources(), gateway->settings().zones, feed->now());
                 const auto asked = feed->asked();
                 body["questions"] = {{"asked", asked.questions}, {"overUdp", asked.udp},
                                      {"overTcp", asked.tcp},     {"answered", asked.answers},
@@ -221,8 +221,8 @@
         } catch (const json::parse_error &fault) {
             return problem(call, 400, std::string("the body is not JSON: ") + fault.what());
         }
-        auto read = readOrders(said);
-        if (!read.orders) return problem(call, 422, "refused; nothing has changed", toJson(read.refused));
+        auto read = parseSettings(said);
+        if (!read.settings) return problem(call, 422, "refused; nothing has changed", toJson(read.refused));
         const bool newModule = document.empty() || !sameModule(document, said);
         if (newModule && !document.empty() && !gateway->mayRestartModule())
             return problem(
@@ -242,7 +242,7 @@
                                   document.value("zones", json{}) != said.value("zones", json{}) ||
                                   document.contains("desk") != said.contains("desk");
         document = std::move(said);
-        gateway->apply(std::move(*read.orders), newModule, sourcesMoved);
+        gateway->apply(std::move(*read.settings), newModule, sourcesMoved);
         log.info("settings", {{"newModule", newModule}});
         answer(call, 200, document);
     }
--- a/src/gateway/transport.hpp
+++ b/src/gateway/transport.hpp
@@ -18,8 +18,8 @@
 
 // What the module and the data path want to know of a request.
 struct RequestAttributes {
-    std::size_t route = 0;  // of GatewayOrders::routes
-    int account = 0;        // past the end of the shares: one that is not named
+    std::size_t route = 0;  // of GatewaySettings::routes
+    int tenant = 0;         // past the end of the shares: one that is not named
     std::string key, name;  // name: the client's own id of it; empty: it gave none
     Duration wait{};        // from when it came until the client gives up
 };
@@ -94,7 +94,7 @@
   public:
     virtual ~Front() = default;
     virtual asio::ip::tcp::endpoint address() const = 0;
-    virtual void limit() = 0;  // the orders' bounds have changed
+    virtual void limit() = 0;  // the settings' bounds have changed
     // Takes no more; requests in hand are answered, each with its connection closed. `ended`, which may be
     // called from within: no request of its clients can come any more.
     virtual void drain(std::function<void()> ended) = 0;
@@ -119,15 +119,15 @@
 // A vote that did not count, or may have.
 inline RolloutUpdate voteFailed(Outcome how) { return {true, how, 0, 0, RolloutPhase::canary, 0, {}}; }
 
-struct GatewayOrders;
+struct GatewaySettings;
 
-// Makes the four for a gateway whose orders outlive them.
+// Makes the four for a gateway whose settings outlive them.
 class Ways {
   public:
     virtual ~Ways() = default;
-    virtual std::unique_ptr<Front> front(const GatewayOrders &orders, FrontOwner owner) const = 0;
-    virtual std::unique_ptr<Upstreams> upstreams(const GatewayOrders &orders) const = 0;
-    virtual std::unique_ptr<Desk> desk(const GatewayOrders &orders, DeskOwner owner) const = 0;
+    virtual std::unique_ptr<Front> front(const GatewaySettings &settings, FrontOwner owner) const = 0;
+    virtual std::unique_ptr<Upstreams> upstreams(const GatewaySettings &settings) const = 0;
+    virtual std::unique_ptr<Desk> desk(const GatewaySettings &settings, DeskOwner owner) const = 0;
 };
 
 }  // namespace deckcart
--- a/src/platform/commands.cpp
+++ b/src/platform/commands.cpp
@@ -24,7 +24,7 @@
     return args[0] == "Q.ASK" || args[0] == "Q.DO";
 }
 
-CommandRead readCommand(std::vector<std::string> args, const wire::BirthSettings &settings) {
+CommandRead readCommand(std::vector<std::string> args, const wire::DeploymentSettings &settings) {
     CommandRead out;
     const auto refuse = [&](const char *words) {
         out.refusal = std::string("ERR ") + words;
@@ -35,11 +35,11 @@
     if (args[1].size() > kMostWords) return refuse("the key is too long");
     if (args[2].empty() || args[2].size() > kMostId) return refuse("no id, or a longer one than ids are");
     if (args[3].size() > kMostWords) return refuse("the list of names and values is too long");
-    std::optional<std::string_view> route, account, wait, repeat;
+    std::optional<std::string_view> route, tenant, wait, repeat;
     const char *odd = "a name without a value";
     const bool paired = eachPair(args[3], ',', [&](std::string_view name, std::string_view value) {
         auto *into = name == "c"   ? &route
-                     : name == "t" ? &account
+                     : name == "t" ? &tenant
                      : name == "d" ? &wait
                      : name == "k" ? &repeat
                                    : nullptr;
@@ -52,14 +52,15 @@
     const auto named = std::ranges::find(settings.routes, *route);
     if (named == settings.routes.end()) return refuse("no such class");
     out.attributes.route = std::size_t(named - settings.routes.begin());
-    const Effect effect = settings.start.routes[out.attributes.route].effect;
-    if (asks != (effect == Effect::retriable)) return refuse("not the command of this class");
-    if (effect == Effect::deduped && (!repeat || repeat->empty())) return refuse("no mark against repeats");
+    const Idempotency effect = settings.start.routes[out.attributes.route].idempotency;
+    if (asks != (effect == Idempotency::idempotent)) return refuse("not the command of this class");
+    if (effect == Idempotency::withKey && (!repeat || repeat->empty()))
+        return refuse("no mark against repeats");
     const auto ms = plainNumber(*wait);
     if (!ms || *ms < 0 || *ms > kMostWaitMs) return refuse("the time to wait is no number");
     out.attributes.wait =
         std::min(settings.routeTimeouts[out.attributes.route], Duration{std::llround(*ms * 1000)});
-    if (account) out.attributes.account = accountNo(settings.accounts, *account);
+    if (tenant) out.attributes.tenant = tenantIndex(settings.tenants, *tenant);
     out.command.waitAt = std::size_t(wait->data() - args[3].data()), out.command.waitLength = wait->size();
     out.attributes.key = args[1], out.attributes.name = args[2];
     out.command.args = std::move(args);
@@ -76,11 +77,13 @@
 ReplyRead readReply(resp::Value reply) {
     using Kind = resp::Value::Kind;
     if (reply.kind == Kind::error)
-        return {reply.text == "BUSY" || reply.text.starts_with("BUSY ") ? Outcome::full : Outcome::error, {}};
+        return {reply.text == "BUSY" || reply.text.starts_with("BUSY ") ? Outcome::overloaded
+                                                                        : Outcome::error,
+                {}};
     // The value, null, the load report or null.
     const bool shaped =
         reply.kind == Kind::array && reply.items.size() == 3 && reply.items[0] && !reply.items[1];
-    if (!shaped) return {Outcome::unreadable, {}};
+    if (!shaped) return {Outcome::malformed, {}};
     return {Outcome::ok, std::move(*reply.items[0])};
 }
 
--- a/src/platform/commands.hpp
+++ b/src/platform/commands.hpp
@@ -20,7 +20,7 @@
     Command command;
     std::string refusal;  // not empty: the words of an error, and the others mean nothing
 };
-CommandRead readCommand(std::vector<std::string> args, const wire::BirthSettings &settings);
+CommandRead readCommand(std::vector<std::string> args, const wire::DeploymentSettings &settings);
 bool isRequestCommand(const std::vector<std::string> &args);
 
 std::string instanceCommand(const Command &from, Duration wait);
--- a/src/platform/control_plane.cpp
+++ b/src/platform/control_plane.cpp
@@ -129,8 +129,8 @@
 
 // ---- the desk ----
 
-PlatformDesk::PlatformDesk(asio::io_context &io, Directory &where, const wire::BirthSettings &with, At places,
-                           std::uint64_t seed, Log to, std::int64_t known, DeskOwner from)
+PlatformDesk::PlatformDesk(asio::io_context &io, Directory &where, const wire::DeploymentSettings &with,
+                           At places, std::uint64_t seed, Log to, std::int64_t known, DeskOwner from)
     : context(io), directory(where), settings(with), at(places), log(std::move(to)), owner(std::move(from)),
       generation(known),
       list(
--- a/src/platform/control_plane.hpp
+++ b/src/platform/control_plane.hpp
@@ -51,8 +51,8 @@
     struct At {
         asio::ip::tcp::endpoint discovery, control;
     };
-    PlatformDesk(asio::io_context &context, Directory &directory, const wire::BirthSettings &settings, At at,
-                 std::uint64_t seed, Log log, std::int64_t generation, DeskOwner owner);
+    PlatformDesk(asio::io_context &context, Directory &directory, const wire::DeploymentSettings &settings,
+                 At at, std::uint64_t seed, Log log, std::int64_t generation, DeskOwner owner);
 
     void follow(bool active) override;
     void vote(const Vote &vote, Duration within) override;
@@ -63,7 +63,7 @@
 
     asio::io_context &context;
     Directory &directory;
-    const wire::BirthSettings &settings;
+    const wire::DeploymentSettings &settings;
     At at;
     Log log;
     DeskOwner owner;
--- a/src/platform/documents.cpp
+++ b/src/platform/documents.cpp
@@ -188,8 +188,8 @@
     if (!whole) return voteFailed(Outcome::timeout);
     if (status == 400) {
         const std::string code = doc.child("Error").child("Code").text().get();
-        return voteFailed(code == "throttled"  ? Outcome::full
-                          : code == "conflict" ? Outcome::moot
+        return voteFailed(code == "throttled"  ? Outcome::overloaded
+                          : code == "conflict" ? Outcome::obsolete
                           : code == "invalid"  ? Outcome::error
                                                : Outcome::timeout);
     }
--- a/src/platform/downstream.cpp
+++ b/src/platform/downstream.cpp
@@ -54,7 +54,7 @@
 }
 
 RespFront::RespFront(asio::io_context &io, const Clock &time, const asio::ip::tcp::endpoint &at,
-                     const resp::DoorLimits &limits, const wire::BirthSettings &with, FrontOwner to)
+                     const resp::DoorLimits &limits, const wire::DeploymentSettings &with, FrontOwner to)
     : clock(time), settings(with), owner(std::move(to)),
       names(std::make_shared<OpenNames>(with.longestTimeout())),
       door(io, at, limits, [this](const std::shared_ptr<resp::Exchange> &e) { arrived(e); }) {}
--- a/src/platform/downstream.hpp
+++ b/src/platform/downstream.hpp
@@ -13,7 +13,7 @@
 class RespFront : public Front {
   public:
     RespFront(asio::io_context &context, const Clock &clock, const asio::ip::tcp::endpoint &at,
-              const resp::DoorLimits &limits, const wire::BirthSettings &settings, FrontOwner owner);
+              const resp::DoorLimits &limits, const wire::DeploymentSettings &settings, FrontOwner owner);
 
     void open() { door.open(); }  // who has connected before waits until then
     asio::ip::tcp::endpoint address() const override { return door.address(); }
@@ -25,7 +25,7 @@
     void arrived(const std::shared_ptr<resp::Exchange> &exchange);
 
     const Clock &clock;
-    const wire::BirthSettings &settings;
+    const wire::DeploymentSettings &settings;
     FrontOwner owner;
     std::shared_ptr<OpenNames> names;
     resp::Door door;
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -36,9 +36,9 @@
         bounds = divide(start.sockets, start.memoryMb, start.settings.maxRequestsInFlight,
                         start.settings.keptIdle);
         ways = std::make_unique<PlatformWays>(context, clock, start, bounds, log);
-        GatewayOrders orders = ordersOf(start, bounds);
-        orders.requestLogSample = requestLogSample;
-        if (!open(orders)) return 1;
+        GatewaySettings settings = gatewaySettingsOf(start, bounds);
+        settings.requestLogSample = requestLogSample;
+        if (!open(settings)) return 1;
         gateway->remember(listTold(start.known));
         if (start.news) gateway->tell(*start.news);
         log.info("listening", {{"listen", format(gateway->address())}});
@@ -53,10 +53,10 @@
 
   private:
     // A process of before may hold the address for a moment more: it is waited for.
-    bool open(const GatewayOrders &orders) {
+    bool open(const GatewaySettings &settings) {
         const auto until = std::chrono::steady_clock::now() + platform::starting().listensWithin;
         for (bool said = false; !gateway; said = true) try {
-                gateway = std::make_unique<Gateway>(context, clock, orders, start.seed, log, *ways);
+                gateway = std::make_unique<Gateway>(context, clock, settings, start.seed, log, *ways);
             } catch (const std::system_error &fault) {
                 const bool waits =
                     fault.code() == asio::error::address_in_use && std::chrono::steady_clock::now() < until;
--- a/src/platform/transport.hpp
+++ b/src/platform/transport.hpp
@@ -1,4 +1,4 @@
-// The platform's ways in and out of a gateway, and its orders: see gateway/transport.hpp.
+// The platform's ways in and out of a gateway, and its settings: see gateway/transport.hpp.
 #pragma once
 
 #include "../gateway/gateway.hpp"
@@ -15,9 +15,9 @@
     PlatformWays(asio::io_context &io, const Clock &time, const Start &with, const Bounds &most, Log to)
         : context(io), clock(time), start(with), bounds(most), log(std::move(to)) {}
 
-    std::unique_ptr<Front> front(const GatewayOrders &orders, FrontOwner owner) const override;
-    std::unique_ptr<Upstreams> upstreams(const GatewayOrders &orders) const override;
-    std::unique_ptr<Desk> desk(const GatewayOrders &orders, DeskOwner owner) const override;
+    std::unique_ptr<Front> front(const GatewaySettings &settings, FrontOwner owner) const override;
+    std::unique_ptr<Upstreams> upstreams(const GatewaySettings &settings) const override;
+    std::unique_ptr<Desk> desk(const GatewaySettings &settings, DeskOwner owner) const override;
 
     // Of the gateway that was made with these.
     mutable PlatformDesk *desks = nullptr;
@@ -33,6 +33,6 @@
     mutable Directory directory;
 };
 
-GatewayOrders ordersOf(const Start &start, const Bounds &bounds);
+GatewaySettings gatewaySettingsOf(const Start &start, const Bounds &bounds);
 
 }  // namespace deckcart::platform
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -25,12 +25,12 @@
                              // One that breaks off within its answer is as one that can't be read.
                              if (how != CallEnd::complete)
                                  return owner->onCallEnd(how == CallEnd::garbage || connection->answerBegun()
-                                                             ? Outcome::unreadable
+                                                             ? Outcome::malformed
                                                          : connection->handedOver() ? Outcome::reset
                                                                                     : Outcome::connectFailed);
                              ReplyRead read = readReply(std::move(reply));
                              // What came is no answer of an instance: more may follow.
-                             if (read.how == Outcome::unreadable) connection->drop();
+                             if (read.how == Outcome::malformed) connection->drop();
                              if (read.how == Outcome::ok) owner->onAnswer(read.value);
                              owner->onCallEnd(read.how);
                          });
@@ -52,7 +52,7 @@
 };
 
 RespUpstreams::RespUpstreams(asio::io_context &io, const Clock &time, const Directory &where,
-                             const Bounds &most, const wire::BirthSettings &with)
+                             const Bounds &most, const wire::DeploymentSettings &with)
     : context(io), clock(time), directory(where), bounds(most), settings(with) {}
 
 RespUpstreams::Connection RespUpstreams::connect(const EndpointId &endpoint) {
--- a/src/platform/upstream_pool.hpp
+++ b/src/platform/upstream_pool.hpp
@@ -16,7 +16,7 @@
 class RespUpstreams : public Upstreams {
   public:
     RespUpstreams(asio::io_context &context, const Clock &clock, const Directory &directory,
-                  const Bounds &bounds, const wire::BirthSettings &settings);
+                  const Bounds &bounds, const wire::DeploymentSettings &settings);
 
     std::shared_ptr<Call> take(const EndpointId &endpoint) override;
     void closeIdle(const EndpointId &endpoint) override { idle.close(endpoint); }
@@ -41,7 +41,7 @@
     const Clock &clock;
     const Directory &directory;
     Bounds bounds;
-    const wire::BirthSettings &settings;
+    const wire::DeploymentSettings &settings;
     IdleConnections<Placed> idle;
     std::size_t busy = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -81,7 +81,7 @@
 Duration span(double seconds) { return Duration{std::llround(seconds * 1e6)}; }
 
 bool provesNotRun(Outcome how) {
-    return how == Outcome::full || how == Outcome::connectFailed || how == Outcome::moot;
+    return how == Outcome::overloaded || how == Outcome::connectFailed || how == Outcome::obsolete;
 }
 // Refusals and failed connects are capacity or machine trouble; cancelled attempts were our own doing.
 bool isFailure(Outcome how) {
@@ -219,7 +219,7 @@
 
 // One record an instance: all that a gateway knows.
 struct Policy::Record {
-    StartValues v;
+    PolicySettings v;
     Duration now;
     std::mt19937 rng;
     std::vector<Action> out;
@@ -248,11 +248,10 @@
     double perServer = 0;                              // of these, what one warm endpoint has given
     double fleet = 1;                                  // median slowness of the warm endpoints
     std::deque<std::pair<Duration, std::pair<int, bool>>>
-        fates;                                        // requests that ended: account, whether in time
-    std::map<int, std::pair<double, double>> fateOf;  // of these, by account: all, in time
-    std::deque<std::pair<Duration, int>>
-        recent;                    // accepted requests and their accounts, of the overload span
-    std::vector<double> recentOf;  // of these, by account that has a share
+        fates;                                        // requests that ended: tenant, whether in time
+    std::map<int, std::pair<double, double>> fateOf;  // of these, by tenant: all, in time
+    std::deque<std::pair<Duration, int>> recent;  // accepted requests and their tenants, of the overload span
+    std::vector<double> recentOf;                 // of these, by tenant that has a share
     double retryBudget = kRetryBurst;
     std::map<std::string, BuildNumber> stays;  // keys that a build has answered
     BuildNumber allStay = 0;                   // all keys stay from this one on
@@ -286,12 +285,12 @@
     double slowAtPause = 0;
     std::vector<double> reference;  // slowness of the earlier build while it bore about all the requests
 
-    Record(const StartValues &start, Duration at)
+    Record(const PolicySettings &start, Duration at)
         : v(start), now(at), rng(static_cast<std::mt19937::result_type>(start.seed ^ (start.seed >> 32))),
           taken(routesCounted()), usual(v.routes.size()), usualSeen(v.routes.size()),
-          recentOf(v.accountShares.size()), windowBegan(at) {
+          recentOf(v.tenantQuotas.size()), windowBegan(at) {
         for (std::size_t r = 0; r < usual.size(); ++r) usual[r] = secs(v.routes[r].latencyObjective) / 4;
-        if (v.listMustBeAsked) follow();
+        if (v.subscriptionRequired) follow();
         timer();
     }
 
@@ -309,11 +308,11 @@
     // The part of its capacity that a endpoint has by now, on the slowest path the settings allow.
     double warmth(const Endpoint &s) const {
         const Duration age = s.age(now);
-        if (age >= v.warmWithin || v.warmWithin <= Duration{0}) return 1;
-        return v.coldFrom + (1 - v.coldFrom) * std::max(0.0, secs(age) / secs(v.warmWithin));
+        if (age >= v.warmUpTime || v.warmUpTime <= Duration{0}) return 1;
+        return v.initialCapacity + (1 - v.initialCapacity) * std::max(0.0, secs(age) / secs(v.warmUpTime));
     }
     // Whether it may not be warm yet, with a margin for the news of its start.
-    bool cold(const Endpoint &s) const { return s.age(now) < v.warmWithin + kWindowSpan; }
+    bool cold(const Endpoint &s) const { return s.age(now) < v.warmUpTime + kWindowSpan; }
     double slowness(const Endpoint &s) const {
         const double keep = std::exp(-secs(now - s.slownessAt) / kLatencyFade);
         double figure = 1 + (s.slowness - 1) * keep;
@@ -381,7 +380,7 @@
                 if (s->age(now) >= coldEvidence() && !aside(*s)) slow.push_back(slowness(*s));
             }
         // Servers that have left since gave some of these answers: who is left did not bear them all.
-        forget(done, now - v.overloadFor, [](const auto &entry) { --entry.second->given; });
+        forget(done, now - v.overloadWindow, [](const auto &entry) { --entry.second->given; });
         const auto gives = [](const auto &entry) { return entry.second.given > 0; };
         const auto givers = std::size_t(std::ranges::count_if(endpoints, gives));
         const auto bore = std::max({slow.size(), givers, std::size_t{1}});
@@ -404,7 +403,7 @@
     }
     // Answers of endpoints younger than this are no evidence; no longer than the settings call them cold.
     Duration coldEvidence() const {
-        return v.warmWithin > Duration{0} ? std::min(kColdEvidence, v.warmWithin + kWindowSpan)
+        return v.warmUpTime > Duration{0} ? std::min(kColdEvidence, v.warmUpTime + kWindowSpan)
                                           : kColdEvidence;
     }
 
@@ -414,19 +413,20 @@
         // every request one timely answer
         if (request.answered || now >= request.in.notAfter) return false;
         if (int(request.attempts.size()) >= v.maxAttempts) return false;
-        if (!v.mayCopy && request.outstanding()) return false;
+        if (!v.hedgingAllowed && request.outstanding()) return false;
         // no effect twice
         if (!mayGoAgain(request)) return false;
         const Attempt *ran = request.firstThatMayHaveRun();
-        if (ran && rt.effect == Effect::deduped) {
-            if (rt.group != Group::all && ran->zone != s.entry.zone) return false;
-            if (rt.group == Group::cell && ran->cell != s.entry.cell) return false;
+        if (ran && rt.idempotency == Idempotency::withKey) {
+            if (rt.deduplicationScope != DeduplicationScope::all && ran->zone != s.entry.zone) return false;
+            if (rt.deduplicationScope == DeduplicationScope::cell && ran->cell != s.entry.cell) return false;
         }
         if (!s.listed()) return false;  // drains
         // exposure
         const BuildNumber build = s.entry.build;
         if (bound(build)) {
-            if (step(build) < v.idempotentOnlyStages && rt.effect != Effect::retriable) return false;
+            if (step(build) < v.idempotentOnlyStages && rt.idempotency != Idempotency::idempotent)
+                return false;
             if (!withinCap(build, request.in.route)) return false;
         }
         const auto stay = stays.find(request.in.key);
@@ -463,10 +463,10 @@
     bool withinColdBudget(Endpoint &s) const {
         const Duration age = s.age(now);
         if (!cold(s)) return true;
-        forget(s.coldSends, now - v.overloadFor);
+        forget(s.coldSends, now - v.overloadWindow);
         const double sent = double(s.coldSends.size());  // those of the span
-        const double run = secs(std::clamp(age, Duration{0}, v.overloadFor)) / secs(v.overloadFor);
-        return sent + 1 <= s.coldChance + v.tipMultiple * kColdMargin * warmth(s) * run * perServer;
+        const double run = secs(std::clamp(age, Duration{0}, v.overloadWindow)) / secs(v.overloadWindow);
+        return sent + 1 <= s.coldChance + v.overloadMultiple * kColdMargin * warmth(s) * run * perServer;
     }
 
     bool aside(const Endpoint &s) const { return now < s.asideUntil; }
@@ -482,7 +482,7 @@
             const bool tried = std::ranges::count(request.attempts, &s, &Attempt::endpoint) > 0;
             // A price on crossing zones keeps most choices at home where load is asked for; score() does the
             // rest.
-            const bool away = v.crossZoneFee > 0 && asksLoad() && s.entry.zone != v.zone;
+            const bool away = v.crossZoneCost > 0 && asksLoad() && s.entry.zone != v.zone;
             if (!desperate && away && chance() < kAtHome) continue;
             if ((desperate || (!aside(s) && !tried)) && passes(request, s)) chosen.push_back(&s);
         }
@@ -490,7 +490,7 @@
     }
     // Exception where endpoints tell their load to probes and gateways are many, so own in-flight says
     // nothing: the two are asked. Covers uneven gateways, crowded machines. Harm: price and delay.
-    bool asksLoad() const { return v.inHandField >= 0 && many(); }
+    bool asksLoad() const { return v.inFlightReportField >= 0 && many(); }
     bool ask(Request &request) {
         if (!asksLoad()) return false;
         for (const BuildNumber build : place(request))
@@ -503,8 +503,8 @@
     void on(const ProbeEnded &p) {
         const auto at = endpoints.find(p.endpoint);
         if (at == endpoints.end()) return;
-        if (asksLoad() && std::size_t(v.inHandField) < p.load.size())
-            at->second.inHand = p.load[std::size_t(v.inHandField)], at->second.inHandAt = now;
+        if (asksLoad() && std::size_t(v.inFlightReportField) < p.load.size())
+            at->second.inHand = p.load[std::size_t(v.inFlightReportField)], at->second.inHandAt = now;
         for (auto it = requests.begin(); it != requests.end();) {
             const auto here = it++;
             Request &request = here->second;
@@ -514,7 +514,7 @@
         }
     }
     double score(const Endpoint &s) const {
-        const double far = s.entry.zone == v.zone ? 1 : 1 + 4 * v.crossZoneFee;
+        const double far = s.entry.zone == v.zone ? 1 : 1 + 4 * v.crossZoneCost;
         const double weight = s.entry.weight > 0 ? s.entry.weight : 1;
         const double others = s.inHand * std::exp(-secs(now - s.inHandAt) / kLatencyFade);
         return (std::max(double(s.out.size()), others) + 1) * slowness(s) * far / (weight * warmth(s));
@@ -574,18 +574,18 @@
     }
 
     // Sheds while the requests under way could not be answered in time at the pace of the last second's
-    // answers, more the slower; an account's excess first. Covers surges, lost machines, slowdowns. Harm: a
+    // answers, more the slower; an tenant's excess first. Covers surges, lost machines, slowdowns. Harm: a
     // rough pace.
     bool tooLate(const Request &request) {
         const double expected = usualOf(request) * pressure() / secs(route(request).latencyObjective);
         // A pace of n answers is known to one part in the root of n: few answers must not shed by chance.
         const double doubt = 1 + 2 / std::sqrt(std::max(1.0, double(ends.size())));
-        const double from = doubt * (overShare(request.in.account) ? kShedFrom / 2 : kShedFrom);
+        const double from = doubt * (overShare(request.in.tenant) ? kShedFrom / 2 : kShedFrom);
         // Adaptive throttling where gateways are many: a few requests a second give no pace, but show that
-        // under half of an account's end in time. Covers jams that feed themselves, heedless repeats. Harm:
+        // under half of an tenant's end in time. Covers jams that feed themselves, heedless repeats. Harm:
         // other failures.
         forget(fates, now - kFateSpan, [&](const auto &entry) { countFate(entry.second, -1); });
-        const auto [ended, good] = fateOf[request.in.account];
+        const auto [ended, good] = fateOf[request.in.tenant];
         const double jam = !many() ? 0 : (ended - kThrottle * good) / (ended + kFewUnderWay);
         const double part = std::max((expected - from) / kShedSpan, jam);
         if (part <= 0 || chance() >= part) return false;
@@ -608,13 +608,13 @@
         auto &[ended, good] = fateOf[fate.first];
         ended += n, good += fate.second ? n : 0;
     }
-    void countRecent(int account, double n) {
-        if (account >= 0 && std::size_t(account) < recentOf.size()) recentOf[std::size_t(account)] += n;
+    void countRecent(int tenant, double n) {
+        if (tenant >= 0 && std::size_t(tenant) < recentOf.size()) recentOf[std::size_t(tenant)] += n;
     }
-    bool overShare(int account) const {
-        if (account < 0 || account >= int(v.accountShares.size()) || recent.empty()) return false;
-        return recentOf[std::size_t(account)] >
-               kOverShare * v.accountShares[std::size_t(account)] * double(recent.size());
+    bool overShare(int tenant) const {
+        if (tenant < 0 || tenant >= int(v.tenantQuotas.size()) || recent.empty()) return false;
+        return recentOf[std::size_t(tenant)] >
+               kOverShare * v.tenantQuotas[std::size_t(tenant)] * double(recent.size());
     }
 
     void send(Request &request, Endpoint &s) {
@@ -629,13 +629,13 @@
     }
 
     void callOff(const Request &request) {
-        for (std::size_t k = 0; v.mayCancel && k < request.attempts.size(); ++k)
+        for (std::size_t k = 0; v.cancellationAllowed && k < request.attempts.size(); ++k)
             if (request.attempts[k].out) out.push_back(CancelAttempt{request.in.requestId, int(k)});
     }
 
     void finish(Request &request, bool inTime) {
         if (!request.answered && many()) {
-            fates.push_back({now, {request.in.account, inTime}});
+            fates.push_back({now, {request.in.tenant, inTime}});
             countFate(fates.back().second, 1);
         }
         request.answered = true;
@@ -646,12 +646,14 @@
         finish(request, false);
         const Route &rt = route(request);
         const bool ran = request.firstThatMayHaveRun() != nullptr;
-        const bool mayShed = rt.effect == Effect::retriable || !ran ||
-                             (rt.effect == Effect::deduped && rt.group == Group::all);
+        const bool mayShed =
+            rt.idempotency == Idempotency::idempotent || !ran ||
+            (rt.idempotency == Idempotency::withKey && rt.deduplicationScope == DeduplicationScope::all);
         callOff(request);
-        const Duration back = v.retryAfterTold ? std::min<Duration>(v.longestRetryAfter, 250ms) : Duration{0};
-        if (mayShed) out.push_back(Shed{request.in.requestId, back});
-        else out.push_back(EndErrored{request.in.requestId});
+        const Duration back =
+            v.retryAfterSupported ? std::min<Duration>(v.maxRetryAfter, 250ms) : Duration{0};
+        if (mayShed) out.push_back(ShedRequest{request.in.requestId, back});
+        else out.push_back(FailRequest{request.in.requestId});
     }
     void drop(auto it) {
         if (!it->second.outstanding()) requests.erase(it);
@@ -661,7 +663,7 @@
 
     void follow() {
         out.push_back(WatchEndpoints{true});
-        askAgainAt = now + std::max<Duration>(v.askWithin / 2, kWindowSpan);
+        askAgainAt = now + std::max<Duration>(v.subscribeWithin / 2, kWindowSpan);
     }
     void on(const EndpointListFailed &) { askAgainAt = now + kWindowSpan / 2, following = false; }
     void on(const EndpointListUpdate &list) {
@@ -681,7 +683,7 @@
                        0;
             };
             return s.entry.state == EndpointState::removed && s.given == 0 &&
-                   now - s.goneAt > v.warmWithin + v.overloadFor + kWindowSpan &&
+                   now - s.goneAt > v.warmUpTime + v.overloadWindow + kWindowSpan &&
                    std::ranges::none_of(requests, holds);
         });
         for (Arm *arm : {&trial, &earlier, &lastEarlier})
@@ -708,8 +710,8 @@
     void on(const RequestArrived &in) {
         const auto it = requests.try_emplace(in.requestId, Request{in, now, {}, false, {}, 0}).first;
         taken[counted(in.route)].push_back(now);
-        recent.push_back({now, in.account});
-        countRecent(in.account, 1);
+        recent.push_back({now, in.tenant});
+        countRecent(in.tenant, 1);
         retryBudget = std::min(kRetryBurst, retryBudget + kRetryRate);
         if (!ask(it->second)) go(it);
     }
@@ -732,9 +734,9 @@
     bool mayGoAgain(const Request &request) const {
         const Attempt *ran = request.firstThatMayHaveRun();
         const Route &rt = route(request);
-        if (!ran || rt.effect == Effect::retriable) return true;
-        const Duration latest = ran->sent + rt.repeatWindow - v.sendsWithin - 2 * kTick;
-        return rt.effect == Effect::deduped && now <= latest;
+        if (!ran || rt.idempotency == Idempotency::idempotent) return true;
+        const Duration latest = ran->sent + rt.deduplicationWindow - v.maxSendDelay - 2 * kTick;
+        return rt.idempotency == Idempotency::withKey && now <= latest;
     }
 
     void on(const RequestAbandoned &gone) {
@@ -789,7 +791,7 @@
         Endpoint &s = *t.endpoint;
         const auto r = std::size_t(request.in.route);
         const double took = secs(now - t.sent);
-        const bool answered = end.how == Outcome::ok || end.how == Outcome::unreadable;
+        const bool answered = end.how == Outcome::ok || end.how == Outcome::malformed;
         // What ended unread may have been answered well all the same: its key stays as well. An error is an
         // answer, and no good one. Guards against a key that goes back to an earlier build. Harm: keys bound
         // to a bad build.
@@ -807,16 +809,16 @@
                 usual[r] += gain * (took - usual[r]);
             }
             if (!t.cold) done.push_back({now, &s}), ++s.given;
-        } else if (end.how == Outcome::error || end.how == Outcome::full || answered) s.unanswered = 0;
+        } else if (end.how == Outcome::error || end.how == Outcome::overloaded || answered) s.unanswered = 0;
         else if (end.how == Outcome::reset || end.how == Outcome::connectFailed || silent(s, t))
             unanswered(s);
-        if (answered || end.how == Outcome::error || end.how == Outcome::full) s.answeredAt = now;
+        if (answered || end.how == Outcome::error || end.how == Outcome::overloaded) s.answeredAt = now;
         evidence(request, t, end, took / usual[r]);
     }
 
     void evidence(const Request &request, const Attempt &t, const AttemptEnded &end, double ratio) {
         // What can't be read is a connection's trouble, of either build alike.
-        if (!told || provesNotRun(end.how) || end.how == Outcome::unreadable) return;
+        if (!told || provesNotRun(end.how) || end.how == Outcome::malformed) return;
         if (news.phase != RolloutPhase::canary && news.phase != RolloutPhase::released) return;
         // Of one that went back before this one came: neither the trial nor what it is held against. Guards
         // against its late failures hiding the next one's. Harm: none seen.
@@ -904,7 +906,7 @@
         if (n.isVoteReply) {
             votePending = false;
             if (n.how == Outcome::ok) standing = lastVote, voteDue = now + v.voteLifetime * 6 / 10;
-            else voteDue = now + (n.how == Outcome::moot ? kMootRetry : kVoteRetry);
+            else voteDue = now + (n.how == Outcome::obsolete ? kMootRetry : kVoteRetry);
         }
         if (n.how != Outcome::ok) return;
         lastTold = n;
@@ -1130,8 +1132,8 @@
 
     void on(const TimerFired &) {
         timer();
-        forget(recent, now - v.overloadFor, [&](const auto &entry) { countRecent(entry.second, -1); });
-        if (v.listMustBeAsked && !following && now >= askAgainAt) follow();
+        forget(recent, now - v.overloadWindow, [&](const auto &entry) { countRecent(entry.second, -1); });
+        if (v.subscriptionRequired && !following && now >= askAgainAt) follow();
         for (auto it = requests.begin(); it != requests.end();) {
             const auto here = it++;
             Request &request = here->second;
@@ -1152,10 +1154,10 @@
         if (last + 1 >= v.maxAttempts || !mayGoAgain(request) || retryBudget < 1) return;
         if (now + span(usualOf(request)) >= request.arrived + route(request).latencyObjective) return;
         t.calledOff = true;
-        if (v.mayCopy) {
+        if (v.hedgingAllowed) {
             unanswered(*t.endpoint);
             if (dispatch(request)) retryBudget -= 1;
-        } else if (v.mayCancel) out.push_back(CancelAttempt{request.in.requestId, last});
+        } else if (v.cancellationAllowed) out.push_back(CancelAttempt{request.in.requestId, last});
     }
 };
 
--- a/src/scenarios/invariant_checker.cpp
+++ b/src/scenarios/invariant_checker.cpp
@@ -74,21 +74,22 @@
             const auto c = client.find(request);
             if (c == client.end()) continue;
             const Route &rt = route(*c->second);
-            if (rt.effect == Effect::retriable) continue;
+            if (rt.idempotency == Idempotency::idempotent) continue;
             const InstanceRecord *ran = nullptr;
             for (const auto *t : list) {
-                if (ran && rt.effect == Effect::nonRetriable)
+                if (ran && rt.idempotency == Idempotency::nonIdempotent)
                     breach(Rule::noEffectTwice, request, t->received,
                            "non-retriable, sent to " + t->endpoint + " though it may have run on " +
                                ran->endpoint + " at " + at(ran->received));
-                if (ran && rt.effect == Effect::deduped) {
-                    if (t->received > ran->received + rt.repeatWindow + f.slack)
+                if (ran && rt.idempotency == Idempotency::withKey) {
+                    if (t->received > ran->received + rt.deduplicationWindow + f.slack)
                         breach(Rule::noEffectTwice, request, t->received,
                                "deduped, sent again to " + t->endpoint + " after the memory of " +
                                    at(ran->received));
                     const bool inGroup =
-                        rt.group == Group::all ||
-                        (t->zone == ran->zone && (rt.group == Group::zone || t->cell == ran->cell));
+                        rt.deduplicationScope == DeduplicationScope::all ||
+                        (t->zone == ran->zone &&
+                         (rt.deduplicationScope == DeduplicationScope::zone || t->cell == ran->cell));
                     if (!inGroup)
                         breach(Rule::noEffectTwice, request, t->received,
                                "deduped, sent again to " + t->endpoint + " outside the group of " +
@@ -96,7 +97,8 @@
                 }
                 if (t->mayHaveRun && !ran) ran = t;
             }
-            const bool sheddable = rt.effect == Effect::deduped && rt.group == Group::all;
+            const bool sheddable =
+                rt.idempotency == Idempotency::withKey && rt.deduplicationScope == DeduplicationScope::all;
             if (ran && c->second->end == ClientEnd::shed && !sheddable && ran->received < c->second->answered)
                 breach(Rule::noEffectTwice, request, c->second->answered,
                        "shed though it may have run on " + ran->endpoint);
@@ -209,7 +211,7 @@
                     guarded = guarded && (n && n->build == build ? n->step : 0) < f.idempotentOnlyStages;
                 }
                 if (!trial) continue;
-                if (guarded && route(*list[k].c).effect != Effect::retriable)
+                if (guarded && route(*list[k].c).idempotency != Idempotency::idempotent)
                     breach(Rule::exposure, list[k].t->requestId, now,
                            "not retriable, sent to build " + std::to_string(build) + " in a guarded stage");
                 // Counted afresh from where a lower cap came to bind, or the build was not on trial before.
--- a/src/scenarios/scenario.cpp
+++ b/src/scenarios/scenario.cpp
@@ -149,8 +149,9 @@
     const json &in = document.at("instances");
     d.instances = in.at("count"), d.cores = in.value("cores", d.cores), d.queue = in.value("queue", d.queue);
     d.zones = in.value("zones", std::vector<std::string>{"a"});
-    d.coldFrom = in.value("coldFrom", d.coldFrom), d.tipMultiple = in.value("tipMultiple", d.tipMultiple);
-    d.warmWithin = ms(in, "warmWithinMs", 4000), d.overloadFor = ms(in, "overloadForMs", 2000);
+    d.initialCapacity = in.value("coldFrom", d.initialCapacity),
+    d.overloadMultiple = in.value("tipMultiple", d.overloadMultiple);
+    d.warmUpTime = ms(in, "warmWithinMs", 4000), d.overloadWindow = ms(in, "overloadForMs", 2000);
     const json &names = part(document, "names");
     d.nameServers = names.value("servers", 0), d.recordLifetime = ms(names, "lifetimeMs", 1000);
     d.confirmAfter = ms(names, "confirmAfterMs", 500);
@@ -159,17 +160,17 @@
     d.retries = t.value("retries", d.retries);
     d.leastPatience = t.value("leastPatience", d.leastPatience);
     for (const auto &one : t.value("accounts", json::array()))
-        d.accounts.push_back(one.at("name")), d.accountShares.push_back(one.at("share"));
+        d.tenants.push_back(one.at("name")), d.tenantQuotas.push_back(one.at("share"));
     for (const auto &one : t.at("routes")) {
         DayRoute r;
         r.name = one.at("name"), r.method = one.value("method", std::string("POST"));
         const std::string effect = one.at("effect");
-        r.rule.effect = effect == "retriable" ? Effect::retriable
-                        : effect == "deduped" ? Effect::deduped
-                                              : Effect::nonRetriable;
+        r.rule.idempotency = effect == "retriable" ? Idempotency::idempotent
+                             : effect == "deduped" ? Idempotency::withKey
+                                                   : Idempotency::nonIdempotent;
         r.rule.latencyObjective = ms(one, "latencyObjectiveMs", 0),
         r.routeTimeout = ms(one, "routeTimeoutMs", 0);
-        r.rule.repeatWindow = ms(one, "repeatWindowMs", 0);
+        r.rule.deduplicationWindow = ms(one, "repeatWindowMs", 0);
         r.share = one.value("share", 1.0), r.benefit = one.value("benefit", 1.0);
         r.leastWorkMs = one.at("workMs")[0], r.mostWorkMs = one.at("workMs")[1];
         if (r.leastWorkMs > r.mostWorkMs)
@@ -177,7 +178,7 @@
         d.routes.push_back(std::move(r));
     }
     d.allowed = document.value("allowed", json::object());
-    d.mayCopy = d.allowed.value("copies", false), d.maxAttempts = d.allowed.value("mostTries", 4);
+    d.hedgingAllowed = d.allowed.value("copies", false), d.maxAttempts = d.allowed.value("mostTries", 4);
     const json &r = part(document, "release");
     if (r.contains("atMs")) d.releaseAt = ms(r, "atMs", 0);
     d.caps = r.value("caps", std::vector<double>{0.1, 0.4, 1}), d.shares = r.value("shares", d.caps);
@@ -233,22 +234,23 @@
 json settingsOf(const Day &d, int gateway, const std::string &deskAddress,
                 const std::vector<std::string> &nameServers) {
     const auto inMs = [](Duration s) { return s.count() / 1000; };
-    json routes = json::array(), accounts = json::array();
+    json routes = json::array(), tenants = json::array();
     for (const auto &r : d.routes) {
-        const char *effect = r.rule.effect == Effect::retriable ? "retriable"
-                             : r.rule.effect == Effect::deduped ? "deduped"
-                                                                : "non-retriable";
+        const char *effect = r.rule.idempotency == Idempotency::idempotent ? "retriable"
+                             : r.rule.idempotency == Idempotency::withKey  ? "deduped"
+                                                                           : "non-retriable";
         json one{{"name", r.name},
                  {"method", r.method},
                  {"effect", effect},
                  {"pathPrefix", "/" + r.name},
                  {"latencyObjectiveMs", inMs(r.rule.latencyObjective)},
                  {"routeTimeoutMs", inMs(r.routeTimeout)}};
-        if (r.rule.effect == Effect::deduped) one["repeatWindowMs"] = inMs(r.rule.repeatWindow);
+        if (r.rule.idempotency == Idempotency::withKey)
+            one["repeatWindowMs"] = inMs(r.rule.deduplicationWindow);
         routes.push_back(std::move(one));
     }
-    for (std::size_t k = 0; k < d.accounts.size(); ++k)
-        accounts.push_back({{"name", d.accounts[k]}, {"share", d.accountShares[k]}});
+    for (std::size_t k = 0; k < d.tenants.size(); ++k)
+        tenants.push_back({{"name", d.tenants[k]}, {"share", d.tenantQuotas[k]}});
     json s{{"gateway",
             {{"id", "g" + std::to_string(gateway)},
              {"count", d.gatewaysTold},
@@ -259,10 +261,10 @@
            {"routes", std::move(routes)},
            {"allowed", d.allowed},
            {"rules",
-            {{"coldFrom", d.coldFrom},
-             {"warmWithinMs", inMs(d.warmWithin)},
-             {"tipMultiple", d.tipMultiple},
-             {"overloadForMs", inMs(d.overloadFor)}}},
+            {{"coldFrom", d.initialCapacity},
+             {"warmWithinMs", inMs(d.warmUpTime)},
+             {"tipMultiple", d.overloadMultiple},
+             {"overloadForMs", inMs(d.overloadWindow)}}},
            {"release",
             {{"replacedInPlace", d.inPlace},
              {"exposurePerRoute", d.exposurePerRoute},
@@ -275,7 +277,7 @@
              {"voteLifeMs", inMs(d.voteLifetime)},
              {"votesToGoBack", d.votesToRollBack},
              {"wrongReported", d.incorrectReportRate}}}};
-    if (!accounts.empty()) s["accounts"] = std::move(accounts);
+    if (!tenants.empty()) s["accounts"] = std::move(tenants);
     if (!nameServers.empty()) {
         json names = json::array();
         for (const BuildNumber build : {1, 2})
--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -45,7 +45,7 @@
     gatewayKilled,   // gateways are killed and started again
     gatewayStalled,  // gateways stand still
     burst,           // all clients ask for more
-    heedless,        // one account's clients repeat at once, again and again
+    heedless,        // one tenant's clients repeat at once, again and again
     lowReports,      // instances report too little load
     probesFail,      // instances answer probes with errors
     namesSilent,     // so many of each gateway's name servers answer nothing
@@ -71,16 +71,16 @@
     int gatewaysTold = 1;                // how many their settings speak of: the others are idle
     int instances = 8, cores = 2, queue = 64;
     std::vector<std::string> zones;
-    double coldFrom = 0.4, tipMultiple = 3;
-    Duration warmWithin{}, overloadFor{};
+    double initialCapacity = 0.4, overloadMultiple = 3;
+    Duration warmUpTime{}, overloadWindow{};
     double requestsPerSecond = 100;
     int keys = 500, retries = 1;
     double leastPatience = 0.6;  // part of the route timeout that a client waits at least
     // The fleet is told by SRV records of so many name servers; 0: by the desk's list.
     int nameServers = 0;
     Duration recordLifetime{}, confirmAfter{};
-    std::vector<std::string> accounts;
-    std::vector<double> accountShares;
+    std::vector<std::string> tenants;
+    std::vector<double> tenantQuotas;
     std::vector<DayRoute> routes;
     // release
     std::optional<Duration> releaseAt;
@@ -95,7 +95,7 @@
     BadBuild bad;
     bool tallies = false;
     int maxAttempts = 4;
-    bool mayCopy = false;
+    bool hedgingAllowed = false;
     bool shouldRelease = true;  // what staff would expect of the release by the day's end
     std::vector<Trouble> troubles;
     nlohmann::json allowed;  // as /allowed of the settings
--- a/src/settings/gateway_settings.cpp
+++ b/src/settings/gateway_settings.cpp
@@ -28,7 +28,7 @@
 
 struct Reader {
     const json &doc;
-    GatewayOrders out;
+    GatewaySettings out;
     std::vector<Refusal> refused;
 
     void refuse(std::string path, std::string reason) {
@@ -70,21 +70,25 @@
         take(from, "name", rule.name), take(from, "method", rule.method);
         take(from, "pathPrefix", rule.pathPrefix), take(from, "routeTimeoutMs", rule.routeTimeout);
         take(from, "latencyObjectiveMs", route.latencyObjective);
-        word(from, "effect", route.effect,
-             {{"retriable", Effect::retriable},
-              {"deduped", Effect::deduped},
-              {"non-retriable", Effect::nonRetriable}});
-        word(from, "group", route.group, {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
-        take(from, "repeatWindowMs", route.repeatWindow);
+        word(from, "effect", route.idempotency,
+             {{"retriable", Idempotency::idempotent},
+              {"deduped", Idempotency::withKey},
+              {"non-retriable", Idempotency::nonIdempotent}});
+        word(from, "group", route.deduplicationScope,
+             {{"all", DeduplicationScope::all},
+              {"zone", DeduplicationScope::zone},
+              {"cell", DeduplicationScope::cell}});
+        take(from, "repeatWindowMs", route.deduplicationWindow);
         if (route.latencyObjective > rule.routeTimeout)
             refuse(at + "/latencyObjectiveMs", "is over the route timeout: no answer would come in time");
         if (rule.routeTimeout <= 2 * out.answerMargin)
             refuse(at + "/routeTimeoutMs",
                    "is not over twice /limits/answerMarginMs: no time is left for a try");
-        if (route.effect == Effect::deduped && route.repeatWindow <= Duration{0})
+        if (route.idempotency == Idempotency::withKey && route.deduplicationWindow <= Duration{0})
             refuse(at + "/repeatWindowMs",
                    "is needed for a deduped route: after it a repeat would run twice");
-        if (route.effect != Effect::deduped && (from.contains("repeatWindowMs") || from.contains("group")))
+        if (route.idempotency != Idempotency::withKey &&
+            (from.contains("repeatWindowMs") || from.contains("group")))
             refuse(at, "repeatWindowMs and group are for deduped routes only: nothing drops its repeats");
         for (std::size_t before = 0; before < no; ++before) {
             const auto &other = out.routes[before];
@@ -112,15 +116,15 @@
         take(up, "idleMs", u.idleFor), take(up, "stalledMs", u.stalledFor);
         take(up, "heldAnswerBytes", u.heldAnswerBytes), take(up, "probeWithinMs", u.probeWithin);
         take(up, "probePath", u.probePath);
-        out.module.sendsWithin = u.connectWithin;
+        out.module.maxSendDelay = u.connectWithin;
     }
 
     void headers() {
         const json &from = part(doc, "headers");
         auto &h = out.headers;
         std::vector<std::pair<const char *, std::string *>> all = {
-            {"key", &h.key},         {"account", &h.account}, {"remaining", &h.remaining},
-            {"reqId", &h.requestId}, {"full", &h.full},       {"load", &h.load}};
+            {"key", &h.key},         {"account", &h.tenant}, {"remaining", &h.remaining},
+            {"reqId", &h.requestId}, {"full", &h.full},      {"load", &h.load}};
         for (std::size_t k = 0; k < all.size(); ++k) {
             take(from, all[k].first, *all[k].second);
             const std::string at = std::string("/headers/") + all[k].first;
@@ -140,30 +144,30 @@
     void allowed() {
         const json &from = part(doc, "allowed"), &rules = part(doc, "rules");
         auto &v = out.module;
-        v.mayCancel = true, v.maxAttempts = 4;
-        v.longestRetryAfter = std::chrono::seconds(1), v.retryAfterTold = true;
+        v.cancellationAllowed = true, v.maxAttempts = 4;
+        v.maxRetryAfter = std::chrono::seconds(1), v.retryAfterSupported = true;
         // The module asks for the list and asks again after a failure: the shell makes no such choice.
-        v.listMustBeAsked = true;
-        v.askWithin = std::chrono::seconds(10);
-        take(from, "copies", v.mayCopy), take(from, "cancel", v.mayCancel);
-        take(from, "mostTries", v.maxAttempts), take(from, "longestRetryAfterMs", v.longestRetryAfter);
-        take(from, "askWithinMs", v.askWithin), take(from, "crossZoneFee", v.crossZoneFee);
-        take(from, "inHandField", v.inHandField);
-        v.coldFrom = 0.3, v.warmWithin = std::chrono::seconds(5), v.tipMultiple = 2;
-        v.overloadFor = std::chrono::seconds(3);
-        take(rules, "coldFrom", v.coldFrom), take(rules, "warmWithinMs", v.warmWithin);
-        take(rules, "tipMultiple", v.tipMultiple), take(rules, "overloadForMs", v.overloadFor);
-        if (v.coldFrom <= 0)
+        v.subscriptionRequired = true;
+        v.subscribeWithin = std::chrono::seconds(10);
+        take(from, "copies", v.hedgingAllowed), take(from, "cancel", v.cancellationAllowed);
+        take(from, "mostTries", v.maxAttempts), take(from, "longestRetryAfterMs", v.maxRetryAfter);
+        take(from, "askWithinMs", v.subscribeWithin), take(from, "crossZoneFee", v.crossZoneCost);
+        take(from, "inHandField", v.inFlightReportField);
+        v.initialCapacity = 0.3, v.warmUpTime = std::chrono::seconds(5), v.overloadMultiple = 2;
+        v.overloadWindow = std::chrono::seconds(3);
+        take(rules, "coldFrom", v.initialCapacity), take(rules, "warmWithinMs", v.warmUpTime);
+        take(rules, "tipMultiple", v.overloadMultiple), take(rules, "overloadForMs", v.overloadWindow);
+        if (v.initialCapacity <= 0)
             refuse("/rules/coldFrom", "is not over 0: a cold instance would never be sent a req");
         double sum = 0;
-        const json accounts = doc.value("accounts", json::array());
-        for (std::size_t k = 0; k < accounts.size(); ++k) {
-            const auto name = accounts[k].at("name").get<std::string>();
-            if (std::ranges::find(out.accounts, name) != out.accounts.end())
+        const json tenants = doc.value("accounts", json::array());
+        for (std::size_t k = 0; k < tenants.size(); ++k) {
+            const auto name = tenants[k].at("name").get<std::string>();
+            if (std::ranges::find(out.tenants, name) != out.tenants.end())
                 refuse("/accounts/" + std::to_string(k) + "/name", "stands twice");
-            out.accounts.push_back(name);
-            v.accountShares.push_back(accounts[k].at("share").get<double>());
-            sum += v.accountShares.back();
+            out.tenants.push_back(name);
+            v.tenantQuotas.push_back(tenants[k].at("share").get<double>());
+            sum += v.tenantQuotas.back();
         }
         if (sum > 1.0001) refuse("/accounts", "the shares add up to more than 1");
     }
@@ -210,8 +214,8 @@
         const auto it = doc.find("sources");
         if (it == doc.end()) return;
         const json &from = *it;
-        SourceOrders orders;
-        auto &merge = orders.merge;
+        SourceSettings settings;
+        auto &merge = settings.merge;
         take(from, "longestStalenessMs", merge.longestStale), take(from, "confirmShare", merge.confirmShare);
         take(from, "confirmAfterMs", merge.confirmAfter), take(from, "graceMs", merge.grace);
         take(from, "reserveBelow", merge.reserveBelow);
@@ -231,9 +235,9 @@
             take(nodes[k], "build", c.entry.build), take(nodes[k], "cell", c.entry.cell);
             take(nodes[k], "weight", c.entry.weight);
             c.entry.zone = zone(nodes[k], at), c.as = c.entry.id;
-            for (const auto &other : orders.nodes)
+            for (const auto &other : settings.nodes)
                 if (other.entry.id == c.entry.id) refuse(at + "/address", "stands twice");
-            orders.nodes.push_back(std::move(c));
+            settings.nodes.push_back(std::move(c));
         }
         if (const auto srv = from.find("srv"); srv != from.end()) {
             const auto &names = srv->at("names");
@@ -244,12 +248,12 @@
                 if (name.name.empty()) refuse(at + "/name", "is no DNS name");
                 take(names[k], "build", name.build), take(names[k], "cell", name.cell);
                 name.zone = zone(names[k], at);
-                for (const auto &other : orders.names)
+                for (const auto &other : settings.names)
                     if (other.name == name.name) refuse(at + "/name", "stands twice");
-                orders.names.push_back(std::move(name));
+                settings.names.push_back(std::move(name));
             }
             const auto &servers = srv->at("servers");
-            auto &r = orders.resolver;
+            auto &r = settings.resolver;
             for (std::size_t k = 0; k < servers.size(); ++k) {
                 const auto text = servers[k].get<std::string>();
                 const auto to = parseAddress(text);
@@ -274,20 +278,20 @@
         using membership::SourceKind;
         for (const auto &kind : kinds) {
             if (kind == "desk" && deskList) merge.sources.push_back({"desk", SourceKind::desk});
-            if (kind == "nodes" && !orders.nodes.empty())
+            if (kind == "nodes" && !settings.nodes.empty())
                 merge.sources.push_back({"nodes", SourceKind::nodes});
             if (kind == "srv")
-                for (const auto &name : orders.names) merge.sources.push_back({name.name, SourceKind::srv});
+                for (const auto &name : settings.names) merge.sources.push_back({name.name, SourceKind::srv});
         }
         if (merge.sources.empty()) refuse("/sources", "names no source: no instance could ever be listed");
-        out.sources = std::move(orders);
+        out.sources = std::move(settings);
     }
 
     void outside() {
         if (const auto desk = doc.find("desk"); desk != doc.end()) {
             const auto at = address(*desk, "address", "/desk/address");
-            DeskCalls calls{at.value_or(asio::ip::tcp::endpoint{}), std::chrono::seconds(1),
-                            std::chrono::seconds(3)};
+            ControlPlaneSettings calls{at.value_or(asio::ip::tcp::endpoint{}), std::chrono::seconds(1),
+                                       std::chrono::seconds(3)};
             take(*desk, "answerWithinMs", calls.answerWithin), take(*desk, "silentForMs", calls.silentFor);
             out.desk = calls;
         }
@@ -297,18 +301,18 @@
 
 }  // namespace
 
-int accountNo(const std::vector<std::string> &accounts, std::string_view name) {
-    return accounts.empty() ? 0 : int(std::ranges::find(accounts, name) - accounts.begin());
+int tenantIndex(const std::vector<std::string> &tenants, std::string_view name) {
+    return tenants.empty() ? 0 : int(std::ranges::find(tenants, name) - tenants.begin());
 }
 
-int GatewayOrders::zoneNo(const std::string &name) const {
+int GatewaySettings::zoneNo(const std::string &name) const {
     const auto it = std::ranges::find(zones, name);
     return it == zones.end() ? 0 : int(it - zones.begin());
 }
 
-OrdersRead readOrders(const json &document) {
-    OrdersRead read;
-    read.refused = checkSchema(ordersSchema(), document);
+ParsedSettings parseSettings(const json &document) {
+    ParsedSettings read;
+    read.refused = checkSchema(settingsSchema(), document);
     if (!read.refused.empty()) return read;
     Reader reader{document, {}, {}};
     reader.gateway();
@@ -321,7 +325,7 @@
     reader.outside();
     reader.sources();
     read.refused = std::move(reader.refused);
-    if (read.refused.empty()) read.orders = std::move(reader.out);
+    if (read.refused.empty()) read.settings = std::move(reader.out);
     return read;
 }
 
--- a/src/settings/gateway_settings.hpp
+++ b/src/settings/gateway_settings.hpp
@@ -24,11 +24,11 @@
 
 // The names of the fields that carry what the module wants to know.
 struct HeaderNames {
-    std::string key = "X-Key", account = "X-Account", remaining = "X-Remaining-Ms",
-                requestId = "X-Request-Id", full = "X-Instance-Full", load = "X-Load";
+    std::string key = "X-Key", tenant = "X-Account", remaining = "X-Remaining-Ms", requestId = "X-Request-Id",
+                full = "X-Instance-Full", load = "X-Load";
 };
 
-struct DeskCalls {
+struct ControlPlaneSettings {
     asio::ip::tcp::endpoint address;
     Duration answerWithin{};  // a call that lists; votes have the module's own bound
     Duration silentFor{};     // a watch that has said nothing for so long is broken
@@ -45,18 +45,18 @@
 };
 
 // Where the list of instances comes from. Without it, it is the desk's alone, as told.
-struct SourceOrders {
+struct SourceSettings {
     membership::MergeRules merge;
     std::vector<membership::Claim> nodes;
     std::vector<membership::SrvName> names;
-    dns::ResolverOrders resolver;
+    dns::ResolverSettings resolver;
 };
 
-struct GatewayOrders {
+struct GatewaySettings {
     std::string id = "gateway";
-    StartValues module;  // but for the seed, which is drawn at each start
+    PolicySettings module;  // but for the seed, which is drawn at each start
     std::vector<RouteRule> routes;
-    std::vector<std::string> accounts, zones;
+    std::vector<std::string> tenants, zones;
     HeaderNames headers;
     http::DoorLimits door;
     std::size_t maxRequestsInFlight = 4096;
@@ -66,8 +66,8 @@
     Duration standstill =
         std::chrono::milliseconds(200);  // a turn of the loop later than that found a stopped clock
     UpstreamLimits upstream;
-    std::optional<DeskCalls> desk;
-    std::optional<SourceOrders> sources;
+    std::optional<ControlPlaneSettings> desk;
+    std::optional<SourceSettings> sources;
     double requestLogSample = 0;     // part of the requests that are logged
     std::size_t passedKept = 16384;  // answers that may be reported wrong: some seconds of a busy gateway
 
@@ -75,16 +75,16 @@
 };
 
 // Its place among the shares. One that is not named is past their end: it has none, and no excess either.
-int accountNo(const std::vector<std::string> &accounts, std::string_view name);
+int tenantIndex(const std::vector<std::string> &tenants, std::string_view name);
 
-struct OrdersRead {
-    std::optional<GatewayOrders> orders;  // empty where anything is refused
+struct ParsedSettings {
+    std::optional<GatewaySettings> settings;  // empty where anything is refused
     std::vector<Refusal> refused;
 };
 
-const nlohmann::json &ordersSchema();
+const nlohmann::json &settingsSchema();
 // Checks the whole document, by schema and then against the rules, and says all that is wrong with it.
-OrdersRead readOrders(const nlohmann::json &document);
+ParsedSettings parseSettings(const nlohmann::json &document);
 // Whether both give the module the same start, so that one can follow the other without a new record.
 bool sameModule(const nlohmann::json &a, const nlohmann::json &b);
 
--- a/src/settings/schema.cpp
+++ b/src/settings/schema.cpp
@@ -4,7 +4,7 @@
 
 namespace deckcart {
 
-const nlohmann::json &ordersSchema() {
+const nlohmann::json &settingsSchema() {
     static const nlohmann::json schema = nlohmann::json::parse(R"json({
   "$schema": "http://json-schema.org/draft-07/schema#",
   "title": "Settings of a deckcart gateway; times in whole milliseconds",
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -72,55 +72,57 @@
     switch (may<int>(from, "How")) {
     case 0: return Outcome::ok;
     case 5: return Outcome::error;
-    case 11: return Outcome::full;
+    case 11: return Outcome::overloaded;
     case 110: return Outcome::timeout;
     case 111: return Outcome::connectFailed;
     case 104: return Outcome::reset;
     case 125: return Outcome::cancelled;
-    case 114: return Outcome::moot;
+    case 114: return Outcome::obsolete;
     default: throw BadBatch("field How holds an unknown number");
     }
 }
 
-StartValues startValues(const json &from, std::uint64_t seed) {
+PolicySettings startValues(const json &from, std::uint64_t seed) {
     const json &family = part(from, "FamilyInfo"), &limits = part(from, "Limits"),
                &safety = part(from, "Safety");
-    StartValues v;
+    PolicySettings v;
     v.seed = seed;
     v.gateways = may<int>(from, "GroupSize", 1);
     v.zone = may<int>(from, "Locality");
     for (const auto &grade : rows(from, "Grades")) {
         Route route;
         route.latencyObjective = needDuration(grade, "ObjectiveS");
-        route.effect = word<Effect>(grade, "Effect",
-                                    {{"free", Effect::retriable},
-                                     {"guarded", Effect::deduped},
-                                     {"single_shot", Effect::nonRetriable}});
+        route.idempotency = word<Idempotency>(grade, "Effect",
+                                              {{"free", Idempotency::idempotent},
+                                               {"guarded", Idempotency::withKey},
+                                               {"single_shot", Idempotency::nonIdempotent}});
         if (grade.contains("Group"))
-            route.group = word<Group>(grade, "Group",
-                                      {{"all", Group::all}, {"zone", Group::zone}, {"cell", Group::cell}});
-        route.repeatWindow = optionalDuration(grade, "WindowS");
+            route.deduplicationScope = word<DeduplicationScope>(grade, "Group",
+                                                                {{"all", DeduplicationScope::all},
+                                                                 {"zone", DeduplicationScope::zone},
+                                                                 {"cell", DeduplicationScope::cell}});
+        route.deduplicationWindow = optionalDuration(grade, "WindowS");
         v.routes.push_back(route);
     }
-    for (const auto &realm : rows(from, "Realms")) v.accountShares.push_back(may<double>(realm, "Share"));
-    v.mayCopy = may<bool>(limits, "MayDuplicate");
-    v.mayCancel = may<bool>(limits, "Cancel");
+    for (const auto &realm : rows(from, "Realms")) v.tenantQuotas.push_back(may<double>(realm, "Share"));
+    v.hedgingAllowed = may<bool>(limits, "MayDuplicate");
+    v.cancellationAllowed = may<bool>(limits, "Cancel");
     v.maxAttempts = may<int>(limits, "MostTries", 1);
-    v.longestRetryAfter = optionalDuration(limits, "MaxRetryAfterS");
-    v.retryAfterTold = may<bool>(limits, "RetryAfter");
-    v.listMustBeAsked = may<std::string>(from, "Discovery") == "subscribe";
-    v.askWithin = optionalDuration(safety, "AskWithinS");
-    v.crossZoneFee = may<double>(part(from, "Fees"), "CrossZone");
+    v.maxRetryAfter = optionalDuration(limits, "MaxRetryAfterS");
+    v.retryAfterSupported = may<bool>(limits, "RetryAfter");
+    v.subscriptionRequired = may<std::string>(from, "Discovery") == "subscribe";
+    v.subscribeWithin = optionalDuration(safety, "AskWithinS");
+    v.crossZoneCost = may<double>(part(from, "Fees"), "CrossZone");
     const json &report = part(from, "Report");
     const bool byProbe = may<bool>(limits, "Probes") && may<std::string>(report, "How") == "probe";
     const auto fields = rows(report, "Fields");
     for (std::size_t k = 0; k < fields.size(); ++k)
         if (as<std::string>(fields[k], "Fields") == "concurrent" && byProbe)
-            v.inHandField = static_cast<int>(k);
-    v.coldFrom = may<double>(safety, "ColdFrom", 1);
-    v.warmWithin = optionalDuration(safety, "WarmWithinS");
-    v.tipMultiple = may<double>(safety, "TipMultiple", 1);
-    v.overloadFor = optionalDuration(safety, "OverloadForS");
+            v.inFlightReportField = static_cast<int>(k);
+    v.initialCapacity = may<double>(safety, "ColdFrom", 1);
+    v.warmUpTime = optionalDuration(safety, "WarmWithinS");
+    v.overloadMultiple = may<double>(safety, "TipMultiple", 1);
+    v.overloadWindow = optionalDuration(safety, "OverloadForS");
     if (family.contains("GateMode"))
         v.gate = word<PromotionRule>(family, "GateMode",
                                      {{"first_voice", PromotionRule::firstVote},
@@ -165,19 +167,19 @@
 
 }  // namespace
 
-Duration BirthSettings::longestTimeout() const {
+Duration DeploymentSettings::longestTimeout() const {
     return routeTimeouts.empty() ? Duration{0} : *std::ranges::max_element(routeTimeouts);
 }
 
-BirthSettings readSettings(const json &from, std::uint64_t seed) {
+DeploymentSettings readSettings(const json &from, std::uint64_t seed) {
     if (!from.is_object()) throw BadBatch("the settings are no object");
-    BirthSettings out;
+    DeploymentSettings out;
     out.start = startValues(from, seed);
     for (const auto &grade : rows(from, "Grades")) {
         out.routes.push_back(need<std::string>(grade, "Name"));
         out.routeTimeouts.push_back(needDuration(grade, "DeadlineS"));
     }
-    for (const auto &realm : rows(from, "Realms")) out.accounts.push_back(need<std::string>(realm, "Name"));
+    for (const auto &realm : rows(from, "Realms")) out.tenants.push_back(need<std::string>(realm, "Name"));
     for (const auto &zone : rows(from, "FailureDomains"))
         out.zones.push_back(as<std::string>(zone, "FailureDomains"));
     for (const auto &name : rows(part(from, "Report"), "Fields"))
@@ -264,12 +266,12 @@
                        [](const CancelAttempt &a) {
                            return json{{"m", "CALL_OFF"}, {"Req", a.requestId}, {"SendNo", a.attemptNumber}};
                        },
-                       [](const Shed &a) {
+                       [](const ShedRequest &a) {
                            json j{{"m", "DENY"}, {"Req", a.requestId}};
                            if (a.retryIn > Duration{0}) j["RetryInS"] = seconds(a.retryIn);
                            return j;
                        },
-                       [](const EndErrored &a) {
+                       [](const FailRequest &a) {
                            return json{{"m", "END_FAILED"}, {"Req", a.requestId}};
                        },
                        [](const SetTimer &a) {
--- a/src/simulator/codec.hpp
+++ b/src/simulator/codec.hpp
@@ -24,9 +24,9 @@
 
 // The settings that an instance is born with, as a real gateway finds them as well: what the module starts
 // with, and what a data path needs beside that.
-struct BirthSettings {
-    StartValues start;
-    std::vector<std::string> routes, accounts, zones;  // names, in the order of the module's numbers
+struct DeploymentSettings {
+    PolicySettings start;
+    std::vector<std::string> routes, tenants, zones;  // names, in the order of the module's numbers
     std::vector<Duration> routeTimeouts;
     std::vector<std::string> loadFields;  // of a load report, in order
     Duration keptIdle{};                  // connections to instances: closed when idle for so long
@@ -36,7 +36,7 @@
     Duration longestTimeout() const;
 };
 // Throws BadBatch, which names the field.
-BirthSettings readSettings(const nlohmann::json &settings, std::uint64_t seed);
+DeploymentSettings readSettings(const nlohmann::json &settings, std::uint64_t seed);
 
 class Reader {
   public:
--- a/tests/path/cells_test.cpp
+++ b/tests/path/cells_test.cpp
@@ -112,7 +112,7 @@
     if (fault == "stalled") clock.ahead = 1500ms;
     if (fault == "settings") {
         document["release"] = {{"spareTries", 9}};
-        gateway->apply(*readOrders(document).orders, true);
+        gateway->apply(*parseSettings(document).settings, true);
     }
     bool drained = false;
     if (fault == "shutdown") gateway->drain([&] { drained = true; });
--- a/tests/path/gateway_fixture.hpp
+++ b/tests/path/gateway_fixture.hpp
@@ -231,9 +231,10 @@
         return made;
     }
     void start() {
-        auto read = readOrders(document);
-        ASSERT_TRUE(read.orders) << toJson(read.refused);
-        gateway = std::make_unique<Gateway>(io, clock, *read.orders, 1, Log(), *parseAddress("127.0.0.1:0"));
+        auto read = parseSettings(document);
+        ASSERT_TRUE(read.settings) << toJson(read.refused);
+        gateway =
+            std::make_unique<Gateway>(io, clock, *read.settings, 1, Log(), *parseAddress("127.0.0.1:0"));
         ASSERT_TRUE(until([&] { return gateway->stage().has_value(); }));
     }
     RawClient &client() { return clients.emplace_back(io, gateway->address()); }
--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -518,7 +518,7 @@
     ASSERT_TRUE(until([&] { return total(instances) == 1; }));
     ASSERT_TRUE(gateway->mayRestartModule());
     document["release"] = {{"spareTries", 9}};
-    gateway->apply(*readOrders(document).orders, true);
+    gateway->apply(*parseSettings(document).settings, true);
     auto &second = instance([](auto, auto &) { return ok(); });
     ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
     EXPECT_TRUE(until([&] { return c.statuses().size() == 1; }));
@@ -643,8 +643,8 @@
         list.push_back(listedAs(instances.emplace_back(io, [](auto, auto &) { return ok(); }).id(), build));
     desk.fails = true;
     document["release"] = {{"replacedInPlace", true}, {"caps", {0.1, 0.4}}, {"shares", {0.1, 0.4}}};
-    auto read = readOrders(document);
-    gateway = std::make_unique<Gateway>(io, clock, *read.orders, 1, Log(), *parseAddress("127.0.0.1:0"));
+    auto read = parseSettings(document);
+    gateway = std::make_unique<Gateway>(io, clock, *read.settings, 1, Log(), *parseAddress("127.0.0.1:0"));
     gateway->remember(list);
     for (int k = 0; k < 40; ++k) EXPECT_EQ(statusOf(ask("/x")), 200) << "hardly an earlier build is left";
     EXPECT_LE(total(instances) - instances[0].requests.size(), 2 + 4u) << "told nothing: spare and a tenth";
--- a/tests/path/platform_fixture.hpp
+++ b/tests/path/platform_fixture.hpp
@@ -187,8 +187,8 @@
         auto bounds = platform::divide(sockets, 32, 1000, configuration.settings.keptIdle);
         if (rest) bounds.restFor = *rest;
         ways = std::make_unique<platform::PlatformWays>(io, clock, configuration, bounds, Log());
-        gateway =
-            std::make_unique<Gateway>(io, clock, platform::ordersOf(configuration, bounds), 1, Log(), *ways);
+        gateway = std::make_unique<Gateway>(io, clock, platform::gatewaySettingsOf(configuration, bounds), 1,
+                                            Log(), *ways);
         gateway->remember(platform::listTold(configuration.known));
         ways->fronts->open();
         ASSERT_TRUE(until([&] { return gateway->stage().has_value() && !standin.watchers.empty(); }));
--- a/tests/path/sources_test.cpp
+++ b/tests/path/sources_test.cpp
@@ -46,9 +46,10 @@
         for (int k = 0; k < n; ++k) instances.emplace_back(io, [](auto, auto &) { return ok(); });
     }
     void begin() {
-        auto read = readOrders(document);
-        ASSERT_TRUE(read.orders) << toJson(read.refused);
-        gateway = std::make_unique<Gateway>(io, clock, *read.orders, 1, Log(), *parseAddress("127.0.0.1:0"));
+        auto read = parseSettings(document);
+        ASSERT_TRUE(read.settings) << toJson(read.refused);
+        gateway =
+            std::make_unique<Gateway>(io, clock, *read.settings, 1, Log(), *parseAddress("127.0.0.1:0"));
     }
     std::size_t live() {
         std::size_t n = 0;
@@ -301,10 +302,10 @@
     ASSERT_TRUE(until([&] { return live() == 1; }));
     servers[0]->misbehave({.silent = true});
     document["sources"]["nodes"] = {{{"address", instances[1].id()}, {"build", 1}}};
-    gateway->apply(*readOrders(document).orders, false, true);
+    gateway->apply(*parseSettings(document).settings, false, true);
     EXPECT_TRUE(until([&] { return live() == 2; }));
     document["sources"]["nodes"] = json::array();
-    gateway->apply(*readOrders(document).orders, false, true);
+    gateway->apply(*parseSettings(document).settings, false, true);
     EXPECT_TRUE(until([&] { return live() == 1; }));
     EXPECT_TRUE(lists(instances[0].id()));
 }
--- a/tests/policy_script_runner.cpp
+++ b/tests/policy_script_runner.cpp
@@ -51,9 +51,9 @@
     int seen = 0;
 };
 
-const std::map<std::string, Outcome> kOutcomes{{"ok", Outcome::ok},       {"error", Outcome::error},
-                                               {"full", Outcome::full},   {"timeout", Outcome::timeout},
-                                               {"reset", Outcome::reset}, {"refuse", Outcome::connectFailed}};
+const std::map<std::string, Outcome> kOutcomes{
+    {"ok", Outcome::ok},           {"error", Outcome::error}, {"full", Outcome::overloaded},
+    {"timeout", Outcome::timeout}, {"reset", Outcome::reset}, {"refuse", Outcome::connectFailed}};
 const std::map<std::string, RolloutPhase> kPhases{{"trial", RolloutPhase::canary},
                                                   {"back", RolloutPhase::rollingBack},
                                                   {"released", RolloutPhase::released},
@@ -62,7 +62,7 @@
 struct World {
     Policy policy;
     Duration now = span(100);
-    StartValues start;
+    PolicySettings start;
     std::map<EndpointId, EndpointEntry> endpoints;
     std::map<EndpointId, Answer> answers;
     std::multimap<Duration, std::function<void()>> due;
@@ -79,13 +79,13 @@
     std::map<EndpointId, std::vector<Duration>> sends;
 
     World() {
-        start.seed = 7, start.gateways = 3, start.maxAttempts = 4, start.mayCancel = true;
-        start.routes = {{span(0.8), Effect::retriable, Group::all, span(5)},
-                        {span(1.2), Effect::deduped, Group::all, span(5)},
-                        {span(1.2), Effect::nonRetriable, Group::all, span(5)}};
-        start.retryAfterTold = true, start.longestRetryAfter = span(1);
-        start.coldFrom = 0.4, start.warmWithin = span(4), start.tipMultiple = 2;
-        start.overloadFor = span(3), start.gate = PromotionRule::quorum, start.exposureAllowance = 2,
+        start.seed = 7, start.gateways = 3, start.maxAttempts = 4, start.cancellationAllowed = true;
+        start.routes = {{span(0.8), Idempotency::idempotent, DeduplicationScope::all, span(5)},
+                        {span(1.2), Idempotency::withKey, DeduplicationScope::all, span(5)},
+                        {span(1.2), Idempotency::nonIdempotent, DeduplicationScope::all, span(5)}};
+        start.retryAfterSupported = true, start.maxRetryAfter = span(1);
+        start.initialCapacity = 0.4, start.warmUpTime = span(4), start.overloadMultiple = 2;
+        start.overloadWindow = span(3), start.gate = PromotionRule::quorum, start.exposureAllowance = 2,
         start.exposureWindow = span(4);
         start.exposureLimits = {0.2, 0.5, 1}, start.stageShares = {0.1, 0.5, 1}, start.voteLifetime = span(6);
         start.voteTimeout = span(0.8);
@@ -124,8 +124,8 @@
             SendAttempt t{c->requestId, sentTo.at({c->requestId, c->attemptNumber})};
             if (!over.count({c->requestId, c->attemptNumber}))
                 end(t, c->attemptNumber, Outcome::cancelled, span(0.01));
-        } else if (const auto *s = std::get_if<Shed>(&action)) final(s->requestId, "shed");
-        else if (const auto *e = std::get_if<EndErrored>(&action)) final(e->requestId, "errored");
+        } else if (const auto *s = std::get_if<ShedRequest>(&action)) final(s->requestId, "shed");
+        else if (const auto *e = std::get_if<FailRequest>(&action)) final(e->requestId, "errored");
         else if (const auto *t = std::get_if<SetTimer>(&action)) {
             due.emplace(now + t->after, [this] { give(TimerFired{}); });
         } else if (const auto *v = std::get_if<Vote>(&action)) {
@@ -145,19 +145,19 @@
         auto &times = sends[to.id];
         times.push_back(now);
         const auto within = [&](const std::vector<Duration> &all) {
-            return double(all.end() - std::ranges::upper_bound(all, now - start.overloadFor));
+            return double(all.end() - std::ranges::upper_bound(all, now - start.overloadWindow));
         };
-        double bears = 10 * std::chrono::duration<double>(start.overloadFor).count();
+        double bears = 10 * std::chrono::duration<double>(start.overloadWindow).count();
         const auto warm = [&](const EndpointEntry &e) {
-            return !e.startedAt || now - *e.startedAt > start.warmWithin;
+            return !e.startedAt || now - *e.startedAt > start.warmUpTime;
         };
         for (const auto &[id, e] : endpoints)
             if (warm(e)) bears = std::max(bears, within(sends[id]));
         if (warm(to)) return;
-        const double age = std::chrono::duration<double>(now - *to.startedAt) / start.warmWithin;
-        const double warmth = start.coldFrom + (1 - start.coldFrom) * age;
-        if (within(times) > start.tipMultiple * warmth * bears + 2)
-            records.fallen.push_back({to.id, now - start.overloadFor, now});
+        const double age = std::chrono::duration<double>(now - *to.startedAt) / start.warmUpTime;
+        const double warmth = start.initialCapacity + (1 - start.initialCapacity) * age;
+        if (within(times) > start.overloadMultiple * warmth * bears + 2)
+            records.fallen.push_back({to.id, now - start.overloadWindow, now});
     }
     void audit() {
         rehearsal::RuleFigures figures;
@@ -187,7 +187,7 @@
         due.emplace(now + after, [=, this, here = life] {
             if (here != life) return;
             auto &received = records.instances[receivedAs.at({t.requestId, attemptNumber})];
-            if (how == Outcome::full || how == Outcome::connectFailed) received.mayHaveRun = false;
+            if (how == Outcome::overloaded || how == Outcome::connectFailed) received.mayHaveRun = false;
             if (!over.insert({t.requestId, attemptNumber}).second) return;  // cancelled before it answered
             --open[t.requestId];
             const bool first = how == Outcome::ok && !finals[t.requestId];
@@ -220,7 +220,7 @@
         EndpointListUpdate all{true, {}};
         for (const auto &[id, e] : endpoints) {
             all.entries.push_back(e);
-            const bool fresh = e.startedAt && now - *e.startedAt < start.warmWithin;
+            const bool fresh = e.startedAt && now - *e.startedAt < start.warmUpTime;
             records.endpoints.push_back({0, now, id, e.build, e.state, fresh});
         }
         give(all);
@@ -273,16 +273,16 @@
     void play(const Line &l) {
         const std::string &verb = l.words.front();
         if (verb == "start") {
-            start.mayCopy = l.number("copies", 0) > 0, start.stickyKeys = l.number("keysStay", 0) > 0;
+            start.hedgingAllowed = l.number("copies", 0) > 0, start.stickyKeys = l.number("keysStay", 0) > 0;
             start.idempotentOnlyStages = static_cast<int>(l.number("guarded", 0));
             start.inPlaceReplacement = l.number("inPlace", 0) > 0;
             start.exposurePerRoute = l.number("perRoute", 0) > 0;
-            start.listMustBeAsked = l.number("ask", 0) > 0, start.askWithin = span(10);
-            start.routes[1].repeatWindow = span(l.number("window", 5));
+            start.subscriptionRequired = l.number("ask", 0) > 0, start.subscribeWithin = span(10);
+            start.routes[1].deduplicationWindow = span(l.number("window", 5));
             start.exposureAllowance = l.number("spare", 2);
-            start.crossZoneFee = l.number("fee", 0);
-            start.inHandField = l.number("probes", 0) > 0 ? 0 : -1;
-            start.gateways = static_cast<int>(l.number("gateways", start.inHandField < 0 ? 3 : 99));
+            start.crossZoneCost = l.number("fee", 0);
+            start.inFlightReportField = l.number("probes", 0) > 0 ? 0 : -1;
+            start.gateways = static_cast<int>(l.number("gateways", start.inFlightReportField < 0 ? 3 : 99));
             start.votesToRollBack = static_cast<int>(l.number("back", 1)), start.incorrectReportRate = 0.5;
             if (l.text("gate") == "clock") start.gate = PromotionRule::timer;
             give(Started{start});
--- a/tests/rules/memory.cpp
+++ b/tests/rules/memory.cpp
@@ -27,11 +27,11 @@
     const std::string what = argc > 1 ? argv[1] : "";
     Policy policy;
     Duration now = 100s;
-    StartValues v;
-    v.routes = {{800ms, Effect::retriable, Group::all, 5s}};
-    v.accountShares = {1}, v.stickyKeys = true, v.exposureWindow = 4s, v.exposureLimits = {0.2},
+    PolicySettings v;
+    v.routes = {{800ms, Idempotency::idempotent, DeduplicationScope::all, 5s}};
+    v.tenantQuotas = {1}, v.stickyKeys = true, v.exposureWindow = 4s, v.exposureLimits = {0.2},
     v.stageShares = {0.1};
-    v.voteLifetime = 6s, v.overloadFor = 3s, v.warmWithin = 4s, v.gateways = what == "many" ? 99 : 3;
+    v.voteLifetime = 6s, v.overloadWindow = 3s, v.warmUpTime = 4s, v.gateways = what == "many" ? 99 : 3;
     const auto give = [&](const Event &e) { return policy.decide(1, now, {e}); };
     give(Started{v});
     const auto list = [&](int n) {
--- a/tests/unit/audit_test.cpp
+++ b/tests/unit/audit_test.cpp
@@ -17,10 +17,10 @@
 RuleFigures figures() {
     RuleFigures f;
     f.routes.resize(4);
-    f.routes[kDeduped].effect = f.routes[kZoned].effect = Effect::deduped;
-    f.routes[kDeduped].repeatWindow = f.routes[kZoned].repeatWindow = 5s;
-    f.routes[kZoned].group = Group::zone;
-    f.routes[kOnce].effect = Effect::nonRetriable;
+    f.routes[kDeduped].idempotency = f.routes[kZoned].idempotency = Idempotency::withKey;
+    f.routes[kDeduped].deduplicationWindow = f.routes[kZoned].deduplicationWindow = 5s;
+    f.routes[kZoned].deduplicationScope = DeduplicationScope::zone;
+    f.routes[kOnce].idempotency = Idempotency::nonIdempotent;
     f.drainGrace = 500ms, f.exposureAllowance = 2, f.exposureWindow = 4s, f.firstCap = 0.1, f.firstBuild = 1;
     return f;
 }
--- a/tests/unit/documents_test.cpp
+++ b/tests/unit/documents_test.cpp
@@ -28,13 +28,13 @@
 }
 
 TEST(Settings, AreReadAsGiven) {
-    const auto read = readOrders(settings());
-    ASSERT_TRUE(read.orders);
-    EXPECT_EQ(read.orders->module.routes.at(1).effect, Effect::deduped);
-    EXPECT_EQ(read.orders->module.routes.at(1).repeatWindow, std::chrono::seconds(5));
-    EXPECT_EQ(read.orders->routes.at(0).routeTimeout, std::chrono::milliseconds(2500));
-    EXPECT_EQ(read.orders->module.gateways, 3);
-    EXPECT_TRUE(read.orders->module.listMustBeAsked);
+    const auto read = parseSettings(settings());
+    ASSERT_TRUE(read.settings);
+    EXPECT_EQ(read.settings->module.routes.at(1).idempotency, Idempotency::withKey);
+    EXPECT_EQ(read.settings->module.routes.at(1).deduplicationWindow, std::chrono::seconds(5));
+    EXPECT_EQ(read.settings->routes.at(0).routeTimeout, std::chrono::milliseconds(2500));
+    EXPECT_EQ(read.settings->module.gateways, 3);
+    EXPECT_TRUE(read.settings->module.subscriptionRequired);
 }
 
 TEST(Settings, AreRefusedWithThePlace) {
@@ -92,12 +92,12 @@
     for (const auto &[where, what, named] : bad) {
         json document = settings();
         document[json::json_pointer(where)] = what;
-        const auto read = readOrders(document);
+        const auto read = parseSettings(document);
         if (!named) {
-            EXPECT_TRUE(read.orders) << where;
+            EXPECT_TRUE(read.settings) << where;
             continue;
         }
-        EXPECT_FALSE(read.orders) << where << " " << what;
+        EXPECT_FALSE(read.settings) << where << " " << what;
         EXPECT_TRUE(std::ranges::any_of(
             read.refused, [&](const Refusal &r) { return r.path == named && !r.reason.empty(); }))
             << where << " " << what << " gave " << toJson(read.refused);
@@ -105,10 +105,10 @@
     json shadowed = settings();
     shadowed["routes"].push_back(shadowed["routes"][1]);
     shadowed["routes"][2]["name"] = "other";
-    EXPECT_EQ(readOrders(shadowed).refused.at(0).path, "/routes/2");
+    EXPECT_EQ(parseSettings(shadowed).refused.at(0).path, "/routes/2");
     json noWindow = settings();
     noWindow["routes"][1].erase("repeatWindowMs");
-    EXPECT_EQ(readOrders(noWindow).refused.at(0).path, "/routes/1/repeatWindowMs");
+    EXPECT_EQ(parseSettings(noWindow).refused.at(0).path, "/routes/1/repeatWindowMs");
 }
 
 TEST(Settings, TellWhichChangesNeedANewModule) {
@@ -132,7 +132,7 @@
       "release": {"atMs": 100, "toAdvance": 1}, "troubles": [{"kind": "hang", "atMs": 100, "lastsMs": 200}]})");
     const auto read = rehearsal::readDay(good);
     ASSERT_TRUE(read.day);
-    EXPECT_TRUE(readOrders(rehearsal::settingsOf(*read.day, 0, "127.0.0.1:9")).orders);
+    EXPECT_TRUE(parseSettings(rehearsal::settingsOf(*read.day, 0, "127.0.0.1:9")).settings);
     const std::vector<std::tuple<const char *, json, const char *>> bad = {
         {"/troubles/0/kind", "flood", "/troubles/0/kind"},
         {"/troubles/0/lastsMs", 9000, "/troubles/0"},
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -93,13 +93,13 @@
     EXPECT_THROW(readStart("[]"), std::invalid_argument);
 }
 
-wire::BirthSettings settings() { return wire::readSettings(json::parse(kSettings), 1); }
+wire::DeploymentSettings settings() { return wire::readSettings(json::parse(kSettings), 1); }
 
 TEST(PlatformCommands, AReqIsReadAndOnlyItsWaitChangesOnTheWay) {
     const auto got = readCommand({"Q.DO", "key", "id1", "c=order,t=acme,d=480,k=5c0f", "BODY"}, settings());
     ASSERT_EQ(got.refusal, "");
     EXPECT_EQ(got.attributes.route, 1u);
-    EXPECT_EQ(got.attributes.account, 0);
+    EXPECT_EQ(got.attributes.tenant, 0);
     EXPECT_EQ(got.attributes.key, "key");
     EXPECT_EQ(got.attributes.name, "id1");
     EXPECT_EQ(got.attributes.wait, Duration{480ms});
@@ -107,7 +107,7 @@
               resp::command({"Q.DO", "key", "id1", "c=order,t=acme,d=123,k=5c0f", "BODY"}));
     const auto capped = readCommand({"Q.ASK", "", "i", "r=1,c=lookup,t=none,d=99999"}, settings());
     EXPECT_EQ(capped.attributes.wait, Duration{800ms}) << "no longer than the route's time-out";
-    EXPECT_EQ(capped.attributes.account, 1) << "one that is not named is past the end";
+    EXPECT_EQ(capped.attributes.tenant, 1) << "one that is not named is past the end";
 }
 
 TEST(PlatformCommands, WhatCantBeServedIsAnError) {
@@ -149,12 +149,12 @@
         << "an odd report harms nothing";
     EXPECT_EQ(reply("-ERR failed\r\n").how, Outcome::error);
     EXPECT_EQ(reply("-ERR failed concurrent=3\r\n").how, Outcome::error);
-    EXPECT_EQ(reply("-BUSY\r\n").how, Outcome::full);
-    EXPECT_EQ(reply("-BUSY concurrent=3\r\n").how, Outcome::full);
+    EXPECT_EQ(reply("-BUSY\r\n").how, Outcome::overloaded);
+    EXPECT_EQ(reply("-BUSY concurrent=3\r\n").how, Outcome::overloaded);
     EXPECT_EQ(reply("-BUSYBODY\r\n").how, Outcome::error);
     for (const char *odd : {"$1\r\nv\r\n", "+OK\r\n", "*1\r\n$1\r\nv\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n",
                             "$-1\r\n", "*3\r\n$1\r\nv\r\n$1\r\nw\r\n$-1\r\n"})
-        EXPECT_EQ(reply(odd).how, Outcome::unreadable) << odd;
+        EXPECT_EQ(reply(odd).how, Outcome::malformed) << odd;
 }
 
 TEST(PlatformCommands, LoadIsReadByNameOrNotAtAll) {
@@ -172,8 +172,8 @@
         "</Response>";
     const RolloutUpdate ok = readVoteAnswer(200, item);
     EXPECT_TRUE(ok.isVoteReply && ok.how == Outcome::ok && ok.build == 42 && ok.step == 1 && ok.cap == 0.28);
-    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>throttled</Code></Error>").how, Outcome::full);
-    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>conflict</Code></Error>").how, Outcome::moot);
+    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>throttled</Code></Error>").how, Outcome::overloaded);
+    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>conflict</Code></Error>").how, Outcome::obsolete);
     EXPECT_EQ(readVoteAnswer(400, "<Error><Code>invalid</Code></Error>").how, Outcome::error);
     EXPECT_EQ(readVoteAnswer(500, "<Error><Code>internal</Code></Error>").how, Outcome::error);
     EXPECT_EQ(readVoteAnswer(400, "<Error><Code>thro").how, Outcome::timeout);
@@ -272,7 +272,7 @@
             read);
         EXPECT_EQ(command.refusal, "");
         happen(now, RequestArrived{RequestId(k), command.attributes.key, int(command.attributes.route),
-                                   command.attributes.account, now + command.attributes.wait});
+                                   command.attributes.tenant, now + command.attributes.wait});
         happen(now + 4ms, AttemptEnded{RequestId(k), 0, false, k % 20 ? Outcome::ok : Outcome::error});
         happen(now + 6ms, AttemptEnded{RequestId(k), 1, false, Outcome::ok});
         happen(now + 9ms, TimerFired{});
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -11,12 +11,12 @@
 
 struct Module {
     Module() {
-        v.routes = {{400ms, Effect::retriable, Group::all, {}}};
-        v.accountShares = {1};
-        v.mayCancel = true, v.maxAttempts = 4, v.inPlaceReplacement = true, v.stickyKeys = true;
-        v.gate = PromotionRule::quorum, v.exposureAllowance = 3, v.exposureWindow = 4s, v.warmWithin = 1s,
-        v.coldFrom = 0.9;
-        v.tipMultiple = 2.5, v.overloadFor = 3s, v.voteLifetime = 6s, v.voteTimeout = 800ms;
+        v.routes = {{400ms, Idempotency::idempotent, DeduplicationScope::all, {}}};
+        v.tenantQuotas = {1};
+        v.cancellationAllowed = true, v.maxAttempts = 4, v.inPlaceReplacement = true, v.stickyKeys = true;
+        v.gate = PromotionRule::quorum, v.exposureAllowance = 3, v.exposureWindow = 4s, v.warmUpTime = 1s,
+        v.initialCapacity = 0.9;
+        v.overloadMultiple = 2.5, v.overloadWindow = 3s, v.voteLifetime = 6s, v.voteTimeout = 800ms;
         v.exposureLimits = {0.12, 0.42, 1}, v.stageShares = {0.1, 0.35, 1};
     }
     void start(int earlier = 8, int trial = 2) {
@@ -54,7 +54,7 @@
                 vote && vote->verdict == Verdict::promote && onAt == Duration{})
                 onAt = now;
     }
-    StartValues v;
+    PolicySettings v;
     EndpointListUpdate list;
     Policy policy;
     Duration now = 100s, onAt{};
@@ -71,7 +71,7 @@
         else m.end(Outcome::ok);
     }
     ASSERT_FALSE(key.empty()) << "some keys belong to the trial build";
-    EXPECT_FALSE(m.end(Outcome::unreadable).starts_with("e")) << "the earlier build has lost that key";
+    EXPECT_FALSE(m.end(Outcome::malformed).starts_with("e")) << "the earlier build has lost that key";
     m.now += 5s;
     for (int n = 0; n < 3; ++n) EXPECT_FALSE(m.ask(key).starts_with("e"));
 }
