--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -20,27 +20,27 @@
 using namespace deckcart;
 using nlohmann::json;
 
-// Many instances and their desk in one process; ids on standard output.
+// Many instances and their control plane in one process; ids on standard output.
 int serve(int count) {
     asio::io_context io{1};
-    std::vector<std::unique_ptr<http::Door>> doors;
+    std::vector<std::unique_ptr<http::Listener>> doors;
     json entries = json::array();
     for (int k = 0; k < count; ++k) {
-        http::DoorLimits limits;
+        http::ListenerLimits limits;
         limits.idleFor = std::chrono::minutes(10);
-        doors.push_back(std::make_unique<http::Door>(io, *parseAddress("127.0.0.1:0"), limits,
-                                                     [](std::shared_ptr<http::Exchange> e) {
-                                                         http::AnswerHead head;
-                                                         head.status = 200;
-                                                         e->answer(std::move(head), "done\n");
-                                                     }));
+        doors.push_back(std::make_unique<http::Listener>(io, *parseAddress("127.0.0.1:0"), limits,
+                                                         [](std::shared_ptr<http::Exchange> e) {
+                                                             http::ResponseHead head;
+                                                             head.status = 200;
+                                                             e->answer(std::move(head), "done\n");
+                                                         }));
         ListedEndpoint s;
         s.id = format(doors.back()->address()), s.build = 1;
         entries.push_back(toJson(s));
     }
     std::vector<std::shared_ptr<http::Exchange>> watchers;
-    http::Door desk(io, *parseAddress("127.0.0.1:0"), {}, [&](std::shared_ptr<http::Exchange> e) {
-        http::AnswerHead head;
+    http::Listener controlPlane(io, *parseAddress("127.0.0.1:0"), {}, [&](std::shared_ptr<http::Exchange> e) {
+        http::ResponseHead head;
         head.status = 200;
         if (e->head.target.find("watch=") != std::string::npos) {
             head.chunked = true;
@@ -50,7 +50,8 @@
         const RolloutStage stage{1, 0, RolloutPhase::released, 1, std::chrono::hours(1)};
         e->answer(head, json{{"version", 1}, {"instances", entries}, {"stage", toJson(stage)}}.dump());
     });
-    std::cout << json{{"desk", format(desk.address())}, {"instance", entries[0]["id"]}}.dump() << std::endl;
+    std::cout << json{{"desk", format(controlPlane.address())}, {"instance", entries[0]["id"]}}.dump()
+              << std::endl;
     asio::steady_timer beat(io);
     std::function<void()> tick = [&] {
         for (const auto &w : watchers) w->write("{\"version\":1,\"kind\":\"bookmark\"}\n");
@@ -63,11 +64,11 @@
 }
 
 struct Load;
-struct Caller : http::CallSink {
+struct Caller : http::CallHandler {
     Caller(Load &of) : load(of) {}
-    void onAnswerHead(const http::AnswerHead &head) override { good = head.status == 200; }
-    void onAnswerBody(std::string_view) override {}
-    void onCallEnd(http::CallEnd how) override;
+    void onResponseHead(const http::ResponseHead &head) override { good = head.status == 200; }
+    void onResponseBody(std::string_view) override {}
+    void onCallEnd(http::CallEnd outcome) override;
     Load &load;
     std::shared_ptr<http::ClientConnection> connection;
     Duration due{};
@@ -173,8 +174,8 @@
     }
 };
 
-void Caller::onCallEnd(http::CallEnd how) {
-    good = good && how == http::CallEnd::complete;
+void Caller::onCallEnd(http::CallEnd outcome) {
+    good = good && outcome == http::CallEnd::complete;
     load.over(*this);
 }
 
--- a/bench/sources_bench.cpp
+++ b/bench/sources_bench.cpp
@@ -133,7 +133,7 @@
 // The resolver following a name of 300 records, over TCP as they don't fit a datagram; lifetimes of a second.
 json resolver(int records, double lasts) {
     asio::io_context io, serving;
-    standin::NameServer server(serving, asio::ip::udp::endpoint(asio::ip::address_v4::loopback(), 0), 1);
+    fakes::NameServer server(serving, asio::ip::udp::endpoint(asio::ip::address_v4::loopback(), 0), 1);
     std::vector<dns::Record> zone;
     for (int k = 0; k < records; ++k) {
         const std::string target = "relay" + std::to_string(k) + ".example.org.";
--- a/fuzz/resp_message.cpp
+++ b/fuzz/resp_message.cpp
@@ -30,7 +30,7 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *bytes, std::size_t size) {
     const std::string_view all(reinterpret_cast<const char *>(bytes), size);
-    wire::DeploymentSettings settings;
+    simulator::DeploymentSettings settings;
     settings.start.routes.resize(1);
     settings.routes = {"any"}, settings.routeTimeouts = {std::chrono::seconds(1)};
     for (const auto what : {resp::Parser::What::command, resp::Parser::What::reply}) {
--- a/include/deckcart/policy.hpp
+++ b/include/deckcart/policy.hpp
@@ -62,7 +62,7 @@
     double overloadMultiple = 1;
     Duration overloadWindow{};
     // releases
-    PromotionRule gate = PromotionRule::firstVote;
+    PromotionRule promotionRule = PromotionRule::firstVote;
     bool inPlaceReplacement = false;
     bool exposurePerRoute = false;
     bool stickyKeys = false;
@@ -89,10 +89,10 @@
 };
 
 // ---- what happened ----
-struct Started {
-    PolicySettings values;
+struct PolicyStarted {
+    PolicySettings settings;
 };
-struct Stopped {};
+struct PolicyStopped {};
 struct EndpointListUpdate {
     bool complete = false;
     std::vector<EndpointEntry> entries;
@@ -103,13 +103,13 @@
     std::string key;
     int route = 0;
     int tenant = 0;
-    Duration notAfter{};
+    Duration deadline{};
 };
 struct AttemptEnded {
     RequestId requestId = 0;
     int attemptNumber = 0;
     bool requestEnded = false;
-    Outcome how = Outcome::ok;
+    Outcome outcome = Outcome::ok;
 };
 struct RequestAbandoned {
     RequestId requestId = 0;
@@ -121,27 +121,27 @@
 };
 struct RolloutUpdate {
     bool isVoteReply = false;
-    Outcome how = Outcome::ok;
+    Outcome outcome = Outcome::ok;
     BuildNumber build = 0;
     int step = 0;
     RolloutPhase phase = RolloutPhase::canary;
-    double cap = 0;
-    Duration since{};
+    double exposureLimit = 0;
+    Duration age{};
 };
 struct UsageReport {
     BuildNumber build = 0;
     int route = 0;
-    int counted = 0;
-    int lost = 0;
-    Duration since{};
+    int attempts = 0;
+    int failures = 0;
+    Duration age{};
 };
 struct IncorrectResponseReported {
     EndpointId endpoint;
-    Duration since{};  // its try was sent
+    Duration age{};  // its try was sent
 };
-using Event = std::variant<Started, Stopped, EndpointListUpdate, EndpointListFailed, RequestArrived,
-                           AttemptEnded, RequestAbandoned, TimerFired, ProbeEnded, RolloutUpdate, UsageReport,
-                           IncorrectResponseReported>;
+using Event = std::variant<PolicyStarted, PolicyStopped, EndpointListUpdate, EndpointListFailed,
+                           RequestArrived, AttemptEnded, RequestAbandoned, TimerFired, ProbeEnded,
+                           RolloutUpdate, UsageReport, IncorrectResponseReported>;
 
 // ---- what is to be done ----
 struct SendAttempt {
@@ -154,15 +154,15 @@
 };
 struct ShedRequest {
     RequestId requestId = 0;
-    Duration retryIn{};
+    Duration retryAfter{};
 };
 struct FailRequest {
     RequestId requestId = 0;
 };
 struct SetTimer {
-    Duration after{};
+    Duration delay{};
 };
-struct Probe {
+struct ProbeEndpoint {
     EndpointId endpoint;
 };
 struct WatchEndpoints {
@@ -174,9 +174,9 @@
     Verdict verdict = Verdict::none;
 };
 struct LogLine {
-    std::string words;
+    std::string message;
 };
-using Action = std::variant<SendAttempt, CancelAttempt, ShedRequest, FailRequest, SetTimer, Probe,
+using Action = std::variant<SendAttempt, CancelAttempt, ShedRequest, FailRequest, SetTimer, ProbeEndpoint,
                             WatchEndpoints, Vote, LogLine>;
 
 // The records of the instances that one process hosts. They share nothing.
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -4,7 +4,7 @@
 
 namespace deckcart {
 
-Log::Log(LogForm how, std::string writer) : form(how), who(std::move(writer)) {
+Log::Log(LogForm logForm, std::string writer) : form(logForm), who(std::move(writer)) {
     if (form == LogForm::none) return;
     logger = std::make_shared<spdlog::logger>(who, std::make_shared<spdlog::sinks::stderr_sink_st>());
     logger->set_pattern(form == LogForm::json ? "%v" : "%Y-%m-%dT%H:%M:%S.%e %L %v");
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -12,7 +12,7 @@
 
 class Log {
   public:
-    explicit Log(LogForm how = LogForm::none, std::string writer = {});
+    explicit Log(LogForm logForm = LogForm::none, std::string writer = {});
     // Fields are an object; they keep the order of their names.
     void info(const char *event, const nlohmann::json &fields = nlohmann::json::object()) const;
     void warn(const char *event, const nlohmann::json &fields = nlohmann::json::object()) const;
--- a/src/base/snapshot.cpp
+++ b/src/base/snapshot.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::string writeWhole(const std::filesystem::path &path, const std::string &bytes, Durable how) {
+std::string writeWhole(const std::filesystem::path &path, const std::string &bytes, Durable durability) {
     const std::filesystem::path beside = path.string() + ".new";
     {
         const Descriptor file{::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600)};
@@ -34,10 +34,10 @@
             if (n <= 0) return failed("write", beside);
             done += std::size_t(n);
         }
-        if (how == Durable::yes && ::fsync(file.fd) != 0) return failed("sync", beside);
+        if (durability == Durable::yes && ::fsync(file.fd) != 0) return failed("sync", beside);
     }
     if (::rename(beside.c_str(), path.c_str()) != 0) return failed("rename", beside);
-    if (how == Durable::yes) {
+    if (durability == Durable::yes) {
         const Descriptor folder{::open(path.parent_path().c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
         if (folder.fd < 0 || ::fsync(folder.fd) != 0) return failed("sync", path.parent_path());
     }
--- a/src/base/snapshot.hpp
+++ b/src/base/snapshot.hpp
@@ -15,7 +15,7 @@
 };  // atLeisure: whole after a kill of the process, not after a power loss
 
 // Empty if it was written; else what failed, with the path.
-std::string writeWhole(const std::filesystem::path &path, const std::string &bytes, Durable how);
+std::string writeWhole(const std::filesystem::path &path, const std::string &bytes, Durable durability);
 
 // Empty where it can't be read.
 std::optional<std::string> readWhole(const std::filesystem::path &path);
--- a/src/cli/api_calls.cpp
+++ b/src/cli/api_calls.cpp
@@ -26,7 +26,7 @@
     http::Fetch::start(io, *parseAddress(api), head, body, kAnswerWithin,
                        [&](const http::Fetched &what) { got = what; });
     io.run();
-    if (!got.inTime || got.how != http::CallEnd::complete) {
+    if (!got.inTime || got.outcome != http::CallEnd::complete) {
         std::cerr << "deckcart: no answer from " << api << '\n';
         return kFailed;
     }
--- a/src/cli/scenario_command.cpp
+++ b/src/cli/scenario_command.cpp
@@ -26,10 +26,10 @@
     }
 }
 
-std::optional<rehearsal::Day> readDayFile(const std::string &path) {
+std::optional<scenarios::Day> readDayFile(const std::string &path) {
     const auto document = readFile(path);
     if (!document) return std::nullopt;
-    auto read = rehearsal::readDay(*document);
+    auto read = scenarios::readDay(*document);
     for (const auto &one : read.refused)
         std::cerr << path << ": " << (one.path.empty() ? "/" : one.path) << ": " << one.reason << '\n';
     return std::move(read.day);
@@ -38,14 +38,14 @@
 }  // namespace
 
 int rehearse(const RehearseWords &words) {
-    std::vector<rehearsal::Day> days;
+    std::vector<scenarios::Day> days;
     for (const auto &path : words.days) {
         auto day = readDayFile(path);
         if (!day) return kBadInput;  // before any is played
         if (words.seed) day->seed = *words.seed;
         days.push_back(std::move(*day));
     }
-    rehearsal::RehearsalStart start;
+    scenarios::RehearsalStart start;
     start.program = std::filesystem::read_symlink("/proc/self/exe");
     start.keep = words.keep, start.shellFaults = words.shellFaults;
     int status = 0;
@@ -54,7 +54,7 @@
         for (int k = 0; k < words.seeds; ++k) {
             auto day = first;
             day.seed += std::uint64_t(k);
-            const auto played = rehearsal::rehearse(day, start);
+            const auto played = scenarios::rehearse(day, start);
             if (!played.fault.empty()) {
                 std::cerr << day.name << ": " << played.fault << '\n';
                 return kFailed;
@@ -65,7 +65,7 @@
                     !fault.empty())
                     return std::cerr << fault << '\n', kFailed;
             if (words.json) reports.push_back(played.report);
-            else std::cout << rehearsal::describe(played.report) << '\n' << std::flush;
+            else std::cout << scenarios::describe(played.report) << '\n' << std::flush;
             if (!played.breaches.empty()) status = kRuleBroken;
         }
     if (words.json) std::cout << reports.dump(2) << '\n';
@@ -77,9 +77,9 @@
     const auto document = readFile(recordsPath);
     if (!day || !document) return kBadInput;
     try {
-        const auto breaches = rehearsal::audit(rehearsal::readRecords(*document), rehearsal::figuresOf(*day));
+        const auto breaches = scenarios::audit(scenarios::readRecords(*document), scenarios::figuresOf(*day));
         for (const auto &b : breaches)
-            fmt::print("rule {} ({}), {:.3f} s, {}: {}\n", int(b.rule), rehearsal::nameOf(b.rule),
+            fmt::print("rule {} ({}), {:.3f} s, {}: {}\n", int(b.rule), scenarios::nameOf(b.rule),
                        double(b.at.count()) / 1e6, b.requestId, b.words);
         fmt::print("{} breaches\n", breaches.size());
         return breaches.empty() ? 0 : kRuleBroken;
--- a/src/control_plane/http_client.cpp
+++ b/src/control_plane/http_client.cpp
@@ -98,8 +98,8 @@
     return {{"build", s.build},
             {"step", s.step},
             {"phase", nameOf(s.phase)},
-            {"cap", s.cap},
-            {"sinceMs", milliseconds(s.since)}};
+            {"cap", s.exposureLimit},
+            {"sinceMs", milliseconds(s.age)}};
 }
 
 RolloutStage readStage(const json &from) {
@@ -110,39 +110,41 @@
                                    {"going-back", RolloutPhase::rollingBack},
                                    {"released", RolloutPhase::released},
                                    {"withdrawn", RolloutPhase::rolledBack}});
-    s.cap = need<double>(from, "cap"), s.since = milli(need<double>(from, "sinceMs"));
-    if (!(s.cap >= 0 && s.cap <= 1) || s.step < 0)
+    s.exposureLimit = need<double>(from, "cap"), s.age = milli(need<double>(from, "sinceMs"));
+    if (!(s.exposureLimit >= 0 && s.exposureLimit <= 1) || s.step < 0)
         throw std::invalid_argument("field cap or step is out of range");
     return s;
 }
 
-DeskClient::DeskClient(asio::io_context &io, const GatewaySettings &with, Now clock, Tell to)
+HttpControlPlaneClient::HttpControlPlaneClient(asio::io_context &io, const GatewaySettings &with, Now clock,
+                                               Tell to)
     : context(io), settings(with), now(std::move(clock)), tell(std::move(to)) {}
 
-DeskClient::~DeskClient() { follow(false); }
+HttpControlPlaneClient::~HttpControlPlaneClient() { follow(false); }
 
-http::RequestHead DeskClient::request(const std::string &method, const std::string &target) const {
+http::RequestHead HttpControlPlaneClient::request(const std::string &method,
+                                                  const std::string &target) const {
     http::RequestHead head;
     head.method = method, head.target = target;
     return head;
 }
 
-void DeskClient::follow(bool active) {
+void HttpControlPlaneClient::follow(bool active) {
     if (watching) watching->stop(), watching = nullptr;
     if (listing) listing->stop(), listing = nullptr;
     if (active) list();
 }
 
-void DeskClient::lost() {
+void HttpControlPlaneClient::lost() {
     follow(false);
     tell(EndpointListFailed{});
 }
 
-void DeskClient::list() {
-    if (!settings.desk) return;
-    auto call = http::Fetch::start(context, settings.desk->address,
+void HttpControlPlaneClient::list() {
+    if (!settings.controlPlane) return;
+    auto call = http::Fetch::start(context, settings.controlPlane->address,
                                    request("GET", "/v1/fleet?gateway=" + settings.id), {},
-                                   settings.desk->answerWithin, [this](const http::Fetched &got) {
+                                   settings.controlPlane->answerWithin, [this](const http::Fetched &got) {
                                        listing = nullptr;
                                        try {
                                            if (!got.ok()) throw std::invalid_argument("no answer");
@@ -160,22 +162,22 @@
     listing = call;
 }
 
-void DeskClient::watch() {
+void HttpControlPlaneClient::watch() {
     watching = http::Fetch::start(
-        context, settings.desk->address,
+        context, settings.controlPlane->address,
         request("GET", "/v1/fleet?gateway=" + settings.id + "&watch=" + std::to_string(version)), {},
-        settings.desk->silentFor,
+        settings.controlPlane->silentFor,
         [this](const http::Fetched &) { lost(); },  // 410 too: the next follow lists anew
         [this](std::string_view line) {
             try {
                 took(json::parse(line));
             } catch (const std::exception &) {
-                lost();  // out of step with the desk: list anew
+                lost();  // out of step with the control plane: list anew
             }
         });
 }
 
-void DeskClient::took(const json &said) {
+void HttpControlPlaneClient::took(const json &said) {
     const auto at = need<std::uint64_t>(said, "version");
     const auto kind = need<std::string>(said, "kind");
     if (kind == "instances") tellList(need<json>(said, "instances"), false);
@@ -191,7 +193,7 @@
     version = at;  // bookmarks, and kinds that come later, only move it
 }
 
-void DeskClient::tellList(const json &entries, bool complete) {
+void HttpControlPlaneClient::tellList(const json &entries, bool complete) {
     if (!entries.is_array() || entries.size() > kMostEntries)
         throw std::invalid_argument("field instances is no list");
     EndpointListUpdate list{complete, {}};
@@ -205,13 +207,13 @@
     tell(std::move(list));
 }
 
-void DeskClient::tellStage(const json &from, bool isVoteReply, Outcome how) {
+void HttpControlPlaneClient::tellStage(const json &from, bool isVoteReply, Outcome outcome) {
     const RolloutStage s = readStage(from);
-    tell(RolloutUpdate{isVoteReply, how, s.build, s.step, s.phase, s.cap, s.since});
+    tell(RolloutUpdate{isVoteReply, outcome, s.build, s.step, s.phase, s.exposureLimit, s.age});
 }
 
-void DeskClient::vote(const Vote &vote, Duration within) {
-    if (!settings.desk) return;
+void HttpControlPlaneClient::vote(const Vote &vote, Duration within) {
+    if (!settings.controlPlane) return;
     auto head = request("POST", "/v1/votes");
     head.headers = {{"Content-Type", "application/json"},
                     {"Idempotency-Key",
@@ -221,19 +223,19 @@
                     {"step", vote.step},
                     {"verdict", nameOf(vote.verdict)}};
     calls.add(http::Fetch::start(
-        context, settings.desk->address, head, body.dump(), within, [this](const http::Fetched &got) {
+        context, settings.controlPlane->address, head, body.dump(), within, [this](const http::Fetched &got) {
             // No answer, or a broken one: the vote may have counted.
-            Outcome how = !got.inTime || got.how != http::CallEnd::complete ? Outcome::timeout
-                          : got.head.status == 409                          ? Outcome::obsolete
-                          : got.head.status == 429                          ? Outcome::overloaded
-                          : got.ok()                                        ? Outcome::ok
-                                                                            : Outcome::error;
+            Outcome outcome = !got.inTime || got.outcome != http::CallEnd::complete ? Outcome::timeout
+                              : got.head.status == 409                              ? Outcome::obsolete
+                              : got.head.status == 429                              ? Outcome::overloaded
+                              : got.ok()                                            ? Outcome::ok
+                                                                                    : Outcome::error;
             try {
-                if (how == Outcome::ok) return tellStage(json::parse(got.body), true, how);
+                if (outcome == Outcome::ok) return tellStage(json::parse(got.body), true, outcome);
             } catch (const std::exception &) {
-                how = Outcome::timeout;
+                outcome = Outcome::timeout;
             }
-            tell(voteFailed(how));
+            tell(voteFailed(outcome));
         }));
 }
 
--- a/src/control_plane/http_client.hpp
+++ b/src/control_plane/http_client.hpp
@@ -1,5 +1,5 @@
-// What a gateway and the desk say to each other: the list and the stage by list and watch, votes as POST.
-// Turns documents into events; when to follow, to ask again or to vote is the module's business.
+// What a gateway and the control plane say to each other: the list and the stage by list and watch, votes as
+// POST. Turns documents into events; when to follow, to ask again or to vote is the module's business.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -12,7 +12,7 @@
 
 namespace deckcart {
 
-// Reads and writes of the documents, shared with whoever speaks for the desk. Bad ones throw
+// Reads and writes of the documents, shared with whoever speaks for the control plane. Bad ones throw
 // std::invalid_argument with the place.
 struct ListedEndpoint {
     EndpointId id;
@@ -36,8 +36,8 @@
     BuildNumber build = 0;
     int step = 0;
     RolloutPhase phase = RolloutPhase::released;
-    double cap = 1;
-    Duration since{};
+    double exposureLimit = 1;
+    Duration age{};
 };
 nlohmann::json toJson(const RolloutStage &stage);
 RolloutStage readStage(const nlohmann::json &from);
@@ -46,14 +46,14 @@
 const char *nameOf(RolloutPhase phase);
 std::optional<Verdict> verdictNamed(const std::string &name);
 
-class DeskClient : public Desk {
+class HttpControlPlaneClient : public ControlPlaneClient {
   public:
     using Tell = std::function<void(Event)>;
     using Now = std::function<Duration()>;
-    DeskClient(asio::io_context &context, const GatewaySettings &settings, Now now, Tell tell);
-    ~DeskClient() override;
-    DeskClient(const DeskClient &) = delete;
-    DeskClient &operator=(const DeskClient &) = delete;
+    HttpControlPlaneClient(asio::io_context &context, const GatewaySettings &settings, Now now, Tell tell);
+    ~HttpControlPlaneClient() override;
+    HttpControlPlaneClient(const HttpControlPlaneClient &) = delete;
+    HttpControlPlaneClient &operator=(const HttpControlPlaneClient &) = delete;
 
     void follow(bool active) override;
     void vote(const Vote &vote, Duration within) override;
@@ -63,7 +63,7 @@
     void watch();
     void took(const nlohmann::json &said);
     void tellList(const nlohmann::json &entries, bool complete);
-    void tellStage(const nlohmann::json &from, bool isVoteReply, Outcome how);
+    void tellStage(const nlohmann::json &from, bool isVoteReply, Outcome outcome);
     void lost();
     http::RequestHead request(const std::string &method, const std::string &target) const;
 
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -4,10 +4,10 @@
 
 #include "../http/fetch.hpp"
 
-namespace deckcart::standin {
+namespace deckcart::fakes {
 
-using rehearsal::ClientEnd;
-using rehearsal::ClientRecord;
+using scenarios::ClientEnd;
+using scenarios::ClientRecord;
 
 constexpr auto kGraceToHear = std::chrono::milliseconds(20);  // a client hangs up so long after its time
 
@@ -18,15 +18,15 @@
     Duration asked{}, givesUp{};
 };
 
-class Clients::Call : public http::CallSink, public std::enable_shared_from_this<Call> {
+class Clients::Call : public http::CallHandler, public std::enable_shared_from_this<Call> {
   public:
     Call(Clients &of, std::shared_ptr<Request> what)
         : clients(of), request(std::move(what)), timer(of.context) {}
-    void onAnswerHead(const http::AnswerHead &head) override { answer = head; }
-    void onAnswerBody(std::string_view) override {}
-    void onCallEnd(http::CallEnd how) override {
+    void onResponseHead(const http::ResponseHead &head) override { answer = head; }
+    void onResponseBody(std::string_view) override {}
+    void onCallEnd(http::CallEnd outcome) override {
         const auto held = shared_from_this();
-        ended = how;
+        ended = outcome;
         clients.over(*this);
     }
 
@@ -37,12 +37,12 @@
     int gateway = 0;
     bool timedOut = false;
     http::CallEnd ended = http::CallEnd::broken;
-    http::AnswerHead answer;
+    http::ResponseHead answer;
     std::shared_ptr<http::ClientConnection> connection;
     asio::steady_timer timer;
 };
 
-Clients::Clients(asio::io_context &io, World &in, std::vector<Place> to, std::uint64_t seed)
+Clients::Clients(asio::io_context &io, FakeEnvironment &in, std::vector<Place> to, std::uint64_t seed)
     : service(in.day.routes.size()), context(io), world(in), gateways(std::move(to)), chance(seed), next(io),
       idleTo(gateways.size()) {}
 
@@ -177,7 +177,7 @@
         if (call.connection->spokeUnasked()) ++record.answers;
         if (call.connection->reusable()) idleTo[std::size_t(call.gateway)].push_back(call.connection);
     } else {
-        const bool unread = call.ended == http::CallEnd::connectFailed || !call.connection->handedOver();
+        const bool unread = call.ended == http::CallEnd::connectFailed || !call.connection->startedSending();
         record.end = unread ? ClientEnd::unreached : ClientEnd::cut;
     }
     const auto &d = world.day;
@@ -228,4 +228,4 @@
     second.asked += r.benefit, second.inTime += inTime && !wrong ? r.benefit : 0;
 }
 
-}  // namespace deckcart::standin
+}  // namespace deckcart::fakes
--- a/src/fakes/clients.hpp
+++ b/src/fakes/clients.hpp
@@ -5,7 +5,7 @@
 #include "../http/client.hpp"
 #include "endpoint.hpp"
 
-namespace deckcart::standin {
+namespace deckcart::fakes {
 
 class Clients {
   public:
@@ -13,7 +13,8 @@
         asio::ip::tcp::endpoint listen, api;
         double weight = 1;
     };
-    Clients(asio::io_context &context, World &world, std::vector<Place> gateways, std::uint64_t seed);
+    Clients(asio::io_context &context, FakeEnvironment &world, std::vector<Place> gateways,
+            std::uint64_t seed);
     ~Clients();
 
     void start(Duration until);
@@ -37,11 +38,11 @@
     void arrive();
     void ask(std::shared_ptr<Request> request, int avoid = -1);
     void over(Call &call);
-    void settle(const Request &request, rehearsal::ClientEnd end, bool wrong, Duration at);
+    void settle(const Request &request, scenarios::ClientEnd end, bool wrong, Duration at);
     double chance01() { return std::generate_canonical<double, 32>(chance); }
 
     asio::io_context &context;
-    World &world;
+    FakeEnvironment &world;
     std::vector<Place> gateways;
     std::mt19937_64 chance;
     asio::steady_timer next;
@@ -54,4 +55,4 @@
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
-}  // namespace deckcart::standin
+}  // namespace deckcart::fakes
--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -6,7 +6,7 @@
 
 #include "../base/address.hpp"
 
-namespace deckcart::standin {
+namespace deckcart::fakes {
 
 using nlohmann::json;
 
@@ -24,46 +24,46 @@
 }
 
 void answer(http::Exchange &to, int status, const json &body) {
-    http::AnswerHead head;
+    http::ResponseHead head;
     head.status = status, head.headers = {{"Content-Type", "application/json"}};
     to.answer(std::move(head), body.dump() + "\n");
 }
 
 }  // namespace
 
-Desk::Desk(asio::io_context &io, World &in, std::uint64_t seed)
+FakeControlPlane::FakeControlPlane(asio::io_context &io, FakeEnvironment &in, std::uint64_t seed)
     : context(io), world(in), chance(seed),
-      door(io, *parseAddress("127.0.0.1:0"), {},
-           [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); }) {
+      listener(io, *parseAddress("127.0.0.1:0"), {},
+               [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); }) {
     now = {kFirstBuild, int(in.day.shares.size()) - 1, RolloutPhase::released, 1, Duration{0}};
     nowSince = in.clock.now() - std::chrono::hours(1);
 }
 
-void Desk::start() {
+void FakeControlPlane::start() {
     startInstances(kFirstBuild, world.day.instances, true);
     publishedStage = toJson(toldStage()), publishedSince = nowSince;
     began = true;
 }
 
-RolloutStage Desk::toldStage() const {
+RolloutStage FakeControlPlane::toldStage() const {
     RolloutStage s = now;
-    s.since = world.clock.now() - nowSince;
+    s.age = world.clock.now() - nowSince;
     return s;
 }
 
-Duration Desk::newsDelay() {
+Duration FakeControlPlane::newsDelay() {
     const double span = double((world.day.mostNewsDelay - world.day.leastNewsDelay).count());
     return world.day.leastNewsDelay +
            Duration{std::llround(span * std::generate_canonical<double, 32>(chance))};
 }
 
-int Desk::stageCount(int step) const {
+int FakeControlPlane::stageCount(int step) const {
     const auto share = world.day.shares[std::size_t(step)];
     return std::max(1, int(std::lround(share * world.day.instances)));
 }
 
-std::vector<Instance *> Desk::instances(const std::string &where) const {
-    std::vector<Instance *> out;
+std::vector<FakeEndpoint *> FakeControlPlane::instances(const std::string &where) const {
+    std::vector<FakeEndpoint *> out;
     for (const auto &m : members) {
         if (m.instance->down() || !m.listed || m.state != EndpointState::active) continue;
         const bool trial = m.instance->build() == world.trial;
@@ -72,14 +72,14 @@
     return out;
 }
 
-int Desk::running(BuildNumber build) const {
+int FakeControlPlane::running(BuildNumber build) const {
     return int(std::ranges::count_if(members, [&](const Member &m) {
         return m.instance->build() == build && m.listed && m.state == EndpointState::active &&
                !m.instance->down();
     }));
 }
 
-void Desk::startInstances(BuildNumber build, int wanted, bool warm) {
+void FakeControlPlane::startInstances(BuildNumber build, int wanted, bool warm) {
     int have = int(std::ranges::count_if(members, [&](const Member &m) {
         return m.instance->build() == build && m.state == EndpointState::active && !m.instance->down();
     }));
@@ -87,7 +87,7 @@
         Member m;
         const int zone = starts % int(world.day.zones.size());
         m.instance =
-            std::make_unique<Instance>(context, world, build, zone, chance() + std::uint64_t(++starts));
+            std::make_unique<FakeEndpoint>(context, world, build, zone, chance() + std::uint64_t(++starts));
         m.listedAt = world.clock.now() + (warm ? Duration{0} : Duration{kStartTakes});
         if (warm) m.instance->startLongAgo();
         members.push_back(std::move(m));
@@ -97,7 +97,7 @@
     }
 }
 
-void Desk::changed(const Member &m) {
+void FakeControlPlane::changed(const Member &m) {
     ListedEndpoint s;
     s.id = m.instance->id(), s.zone = world.day.zones[std::size_t(m.instance->zone())],
     s.build = m.instance->build();
@@ -109,7 +109,7 @@
             began ? newsDelay() + listLate : Duration{0});
 }
 
-void Desk::publish(json event, Duration after) {
+void FakeControlPlane::publish(json event, Duration after) {
     // News of one kind never overtakes older news of it.
     Duration &due = event["kind"] == "instances" ? listDue : stageDue;
     const Duration at = world.clock.now();
@@ -138,7 +138,7 @@
 }
 
 // A drain is a record taken out: DNS has no word for it.
-void Desk::serveNames() {
+void FakeControlPlane::serveNames() {
     std::vector<FleetNames::Listed> fleet;
     for (const auto &[id, entry] : published)
         if (entry["readiness"] == "live")
@@ -147,7 +147,7 @@
 }
 
 // Writes ages as they are at this moment, and keeps what was told when.
-void Desk::noteTold(int gateway, const json &event) {
+void FakeControlPlane::noteTold(int gateway, const json &event) {
     const Duration at = world.clock.now();
     if (event.contains("instances"))
         for (const auto &entry : event["instances"]) {
@@ -157,11 +157,11 @@
         }
     if (event.contains("stage")) {
         const RolloutStage s = readStage(event["stage"]);
-        world.records.releases.push_back({gateway, at, s.build, s.step, s.phase, s.cap});
+        world.records.releases.push_back({gateway, at, s.build, s.step, s.phase, s.exposureLimit});
     }
 }
 
-void Desk::tell(Watcher &w) {
+void FakeControlPlane::tell(Watcher &w) {
     if (listFails) return w.exchange->abort();
     while (w.next < events.size() && w.exchange->open()) {
         json event = events[w.next++];
@@ -179,7 +179,7 @@
     }
 }
 
-void Desk::serve(std::shared_ptr<http::Exchange> exchange) {
+void FakeControlPlane::serve(std::shared_ptr<http::Exchange> exchange) {
     const auto &target = exchange->head.target;
     if (target.starts_with("/v1/votes")) return vote(std::move(exchange));
     if (listFails) return answer(*exchange, 503, json::object());
@@ -190,7 +190,7 @@
     watch(std::move(exchange), no, std::size_t(std::strtoull(from.c_str(), nullptr, 10)));
 }
 
-void Desk::list(http::Exchange &exchange, int gateway) {
+void FakeControlPlane::list(http::Exchange &exchange, int gateway) {
     json entries = json::array();
     for (auto &[id, entry] : published) {
         if (names) break;
@@ -204,20 +204,20 @@
     answer(exchange, 200, body);
 }
 
-void Desk::watch(std::shared_ptr<http::Exchange> exchange, int gateway, std::size_t from) {
+void FakeControlPlane::watch(std::shared_ptr<http::Exchange> exchange, int gateway, std::size_t from) {
     if (from > events.size()) return answer(*exchange, 410, json::object());
     const auto w = std::make_shared<Watcher>(Watcher{exchange, gateway, from});
     watchers.push_back(w);
     exchange->onGone = [this, raw = w.get()] {
         std::erase_if(watchers, [&](const auto &one) { return one.get() == raw; });
     };
-    http::AnswerHead head;
+    http::ResponseHead head;
     head.status = 200, head.chunked = true, head.headers = {{"Content-Type", "application/x-ndjson"}};
     exchange->begin(std::move(head));
     tell(*w);
 }
 
-void Desk::vote(std::shared_ptr<http::Exchange> exchange) {
+void FakeControlPlane::vote(std::shared_ptr<http::Exchange> exchange) {
     const json said = json::parse(exchange->body, nullptr, false);
     const std::string *key = exchange->head.find("Idempotency-Key");
     if (!said.is_object() || !key) return answer(*exchange, 400, json::object());
@@ -242,7 +242,7 @@
     answer(*exchange, 200, stage);
 }
 
-int Desk::standing(BuildNumber build, Verdict verdict) const {
+int FakeControlPlane::standing(BuildNumber build, Verdict verdict) const {
     if (build != now.build) return 0;
     return int(std::ranges::count_if(votes, [&](const auto &v) {
         const bool step = verdict == Verdict::rollBack || v.second.step == now.step;
@@ -250,11 +250,11 @@
     }));
 }
 
-void Desk::enter(int step, RolloutPhase phase) {
+void FakeControlPlane::enter(int step, RolloutPhase phase) {
     now.step = step, now.phase = phase;
-    now.cap = phase == RolloutPhase::canary     ? world.day.caps[std::size_t(step)]
-              : phase == RolloutPhase::released ? 1
-                                                : 0;
+    now.exposureLimit = phase == RolloutPhase::canary     ? world.day.caps[std::size_t(step)]
+                        : phase == RolloutPhase::released ? 1
+                                                          : 0;
     nowSince = world.clock.now(), allRunningSince = Duration{0};
     if (phase == RolloutPhase::canary)
         std::erase_if(votes, [](const auto &v) { return v.second.verdict == Verdict::promote; });
@@ -263,7 +263,7 @@
     publish(std::move(event), newsDelay());
 }
 
-void Desk::drain(Member &m) {
+void FakeControlPlane::drain(Member &m) {
     if (m.state != EndpointState::active) return;
     m.state = EndpointState::draining;
     m.leavesAt = world.clock.now() + world.day.mostNewsDelay + world.day.drainGrace + Duration{kLeaveTakes};
@@ -273,19 +273,19 @@
     changed(m);
 }
 
-void Desk::staffDrains(Instance &which) {
+void FakeControlPlane::staffDrains(FakeEndpoint &which) {
     for (auto &m : members)
         if (m.instance.get() == &which) drain(m);
 }
 
-void Desk::crash(Instance &which) {
+void FakeControlPlane::crash(FakeEndpoint &which) {
     which.die();
     for (auto &m : members)
         if (m.instance.get() == &which && m.state == EndpointState::active)
             m.state = EndpointState::removed, changed(m);
 }
 
-void Desk::tick() {
+void FakeControlPlane::tick() {
     const Duration at = world.clock.now();
     const auto &day = world.day;
     for (auto &m : members) {
@@ -350,7 +350,7 @@
 }
 
 // What the platform counts: attempts of a second, by build and route, told a little later.
-void Desk::tally() {
+void FakeControlPlane::tally() {
     const Duration at = world.clock.now();
     tallyAt = at + std::chrono::seconds(1);
     std::map<std::pair<BuildNumber, int>, std::array<double, 2>> sums;
@@ -368,4 +368,4 @@
     publish({{"kind", "tally"}, {"tally", std::move(rows)}}, std::chrono::milliseconds(500));
 }
 
-}  // namespace deckcart::standin
+}  // namespace deckcart::fakes
--- a/src/fakes/control_plane.hpp
+++ b/src/fakes/control_plane.hpp
@@ -1,5 +1,5 @@
-// A stand-in for the desk and the fleet behind it: starts and drains instances, moves a release through its
-// stages by votes, and tells gateways by list and watch, late by as much as the day says.
+// A stand-in for the control plane and the fleet behind it: starts and drains instances, moves a release
+// through its stages by votes, and tells gateways by list and watch, late by as much as the day says.
 #pragma once
 
 #include "../base/address.hpp"
@@ -7,19 +7,19 @@
 #include "endpoint.hpp"
 #include "fleet_names.hpp"
 
-namespace deckcart::standin {
+namespace deckcart::fakes {
 
-class Desk {
+class FakeControlPlane {
   public:
-    Desk(asio::io_context &context, World &world, std::uint64_t seed);
+    FakeControlPlane(asio::io_context &context, FakeEnvironment &world, std::uint64_t seed);
 
-    std::string address() const { return format(door.address()); }
+    std::string address() const { return format(listener.address()); }
     void start();  // the day's first instances, long since warm; call it before gateways list
     void dayBegins(Duration at) { dayBegan = at; }
     void tick();  // moves the release; called every few milliseconds
-    std::vector<Instance *> instances(const std::string &where) const;  // running: any, trial or earlier
-    void staffDrains(Instance &which);
-    void crash(Instance &which);
+    std::vector<FakeEndpoint *> instances(const std::string &where) const;  // running: any, trial or earlier
+    void staffDrains(FakeEndpoint &which);
+    void crash(FakeEndpoint &which);
 
     FleetNames *names = nullptr;  // set: the fleet is told by records, and the list is empty
     bool still = false, stillCounts = false, listFails = false;
@@ -35,7 +35,7 @@
 
   private:
     struct Member {
-        std::unique_ptr<Instance> instance;
+        std::unique_ptr<FakeEndpoint> instance;
         EndpointState state = EndpointState::active;
         Duration leavesAt{};
         bool listed = false;  // its process runs
@@ -72,7 +72,7 @@
     void tally();
 
     asio::io_context &context;
-    World &world;
+    FakeEnvironment &world;
     std::mt19937_64 chance;
     std::vector<Member> members;
     std::map<EndpointId, nlohmann::json> published;
@@ -86,7 +86,7 @@
         tallyAt{}, oldLeaveAt{};
     int starts = 0;
     bool began = false;
-    http::Door door;
+    http::Listener listener;
 };
 
-}  // namespace deckcart::standin
+}  // namespace deckcart::fakes
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -4,9 +4,9 @@
 
 #include "../base/address.hpp"
 
-namespace deckcart::standin {
+namespace deckcart::fakes {
 
-using rehearsal::BadKind;
+using scenarios::BadKind;
 
 namespace {
 
@@ -19,34 +19,36 @@
 }
 
 void answer(http::Exchange &to, int status, std::vector<http::Header> headers, std::string_view body) {
-    http::AnswerHead head;
+    http::ResponseHead head;
     head.status = status, head.headers = std::move(headers);
     to.answer(std::move(head), body);
 }
 
 }  // namespace
 
-Instance::Instance(asio::io_context &io, World &in, BuildNumber build, int zone, std::uint64_t seed)
+FakeEndpoint::FakeEndpoint(asio::io_context &io, FakeEnvironment &in, BuildNumber build, int zone,
+                           std::uint64_t seed)
     : context(io), world(in), runs(build), where(zone), chance(seed), started(in.clock.now()) {
-    http::DoorLimits limits;
+    http::ListenerLimits limits;
     limits.idleFor = std::chrono::minutes(10);
-    door = std::make_unique<http::Door>(io, *parseAddress("127.0.0.1:0"), limits,
-                                        [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); });
-    name = format(door->address());
+    listener =
+        std::make_unique<http::Listener>(io, *parseAddress("127.0.0.1:0"), limits,
+                                         [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); });
+    name = format(listener->address());
 }
 
-void Instance::die() {
+void FakeEndpoint::die() {
     waiting.clear();
-    door.reset();
+    listener.reset();
     *alive = false, alive = std::make_shared<bool>(true);  // work under way ends nowhere
 }
 
-void Instance::hang(bool on) {
+void FakeEndpoint::hang(bool on) {
     hung = on;
     begin();
 }
 
-void Instance::pause(Duration lasts) {
+void FakeEndpoint::pause(Duration lasts) {
     pausedUntil = world.clock.now() + lasts;
     const auto timer = std::make_shared<asio::steady_timer>(context, lasts);
     timer->async_wait([this, timer, here = std::weak_ptr(alive)](asio::error_code) {
@@ -54,23 +56,23 @@
     });
 }
 
-void Instance::slowConnects(bool on) {
+void FakeEndpoint::slowConnects(bool on) {
     connectsSlow = on;
     blinkConnects();
 }
 // Takes new connections only now and then.
-void Instance::blinkConnects() {
+void FakeEndpoint::blinkConnects() {
     if (down()) return;
-    http::DoorLimits limits;
+    http::ListenerLimits limits;
     limits.idleFor = std::chrono::minutes(10);
-    door->limit(limits);
+    listener->limit(limits);
     if (!connectsSlow) return;
     const auto timer = std::make_shared<asio::steady_timer>(context, std::chrono::milliseconds(5));
     timer->async_wait([this, timer, here = std::weak_ptr(alive)](asio::error_code) {
         if (here.expired() || down() || !connectsSlow) return;
-        http::DoorLimits none;
+        http::ListenerLimits none;
         none.connections = 0, none.idleFor = std::chrono::minutes(10);
-        door->limit(none);
+        listener->limit(none);
         timer->expires_after(std::chrono::milliseconds(300));
         timer->async_wait([this, timer, here](asio::error_code) {
             if (!here.expired() && connectsSlow) blinkConnects();
@@ -78,7 +80,7 @@
     });
 }
 
-double Instance::warmth() const {
+double FakeEndpoint::warmth() const {
     const auto &d = world.day;
     const double age =
         double((world.clock.now() - started).count()) / double(std::max(Duration{1}, d.warmUpTime).count());
@@ -86,7 +88,7 @@
 }
 
 // More than the stated multiple of what it can do now, over the stated time.
-bool Instance::pushedOver(double workMs) {
+bool FakeEndpoint::pushedOver(double workMs) {
     const auto &d = world.day;
     const Duration now = world.clock.now();
     if (now - started >= d.warmUpTime) return false;
@@ -98,7 +100,7 @@
            d.overloadMultiple * d.cores * warmth() * milliseconds(d.overloadWindow) + kPushSlack * workMs;
 }
 
-void Instance::serve(std::shared_ptr<http::Exchange> exchange) {
+void FakeEndpoint::serve(std::shared_ptr<http::Exchange> exchange) {
     if (exchange->head.target.starts_with("/probe")) return probe(*exchange);
     Job job{exchange, 0, textNumber(exchange->head, "X-Work-Ms"), world.clock.now()};
     const std::string path = exchange->head.target.substr(1, exchange->head.target.find('/', 1) - 1);
@@ -110,7 +112,7 @@
     if (runs == world.trial) world.trialWork.push_back(job.came);
     if (pushedOver(job.workMs)) {
         world.records.fallen.push_back({name, job.came - world.day.overloadWindow, job.came});
-        // On a turn of its own: this call comes from its own door.
+        // On a turn of its own: this call comes from its own listener.
         asio::post(context, [this, here = std::weak_ptr(alive)] {
             if (here.expired()) return;
             die();
@@ -123,7 +125,7 @@
     begin();
 }
 
-void Instance::probe(http::Exchange &exchange) {
+void FakeEndpoint::probe(http::Exchange &exchange) {
     if (hung) return;
     if (probesFail) return answer(exchange, 500, {}, "");
     const double inHand = double(busy) + double(waiting.size());
@@ -131,7 +133,7 @@
            {{"X-Load", std::to_string(meanMs) + "," + std::to_string(lowReports ? inHand / 4 : inHand)}}, "");
 }
 
-double Instance::buildTimes() {
+double FakeEndpoint::buildTimes() {
     if (runs != world.trial) return 1;
     const auto &bad = world.day.bad;
     if (bad.kind == BadKind::slow) return bad.times;
@@ -139,7 +141,7 @@
     return 1;
 }
 
-void Instance::begin() {
+void FakeEndpoint::begin() {
     const Duration now = world.clock.now();
     while (!hung && !down() && now >= pausedUntil && busy < world.day.cores && !waiting.empty()) {
         Job job = std::move(waiting.front());
@@ -172,13 +174,13 @@
     }
 }
 
-bool Instance::faulty(const Job &job, BadKind kind) {
+bool FakeEndpoint::faulty(const Job &job, BadKind kind) {
     const auto &bad = world.day.bad;
     if (runs != world.trial || bad.kind != kind || (bad.route >= 0 && bad.route != job.route)) return false;
     return std::generate_canonical<double, 32>(chance) < bad.part;
 }
 
-void Instance::finish(const Job &job) {
+void FakeEndpoint::finish(const Job &job) {
     const auto &head = job.exchange->head;
     const auto &route = world.day.routes[std::size_t(job.route)];
     const Duration now = world.clock.now();
@@ -199,4 +201,4 @@
     answer(*job.exchange, 200, std::move(headers), "done\n");
 }
 
-}  // namespace deckcart::standin
+}  // namespace deckcart::fakes
--- a/src/fakes/endpoint.hpp
+++ b/src/fakes/endpoint.hpp
@@ -12,16 +12,16 @@
 #include "../scenarios/invariant_checker.hpp"
 #include "../scenarios/scenario.hpp"
 
-namespace deckcart::standin {
+namespace deckcart::fakes {
 
 // What all instances of a day share: who is slow, how the build on trial is faulty, what was seen.
-struct World {
-    World(const rehearsal::Day &of, const Clock &time, rehearsal::Records &into)
+struct FakeEnvironment {
+    FakeEnvironment(const scenarios::Day &of, const Clock &time, scenarios::Records &into)
         : day(of), clock(time), records(into) {}
 
-    const rehearsal::Day &day;
+    const scenarios::Day &day;
     const Clock &clock;
-    rehearsal::Records &records;
+    scenarios::Records &records;
     BuildNumber trial = 2;
     double fleetSlow = 1;
     std::deque<Duration> trialWork;  // attempts at the trial build of late, for one that slows all
@@ -36,15 +36,16 @@
     std::map<std::string, int> effects;     // how often each mark of a request with an effect has run
 };
 
-class Instance {
+class FakeEndpoint {
   public:
-    Instance(asio::io_context &context, World &world, BuildNumber build, int zone, std::uint64_t seed);
+    FakeEndpoint(asio::io_context &context, FakeEnvironment &world, BuildNumber build, int zone,
+                 std::uint64_t seed);
 
     EndpointId id() const { return name; }
     Duration startedAt() const { return started; }
     BuildNumber build() const { return runs; }
     int zone() const { return where; }
-    bool down() const { return !door; }
+    bool down() const { return !listener; }
     void startLongAgo() { started -= std::chrono::hours(1); }
     void die();  // at once, with its connections
     void hang(bool on);
@@ -53,7 +54,7 @@
     double slow = 1;  // a neighbour takes of its machine
     double answersLost = 0;
     bool lowReports = false, probesFail = false;
-    std::function<void(const Instance &)> onFell;
+    std::function<void(const FakeEndpoint &)> onFell;
 
   private:
     struct Job {
@@ -69,17 +70,17 @@
     void finish(const Job &job);
     double warmth() const;
     bool pushedOver(double workMs);
-    bool faulty(const Job &job, rehearsal::BadKind kind);
+    bool faulty(const Job &job, scenarios::BadKind kind);
     double buildTimes();
     void blinkConnects();
 
     asio::io_context &context;
-    World &world;
+    FakeEnvironment &world;
     BuildNumber runs;
     int where;
     std::mt19937_64 chance;
     Duration started;
-    std::unique_ptr<http::Door> door;
+    std::unique_ptr<http::Listener> listener;
     EndpointId name;
     std::deque<Job> waiting;
     int busy = 0;
@@ -90,4 +91,4 @@
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
-}  // namespace deckcart::standin
+}  // namespace deckcart::fakes
--- a/src/fakes/fleet_names.cpp
+++ b/src/fakes/fleet_names.cpp
@@ -4,12 +4,12 @@
 
 #include "../base/address.hpp"
 
-namespace deckcart::standin {
+namespace deckcart::fakes {
 
-using rehearsal::srvNameOf;
+using scenarios::srvNameOf;
 
-FleetNames::FleetNames(asio::io_context &io, const rehearsal::Day &of, const Clock &time,
-                       rehearsal::Records &into, std::uint32_t seed)
+FleetNames::FleetNames(asio::io_context &io, const scenarios::Day &of, const Clock &time,
+                       scenarios::Records &into, std::uint32_t seed)
     : day(of), clock(time), records(into) {
     for (std::size_t g = 0; g < of.gatewayWeights.size(); ++g) {
         auto &mine = servers.emplace_back();
@@ -89,4 +89,4 @@
     s.any = true;
 }
 
-}  // namespace deckcart::standin
+}  // namespace deckcart::fakes
--- a/src/fakes/fleet_names.hpp
+++ b/src/fakes/fleet_names.hpp
@@ -8,7 +8,7 @@
 #include "../scenarios/scenario.hpp"
 #include "name_server.hpp"
 
-namespace deckcart::standin {
+namespace deckcart::fakes {
 
 class FleetNames {
   public:
@@ -17,8 +17,8 @@
         BuildNumber build = 0;
         std::string zone;
     };
-    FleetNames(asio::io_context &context, const rehearsal::Day &day, const Clock &clock,
-               rehearsal::Records &records, std::uint32_t seed);
+    FleetNames(asio::io_context &context, const scenarios::Day &day, const Clock &clock,
+               scenarios::Records &records, std::uint32_t seed);
 
     // Of one gateway, HOST:PORT.
     std::vector<std::string> addresses(int gateway) const;
@@ -31,9 +31,9 @@
     std::vector<dns::Record> recordsOf(const std::vector<Listed> &fleet) const;
     void told(int gateway, const dns::Message &reply);
 
-    const rehearsal::Day &day;
+    const scenarios::Day &day;
     const Clock &clock;
-    rehearsal::Records &records;
+    scenarios::Records &records;
     std::vector<std::vector<std::unique_ptr<NameServer>>> servers;  // by gateway
     std::vector<Listed> fleet;
     std::set<std::size_t> frozen;
@@ -45,4 +45,4 @@
     std::map<std::pair<int, std::string>, Seen> seen;
 };
 
-}  // namespace deckcart::standin
+}  // namespace deckcart::fakes
--- a/src/fakes/name_server.cpp
+++ b/src/fakes/name_server.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <random>
 
-namespace deckcart::standin {
+namespace deckcart::fakes {
 namespace {
 
 using asio::ip::tcp;
@@ -345,4 +345,4 @@
     }
 }
 
-}  // namespace deckcart::standin
+}  // namespace deckcart::fakes
--- a/src/fakes/name_server.hpp
+++ b/src/fakes/name_server.hpp
@@ -12,7 +12,7 @@
 #include "../base/schema.hpp"
 #include "../dns/message.hpp"
 
-namespace deckcart::standin {
+namespace deckcart::fakes {
 
 // How replies go wrong; fields may be combined. Whole ones otherwise.
 struct NameFaults {
@@ -113,4 +113,4 @@
     asio::steady_timer timer;
 };
 
-}  // namespace deckcart::standin
+}  // namespace deckcart::fakes
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -18,7 +18,7 @@
 
 Duration ms(const json &from) { return Duration{std::llround(from.get<double>() * 1000)}; }
 
-// An entry without what only a desk knows of it.
+// An entry without what only a control plane knows of it.
 json entryJson(const EndpointEntry &e, const std::vector<std::string> &zones, Duration now) {
     json out = toJson(listedOf(e, zones, now));
     out.erase("incarnation");
@@ -38,7 +38,7 @@
     const auto &given = *settings.sources;
     for (std::size_t k = 0; k < rules.sources.size(); ++k) {
         const auto &source = rules.sources[k];
-        if (source.kind == membership::SourceKind::desk) desk = k;
+        if (source.kind == membership::SourceKind::controlPlane) controlPlane = k;
         if (source.kind == membership::SourceKind::nodes)
             merge.took(k, {clock(), membership::kForever, "settings", given.nodes, true, {}});
         if (source.kind == membership::SourceKind::srv)
@@ -60,19 +60,19 @@
     look(false);
 }
 
-void EndpointWatcher::deskTold(const EndpointListUpdate &list) {
-    if (!desk) return;
+void EndpointWatcher::onControlPlaneUpdate(const EndpointListUpdate &list) {
+    if (!controlPlane) return;
     std::vector<membership::Claim> claims;
     for (const auto &e : list.entries) claims.push_back({e, membership::kNoClass, e.id});
     if (list.complete)
-        merge.took(*desk, {clock(), membership::kForever, "desk", std::move(claims), false, {}});
-    else merge.tookChanges(*desk, clock(), claims);
+        merge.took(*controlPlane, {clock(), membership::kForever, "desk", std::move(claims), false, {}});
+    else merge.tookChanges(*controlPlane, clock(), claims);
     if (onRead) onRead();
     look(false);
 }
 
-void EndpointWatcher::deskFailed() {
-    if (desk) merge.lost(*desk, clock(), "the desk does not answer"), look(false);
+void EndpointWatcher::onControlPlaneFailure() {
+    if (controlPlane) merge.lost(*controlPlane, clock(), "the desk does not answer"), look(false);
 }
 
 void EndpointWatcher::found(const std::string &name, const dns::Found &what, Duration lifetime,
@@ -114,7 +114,7 @@
         const auto &rule = rules.sources[source];
         if (rule.kind == membership::SourceKind::srv && resolver)
             resolver->askAgainIn(rule.name, std::max(Duration{0}, at - now));
-        if (rule.kind == membership::SourceKind::desk && now >= at)
+        if (rule.kind == membership::SourceKind::controlPlane && now >= at)
             tell(EndpointListFailed{});  // the module asks anew
     }
     if (!view.changesAt) return void(timer.cancel());
--- a/src/gateway/endpoint_watcher.hpp
+++ b/src/gateway/endpoint_watcher.hpp
@@ -19,9 +19,9 @@
                     std::uint64_t seed, Log log, Now now, Tell tell,
                     const std::vector<membership::SavedSource> &saved, const EndpointWatcher *before);
 
-    // The desk's list, where it is a source; events of other kinds are the module's.
-    void deskTold(const EndpointListUpdate &list);
-    void deskFailed();
+    // The control plane's list, where it is a source; events of other kinds are the module's.
+    void onControlPlaneUpdate(const EndpointListUpdate &list);
+    void onControlPlaneFailure();
     // The set as it is now, if there is one: the module asks for it.
     void tellAgain();
 
@@ -41,7 +41,7 @@
     Log log;
     membership::MergeRules rules;
     membership::Merge merge;
-    std::optional<std::size_t> desk;
+    std::optional<std::size_t> controlPlane;
     std::map<std::string, std::pair<std::size_t, membership::SrvName>> names;
     std::vector<std::string> servers;
     std::vector<EndpointEntry> last;  // as the module was told
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -10,11 +10,11 @@
 constexpr int kThawRounds = 200;  // loop turns at most that a standstill's finds are read in
 
 // What the call of one try tells.
-class Gateway::Sink : public CallOwner {
+class Gateway::AttemptObserver : public CallObserver {
   public:
-    Sink(Gateway &of, RequestId request, int no) : gateway(of), id(request), attemptNumber(no) {}
-    void onAnswer(std::string_view part) override;
-    void onCallEnd(Outcome how) override;
+    AttemptObserver(Gateway &of, RequestId request, int no) : gateway(of), id(request), attemptNumber(no) {}
+    void onResponse(std::string_view part) override;
+    void onCallEnd(Outcome outcome) override;
 
     Gateway &gateway;
     RequestId id;
@@ -24,11 +24,11 @@
 struct Gateway::Attempt {
     EndpointId endpoint;
     BuildNumber build = 0;
-    std::shared_ptr<Call> call;
-    std::unique_ptr<Sink> sink;
+    std::shared_ptr<UpstreamCall> call;
+    std::unique_ptr<AttemptObserver> sink;
     Duration sent{}, progress{};
     bool over = false, streaming = false;
-    Outcome how = Outcome::ok;
+    Outcome outcome = Outcome::ok;
     std::string held;
 };
 
@@ -51,8 +51,8 @@
 
 namespace {
 
-const char *nameOf(Outcome how) {
-    switch (how) {
+const char *nameOf(Outcome outcome) {
+    switch (outcome) {
     case Outcome::ok: return "ok";
     case Outcome::error: return "error";
     case Outcome::overloaded: return "full";
@@ -73,19 +73,19 @@
 
 // ---- the calls to instances ----
 
-void Gateway::Sink::onAnswer(std::string_view part) {
+void Gateway::AttemptObserver::onResponse(std::string_view part) {
     if (const auto it = gateway.requests.find(id); it != gateway.requests.end())
         gateway.pass(*it->second, attemptNumber, part);
 }
 
-void Gateway::Sink::onCallEnd(Outcome how) {
+void Gateway::AttemptObserver::onCallEnd(Outcome outcome) {
     gateway.turn();
     ++gateway.socketEvents;
     const auto it = gateway.requests.find(id);
     if (it == gateway.requests.end()) return;
-    if (how == Outcome::ok) return gateway.complete(*it->second, attemptNumber);
+    if (outcome == Outcome::ok) return gateway.complete(*it->second, attemptNumber);
     gateway.later(
-        [g = &gateway, request = id, no = attemptNumber, how] { g->attemptEnded(request, no, how); });
+        [g = &gateway, request = id, no = attemptNumber, outcome] { g->attemptEnded(request, no, outcome); });
 }
 
 nlohmann::json countsOf(const Gateway &gateway) {
@@ -108,27 +108,29 @@
 
 Gateway::Gateway(asio::io_context &io, const Clock &time, GatewaySettings with, std::uint64_t seeded, Log to,
                  const asio::ip::tcp::endpoint &listen, ShellFaults wrong)
-    : Gateway(io, time, std::move(with), seeded, std::move(to), HttpWays(io, listen), wrong) {}
+    : Gateway(io, time, std::move(with), seeded, std::move(to), HttpTransport(io, listen), wrong) {}
 
 Gateway::Gateway(asio::io_context &io, const Clock &time, GatewaySettings with, std::uint64_t seeded, Log to,
-                 const Ways &ways, ShellFaults wrong)
+                 const Transport &transport, ShellFaults wrong)
     : context(io), clock(time), given(std::move(with)), seed(seeded), log(std::move(to)), faults(wrong),
       chance(seeded), nextRequestId((seeded & 0xffffff) << 24), lastSeen(time.now()),
-      upstreams(ways.upstreams(given)), sweeper(io),
-      front(
-          ways.front(given, {[this](std::shared_ptr<DownstreamRequest> taken) { arrived(std::move(taken)); },
-                             [this] { ++counted.unrouted; }})) {
-    desk = ways.desk(given, {[this] { return turn(); },
-                             [this](Event event) {
-                                 ++socketEvents;
-                                 later([this, event = std::move(event)] {
-                                     const auto *toldNow = std::get_if<EndpointListUpdate>(&event);
-                                     if (toldNow && feed) return feed->deskTold(*toldNow);
-                                     if (std::holds_alternative<EndpointListFailed>(event) && feed)
-                                         feed->deskFailed();
-                                     happened(event);
-                                 });
-                             }});
+      upstreams(transport.upstreams(given)), sweeper(io),
+      downstream(transport.downstream(
+          given, {[this](std::shared_ptr<DownstreamRequest> taken) { arrived(std::move(taken)); },
+                  [this] { ++counted.unrouted; }})) {
+    controlPlane =
+        transport.controlPlane(given, {[this] { return turn(); },
+                                       [this](Event event) {
+                                           ++socketEvents;
+                                           later([this, event = std::move(event)] {
+                                               const auto *toldNow = std::get_if<EndpointListUpdate>(&event);
+                                               if (toldNow && feed)
+                                                   return feed->onControlPlaneUpdate(*toldNow);
+                                               if (std::holds_alternative<EndpointListFailed>(event) && feed)
+                                                   feed->onControlPlaneFailure();
+                                               happened(event);
+                                           });
+                                       }});
     startModule();
     startFeed({});
     sweep();
@@ -148,7 +150,7 @@
     records[current] = 0;
     PolicySettings values = given.module;
     values.seed = seed + std::uint64_t(current) * 0x9e3779b97f4a7c15u;
-    happened(Started{std::move(values)}, current);
+    happened(PolicyStarted{std::move(values)}, current);
 }
 
 void Gateway::remember(const std::vector<ListedEndpoint> &saved) {
@@ -184,11 +186,12 @@
 }
 
 void Gateway::apply(GatewaySettings settings, bool newModule, bool sourcesMoved) {
-    const bool deskMoved = settings.desk.has_value() != given.desk.has_value() ||
-                           (settings.desk && settings.desk->address != given.desk->address);
+    const bool controlPlaneMoved =
+        settings.controlPlane.has_value() != given.controlPlane.has_value() ||
+        (settings.controlPlane && settings.controlPlane->address != given.controlPlane->address);
     // A request in hand keeps its rule's number: rules only change with the module, which then starts anew.
     given = std::move(settings);
-    front->limit();
+    downstream->limit();
     if (newModule) {
         const GatewayId before = current;
         startModule();
@@ -196,18 +199,18 @@
         for (const auto &[id, e] : list) known.entries.push_back(e);
         happened(known, current);
         if (told)
-            happened(RolloutUpdate{false, Outcome::ok, told->build, told->step, told->phase, told->cap,
-                                   told->since},
+            happened(RolloutUpdate{false, Outcome::ok, told->build, told->step, told->phase,
+                                   told->exposureLimit, told->age},
                      current);
-        if (records[before] == 0) records.erase(before), happened(Stopped{}, before);
+        if (records[before] == 0) records.erase(before), happened(PolicyStopped{}, before);
     }
     if (sourcesMoved) startFeed({});
-    if (deskMoved || (sourcesMoved && !feed)) desk->follow(true);
+    if (controlPlaneMoved || (sourcesMoved && !feed)) controlPlane->follow(true);
 }
 
 void Gateway::drain(std::function<void()> done) {
     drained = std::move(done);
-    front->drain([this] {
+    downstream->drain([this] {
         frontEnded = true;
         checkDrained();
     });
@@ -338,7 +341,7 @@
     // What no instance can have got whole does not go out for it any more, whatever the settings say of those
     // that have been handed over.
     for (std::size_t k = 0; k < request.attempts.size(); ++k)
-        if (!request.attempts[k].over && !request.attempts[k].call->handedOver()) {
+        if (!request.attempts[k].over && !request.attempts[k].call->startedSending()) {
             attemptEnded(id, int(k), Outcome::obsolete);
             if (!requests.contains(id)) return;
         }
@@ -381,13 +384,13 @@
     clientGone(id);
 }
 
-void Gateway::finish(Request &request, const char *end, bool late, Duration retryIn) {
+void Gateway::finish(Request &request, const char *end, bool late, Duration retryAfter) {
     if (request.answered) return;
     request.answered = true, --unanswered;
     const bool shed = end[0] == 's';
     ++(shed ? counted.shed : counted.errored);
     if (request.streaming >= 0) request.taken->abort();
-    else if (shed) request.taken->shed(request.name, retryIn);
+    else if (shed) request.taken->shed(request.name, retryAfter);
     else request.taken->errored(request.name, late);
     logRequest(request, end);
     checkDrained();
@@ -401,7 +404,7 @@
     for (const Attempt &t : request.attempts)
         attempts.push_back({{"instance", t.endpoint},
                             {"build", t.build},
-                            {"outcome", t.over ? nameOf(t.how) : "out"},
+                            {"outcome", t.over ? nameOf(t.outcome) : "out"},
                             {"sentMs", milliseconds(t.sent - request.came)}});
     log.info("req", {{"req", request.name},
                      {"key", request.taken->attributes.key},
@@ -416,7 +419,7 @@
     const GatewayId record = request.record;
     request.taken->onGone = nullptr, request.taken->onDrained = nullptr;
     requests.erase(request.id);
-    if (--records[record] == 0 && record != current) records.erase(record), happened(Stopped{}, record);
+    if (--records[record] == 0 && record != current) records.erase(record), happened(PolicyStopped{}, record);
     checkDrained();
 }
 
@@ -425,13 +428,14 @@
 void Gateway::happened(Event event) {
     std::optional<BuildNumber> lower;  // its cap has been lowered
     if (const auto *l = std::get_if<EndpointListUpdate>(&event)) note(*l);
-    if (const auto *s = std::get_if<RolloutUpdate>(&event); s && s->how == Outcome::ok) {
-        const RolloutStage now{s->build, s->step, s->phase, s->cap, s->since};
+    if (const auto *s = std::get_if<RolloutUpdate>(&event); s && s->outcome == Outcome::ok) {
+        const RolloutStage now{s->build, s->step, s->phase, s->exposureLimit, s->age};
         if (!told || told->build != now.build || told->step != now.step || told->phase != now.phase)
-            log.info(
-                "stage",
-                {{"build", now.build}, {"step", now.step}, {"phase", nameOf(now.phase)}, {"cap", now.cap}});
-        if (told && told->build == now.build && now.cap < told->cap) lower = now.build;
+            log.info("stage", {{"build", now.build},
+                               {"step", now.step},
+                               {"phase", nameOf(now.phase)},
+                               {"cap", now.exposureLimit}});
+        if (told && told->build == now.build && now.exposureLimit < told->exposureLimit) lower = now.build;
         told = now;
     }
     for (const auto &[record, n] : records) queue.emplace_back(record, event);
@@ -453,7 +457,7 @@
     for (const auto &[id, request] : requests)
         for (std::size_t k = 0; k < request->attempts.size(); ++k) {
             const Attempt &t = request->attempts[k];
-            if (!t.over && !stays(t) && !t.call->handedOver()) unsent.push_back({id, int(k)});
+            if (!t.over && !stays(t) && !t.call->startedSending()) unsent.push_back({id, int(k)});
         }
     for (const auto &[id, no] : unsent) attemptEnded(id, no, Outcome::connectFailed);
 }
@@ -496,37 +500,37 @@
             [&](const ShedRequest &a) {
                 const auto it = requests.find(a.requestId);
                 if (it == requests.end()) return;
-                finish(*it->second, "shed", false, a.retryIn);
+                finish(*it->second, "shed", false, a.retryAfter);
                 forget(*it->second);
             },
             [&](const FailRequest &a) {
                 const auto it = requests.find(a.requestId);
                 if (it == requests.end()) return;
                 const auto &attempts = it->second->attempts;
-                const bool late = !attempts.empty() && (attempts.back().how == Outcome::timeout ||
-                                                        attempts.back().how == Outcome::cancelled);
+                const bool late = !attempts.empty() && (attempts.back().outcome == Outcome::timeout ||
+                                                        attempts.back().outcome == Outcome::cancelled);
                 finish(*it->second, "errored", late, Duration{0});
                 forget(*it->second);
             },
             [&](const SetTimer &a) {
-                const auto timer = std::make_shared<asio::steady_timer>(context, a.after);
+                const auto timer = std::make_shared<asio::steady_timer>(context, a.delay);
                 timer->async_wait([this, record, timer, here = std::weak_ptr(alive)](asio::error_code fault) {
                     if (!fault && !here.expired()) later([this, record] { happened(TimerFired{}, record); });
                 });
             },
-            [&](const Probe &a) { probe(record, a); },
+            [&](const ProbeEndpoint &a) { probe(record, a); },
             [&](const WatchEndpoints &a) {
                 if (record != current) return;
-                desk->follow(a.active);
+                controlPlane->follow(a.active);
                 if (feed && a.active) feed->tellAgain();
             },
             [&](const Vote &a) {
                 if (record != current) return;  // one vote a gateway
                 log.info("vote", {{"build", a.build}, {"step", a.step}, {"verdict", nameOf(a.verdict)}});
-                desk->vote(a, given.module.voteTimeout);
+                controlPlane->vote(a, given.module.voteTimeout);
             },
             [&](const LogLine &a) {
-                log.info("module", {{"words", a.words}});
+                log.info("module", {{"words", a.message}});
             },
         },
         action);
@@ -539,14 +543,14 @@
     const int no = int(request.attempts.size());
     EndpointId endpoint = what.endpoint;
     if (faults.sendsAfterDrain && !drainingServer.empty() && no == 0) endpoint = drainingServer;
-    const auto moot = [&](Outcome how, bool over = false) {
+    const auto moot = [&](Outcome outcome, bool over = false) {
         Attempt none;
-        none.endpoint = what.endpoint, none.over = true, none.how = how, none.sent = turn();
+        none.endpoint = what.endpoint, none.over = true, none.outcome = outcome, none.sent = turn();
         request.attempts.push_back(std::move(none));
-        happened(AttemptEnded{what.requestId, no, over || request.answered, how}, record);
+        happened(AttemptEnded{what.requestId, no, over || request.answered, outcome}, record);
     };
     // Its client has closed, and this loop has not come to read that yet.
-    if (!request.answered && !request.taken->clientThere()) return moot(Outcome::obsolete, true);
+    if (!request.answered && !request.taken->isClientConnected()) return moot(Outcome::obsolete, true);
     // The request is over, or bound to an answer that has begun, or its end has passed on the real clock.
     if (request.answered || request.streaming >= 0 || lastSeen >= request.told)
         return moot(Outcome::obsolete);
@@ -556,21 +560,21 @@
     Attempt t;
     t.endpoint = endpoint, t.call = call, t.sent = turn(), t.progress = t.sent;
     if (const auto entry = list.find(endpoint); entry != list.end()) t.build = entry->second.build;
-    t.sink = std::make_unique<Sink>(*this, request.id, no);
-    Sink *sink = t.sink.get();
+    t.sink = std::make_unique<AttemptObserver>(*this, request.id, no);
+    AttemptObserver *sink = t.sink.get();
     const BuildNumber build = t.build;
     request.attempts.push_back(std::move(t));
     call->start(
-        *request.taken, request.name, [this, id = request.id] { return handOver(id); }, build, sink);
+        *request.taken, request.name, [this, id = request.id] { return preSendCheck(id); }, build, sink);
 }
 
 // The last look before a try's first byte: its connection may have taken a while.
-std::optional<Duration> Gateway::handOver(RequestId id) {
+std::optional<Duration> Gateway::preSendCheck(RequestId id) {
     const auto it = requests.find(id);
     if (it == requests.end()) return std::nullopt;
     const Request &request = *it->second;
     const Duration now = clock.now();
-    if (request.answered || now >= request.told || !request.taken->clientThere()) return std::nullopt;
+    if (request.answered || now >= request.told || !request.taken->isClientConnected()) return std::nullopt;
     return request.clientEnd - now;
 }
 
@@ -586,13 +590,13 @@
     return out();
 }
 
-void Gateway::attemptEnded(RequestId id, int attemptNumber, Outcome how) {
+void Gateway::attemptEnded(RequestId id, int attemptNumber, Outcome outcome) {
     const auto it = requests.find(id);
     if (it == requests.end()) return;
     Request &request = *it->second;
     Attempt &t = request.attempts[std::size_t(attemptNumber)];
     if (t.over) return;
-    t.over = true, t.how = how;
+    t.over = true, t.outcome = outcome;
     // Nothing may come of a try whose outcome has been told: a connection in the middle of one is closed.
     t.call->release(lastSeen);
     t.held.clear();
@@ -602,14 +606,14 @@
         finish(request, "errored", false, Duration{0});
         over = true;
     }
-    if (faults.repeatsNonRetriable && how == Outcome::reset)
+    if (faults.repeatsNonRetriable && outcome == Outcome::reset)
         if (const auto again = upstreams->take(t.endpoint)) {
             again->start(
                 *request.taken, request.name,
                 [most = given.upstream.stalledFor] { return std::optional(most); }, t.build, &nobody);
             repeats.push_back(again);
         }
-    happened(AttemptEnded{id, attemptNumber, over, how}, request.record);
+    happened(AttemptEnded{id, attemptNumber, over, outcome}, request.record);
     if (const auto left = requests.find(id); left != requests.end()) forget(*left->second);
 }
 
@@ -637,19 +641,19 @@
         request.taken->write(std::exchange(t.held, {}));
     } else request.taken->write(part);
     // A reader slower than the instance holds the instance back, not this process's memory.
-    if (request.taken->waiting() > given.door.waitingBytes) t.call->pause();
+    if (request.taken->waiting() > given.listener.waitingBytes) t.call->pause();
 }
 
 void Gateway::complete(Request &request, int attemptNumber) {
     Attempt &t = request.attempts[std::size_t(attemptNumber)];
     if (t.over) return;
-    t.over = true, t.how = Outcome::ok;
+    t.over = true, t.outcome = Outcome::ok;
     t.call->release(lastSeen);
     const bool first = !request.answered && (request.streaming < 0 || request.streaming == attemptNumber);
     if (first) {
         if (request.streaming == attemptNumber) request.taken->end();
         else request.taken->completed(*t.call, t.held);
-        if (faults.answersTwice) request.taken->answerTwice();
+        if (faults.answersTwice) request.taken->injectDuplicateResponse();
         request.answered = true, --unanswered, ++counted.completed;
         logRequest(request, "completed");
         if (given.passedKept > 0 && passed.try_emplace(request.name, Passed{t.endpoint, t.sent}).second)
@@ -664,7 +668,7 @@
 
 // ---- probes, lists ----
 
-void Gateway::probe(GatewayId record, const Probe &what) {
+void Gateway::probe(GatewayId record, const ProbeEndpoint &what) {
     upstreams->probe(what.endpoint, [this, record, endpoint = what.endpoint,
                                      here = std::weak_ptr(alive)](std::vector<double> load) {
         if (here.expired()) return;
@@ -698,7 +702,7 @@
     return out;
 }
 
-bool Gateway::wrongAnswer(const std::string &requestId) {
+bool Gateway::reportIncorrectResponse(const std::string &requestId) {
     const auto it = passed.find(requestId);
     if (it == passed.end()) return false;
     if (std::exchange(it->second.reported, true)) return true;  // known: one answer is wrong once
@@ -715,7 +719,7 @@
         for (const auto &[id, request] : requests)
             if (request->streaming >= 0) {
                 const Attempt &t = request->attempts[std::size_t(request->streaming)];
-                const bool slowReader = request->taken->waiting() > 0;  // the door ends those
+                const bool slowReader = request->taken->waiting() > 0;  // the listener ends those
                 if (!t.over && !slowReader && now - t.progress > given.upstream.stalledFor)
                     stalled.push_back({id, request->streaming});
             }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -40,7 +40,7 @@
     Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings, std::uint64_t seed,
             Log log, const asio::ip::tcp::endpoint &listen, ShellFaults faults = {});  // HTTP on both sides
     Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings, std::uint64_t seed,
-            Log log, const Ways &ways, ShellFaults faults = {});
+            Log log, const Transport &transport, ShellFaults faults = {});
     ~Gateway();
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
@@ -59,23 +59,23 @@
     // Refuses new requests, finishes those in hand, then calls back.
     void drain(std::function<void()> done);
     void endInHand();  // answers whatever is still in hand, as errored; sheds what comes from now on
-    bool wrongAnswer(
+    bool reportIncorrectResponse(
         const std::string &requestId);  // a client's report on an answer it got here; false: not known
 
-    asio::ip::tcp::endpoint address() const { return front->address(); }
+    asio::ip::tcp::endpoint address() const { return downstream->address(); }
     const GatewayCounts &counts() const { return counted; }
     std::size_t inHand() const { return requests.size(); }
-    std::size_t connections() const { return front->connections(); }
+    std::size_t connections() const { return downstream->connections(); }
     const GatewaySettings &settings() const { return given; }
     std::vector<ListedEndpoint> listed() const;
     std::optional<RolloutStage> stage() const { return told; }
     std::function<void()> onListed;                    // the list, or what a source says, has changed
-    EndpointWatcher *members() { return feed.get(); }  // none: the desk's list is taken as it is
+    EndpointWatcher *members() { return feed.get(); }  // none: the control plane's list is taken as it is
 
   private:
     struct Attempt;
     struct Request;
-    class Sink;
+    class AttemptObserver;
 
     // ---- time: a stopped clock is found here ----
     Duration turn();
@@ -91,7 +91,7 @@
     void wakeIn(Request &request, Duration after);
     void deadline(RequestId id);
     void checkDrained();
-    std::optional<Duration> handOver(RequestId id);
+    std::optional<Duration> preSendCheck(RequestId id);
     void happened(Event event, GatewayId record);
     void happened(Event event);  // to every record
     void endUnsent(const std::function<bool(const Attempt &)> &stays);
@@ -99,12 +99,12 @@
     void carryOut(GatewayId record, const Action &action);
     void send(GatewayId record, const SendAttempt &what);
     bool stillOut(RequestId id, std::size_t attemptNumber);
-    void attemptEnded(RequestId id, int attemptNumber, Outcome how);
+    void attemptEnded(RequestId id, int attemptNumber, Outcome outcome);
     void pass(Request &request, int attemptNumber, std::string_view part);
     void complete(Request &request, int attemptNumber);
-    void finish(Request &request, const char *end, bool late, Duration retryIn);
+    void finish(Request &request, const char *end, bool late, Duration retryAfter);
     void forget(Request &request);
-    void probe(GatewayId record, const Probe &what);
+    void probe(GatewayId record, const ProbeEndpoint &what);
     void sweep();
     void note(const EndpointListUpdate &list);
     void startModule();
@@ -137,8 +137,8 @@
 
     std::map<EndpointId, EndpointEntry> list;  // as last told, for who asks and for the snapshot
     std::optional<RolloutStage> told;
-    std::unique_ptr<Upstreams> upstreams;
-    std::unique_ptr<Desk> desk;
+    std::unique_ptr<UpstreamPool> upstreams;
+    std::unique_ptr<ControlPlaneClient> controlPlane;
     std::unique_ptr<EndpointWatcher> feed;
 
     struct Passed {
@@ -154,13 +154,13 @@
     std::function<void()> drained;
     bool frontEnded = false, ended = false;  // no request can come; what still comes is shed at once
     EndpointId drainingServer;               // for the fault that sends after a drain
-    struct Nobody : CallOwner {
-        void onAnswer(std::string_view) override {}
+    struct Nobody : CallObserver {
+        void onResponse(std::string_view) override {}
         void onCallEnd(Outcome) override {}
     } nobody;
-    std::vector<std::shared_ptr<Call>> repeats;  // of the fault that repeats
+    std::vector<std::shared_ptr<UpstreamCall>> repeats;  // of the fault that repeats
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
-    std::unique_ptr<Front> front;  // last: it calls into all of the above
+    std::unique_ptr<Downstream> downstream;  // last: it calls into all of the above
 };
 
 }  // namespace deckcart
--- a/src/gateway/http_transport.cpp
+++ b/src/gateway/http_transport.cpp
@@ -48,27 +48,29 @@
     ~HttpRequest() override { exchange->onGone = nullptr, exchange->onDrained = nullptr; }
 
     bool open() const override { return exchange->open(); }
-    void shed(const std::string &name, Duration retryIn) override {
-        const auto ms = std::max<std::int64_t>(retryIn.count() / 1000, 0);
+    void shed(const std::string &name, Duration retryAfter) override {
+        const auto ms = std::max<std::int64_t>(retryAfter.count() / 1000, 0);
         refuse(503, "shed", name,
                {{"Retry-After", std::to_string((ms + 999) / 1000)}, {kRetryHeader, std::to_string(ms)}});
     }
     void errored(const std::string &name, bool late) override {
         refuse(late ? 504 : 502, "errored", name, {});
     }
-    void completed(Call &from, std::string_view answer) override;
-    void begin(Call &from) override;
+    void completed(UpstreamCall &from, std::string_view answer) override;
+    void begin(UpstreamCall &from) override;
     void write(std::string_view part) override { exchange->write(part); }
     void end() override { exchange->end(); }
     void abort() override { exchange->abort(); }
     std::size_t waiting() const override { return exchange->waiting(); }
-    void answerTwice() override { exchange->writeBehind("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"); }
+    void injectDuplicateResponse() override {
+        exchange->writeBehind("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    }
 
     const std::shared_ptr<http::Exchange> exchange;
 
   private:
     void refuse(int status, const char *end, const std::string &name, std::vector<http::Header> more) {
-        http::AnswerHead answer;
+        http::ResponseHead answer;
         answer.status = status;
         answer.headers = {
             {kEndHeader, end}, {settings.headers.requestId, name}, {"Content-Type", "text/plain"}};
@@ -78,17 +80,18 @@
     const GatewaySettings &settings;
 };
 
-class HttpFront : public Front {
+class HttpDownstream : public Downstream {
   public:
-    HttpFront(asio::io_context &io, const asio::ip::tcp::endpoint &at, const GatewaySettings &with,
-              FrontOwner to)
+    HttpDownstream(asio::io_context &io, const asio::ip::tcp::endpoint &at, const GatewaySettings &with,
+                   DownstreamHandler to)
         : settings(with), owner(std::move(to)),
-          door(io, at, with.door, [this](std::shared_ptr<http::Exchange> e) { arrived(std::move(e)); }) {}
+          listener(io, at, with.listener,
+                   [this](std::shared_ptr<http::Exchange> e) { arrived(std::move(e)); }) {}
 
-    asio::ip::tcp::endpoint address() const override { return door.address(); }
-    void limit() override { door.limit(settings.door); }
-    void drain(std::function<void()> ended) override { door.drain(), ended(); }
-    std::size_t connections() const override { return door.connections(); }
+    asio::ip::tcp::endpoint address() const override { return listener.address(); }
+    void limit() override { listener.limit(settings.listener); }
+    void drain(std::function<void()> ended) override { listener.drain(), ended(); }
+    std::size_t connections() const override { return listener.connections(); }
 
   private:
     void arrived(std::shared_ptr<http::Exchange> exchange) {
@@ -101,7 +104,7 @@
             ++rule;
         const auto refuse = [&](int status, const char *end, const char *words,
                                 std::vector<http::Header> more) {
-            http::AnswerHead answer;
+            http::ResponseHead answer;
             answer.status = status, answer.headers = std::move(more);
             answer.headers.insert(answer.headers.end(), {{kEndHeader, end}, {"Content-Type", "text/plain"}});
             exchange->answer(std::move(answer), words);
@@ -128,20 +131,20 @@
     }
 
     const GatewaySettings &settings;
-    FrontOwner owner;
-    http::Door door;
+    DownstreamHandler owner;
+    http::Listener listener;
 };
 
 // ---- calls ----
 
-class HttpCall : public Call, private http::CallSink {
+class HttpCall : public UpstreamCall, private http::CallHandler {
   public:
     HttpCall(Pool &of, const GatewaySettings &with, EndpointId to,
              std::shared_ptr<http::ClientConnection> over)
         : pool(of), settings(with), endpoint(std::move(to)), connection(std::move(over)) {}
 
-    void start(const DownstreamRequest &request, const std::string &name, HandOver handOver, BuildNumber of,
-               CallOwner *to) override {
+    void start(const DownstreamRequest &request, const std::string &name, PreSendCheck preSendCheck,
+               BuildNumber of, CallObserver *to) override {
         owner = to, build = of;
         const auto &exchange = *static_cast<const HttpRequest &>(request).exchange;
         const auto &in = exchange.head;
@@ -154,14 +157,14 @@
         if (!in.find(settings.headers.requestId)) out.headers.push_back({settings.headers.requestId, name});
         // What is left of the client's wait, as it is now. None: it ends as its connection is made, by its
         // time.
-        const Duration left = handOver().value_or(Duration{0});
+        const Duration left = preSendCheck().value_or(Duration{0});
         out.headers.push_back({settings.headers.remaining, std::to_string(left.count() / 1000)});
         out.headers.push_back({"Via", "1.1 deckcart"});
         if (!exchange.body.empty() || in.length || in.chunked) out.length = exchange.body.size();
         connection->call(*parseAddress(endpoint), settings.upstream.connectWithin,
                          http::write(out) + exchange.body, in.method == "HEAD", this);
     }
-    bool handedOver() const override { return connection->handedOver(); }
+    bool startedSending() const override { return connection->startedSending(); }
     void release(Duration now) override {
         if (!connection->reusable()) connection->drop();
         pool.give(endpoint, connection, now);
@@ -170,8 +173,8 @@
     void resume() override { connection->resume(); }
 
     // The head of an instance's answer as the client gets it.
-    http::AnswerHead passedHead() const {
-        http::AnswerHead out = head;
+    http::ResponseHead passedHead() const {
+        http::ResponseHead out = head;
         std::erase_if(out.headers, [&](const http::Header &h) { return !http::travels(head, h.first); });
         out.headers.push_back({kEndHeader, "completed"});
         out.headers.push_back({kBuildHeader, std::to_string(build)});
@@ -180,13 +183,13 @@
     std::optional<std::uint64_t> length() const { return head.length; }
 
   private:
-    void onAnswerHead(const http::AnswerHead &came) override { head = came; }
-    void onAnswerBody(std::string_view part) override {
+    void onResponseHead(const http::ResponseHead &came) override { head = came; }
+    void onResponseBody(std::string_view part) override {
         // An error's body goes nowhere: the request may still be done elsewhere.
-        if (head.status < 500) owner->onAnswer(part);
+        if (head.status < 500) owner->onResponse(part);
     }
-    void onCallEnd(http::CallEnd how) override {
-        if (how == http::CallEnd::complete) {
+    void onCallEnd(http::CallEnd outcome) override {
+        if (outcome == http::CallEnd::complete) {
             const bool full = head.status == 503 && head.find(settings.headers.full);
             return owner->onCallEnd(head.status < 500 ? Outcome::ok
                                     : full            ? Outcome::overloaded
@@ -194,10 +197,10 @@
         }
         // Whether it may have run is told by the bytes that were handed over. An idle connection that closes
         // as the request goes out has taken them: it may have run.
-        const bool none = how == http::CallEnd::connectFailed || !connection->handedOver();
-        owner->onCallEnd(none                            ? Outcome::connectFailed
-                         : how == http::CallEnd::garbage ? Outcome::malformed
-                                                         : Outcome::reset);
+        const bool none = outcome == http::CallEnd::connectFailed || !connection->startedSending();
+        owner->onCallEnd(none                                ? Outcome::connectFailed
+                         : outcome == http::CallEnd::garbage ? Outcome::malformed
+                                                             : Outcome::reset);
     }
 
     Pool &pool;
@@ -205,35 +208,35 @@
     EndpointId endpoint;
     BuildNumber build = 0;
     std::shared_ptr<http::ClientConnection> connection;
-    CallOwner *owner = nullptr;
-    http::AnswerHead head;
+    CallObserver *owner = nullptr;
+    http::ResponseHead head;
 };
 
-void HttpRequest::completed(Call &from, std::string_view answer) {
+void HttpRequest::completed(UpstreamCall &from, std::string_view answer) {
     const auto &call = static_cast<HttpCall &>(from);
-    http::AnswerHead head = call.passedHead();
+    http::ResponseHead head = call.passedHead();
     if (exchange->head.method != "HEAD" || !call.length()) return exchange->answer(std::move(head), answer);
     head.length = call.length();
     exchange->begin(std::move(head));
     exchange->end();
 }
-void HttpRequest::begin(Call &from) {
-    http::AnswerHead head = static_cast<HttpCall &>(from).passedHead();
+void HttpRequest::begin(UpstreamCall &from) {
+    http::ResponseHead head = static_cast<HttpCall &>(from).passedHead();
     head.chunked = !head.length;
     exchange->begin(std::move(head));
 }
 
-class HttpUpstreams : public Upstreams {
+class HttpUpstreamPool : public UpstreamPool {
   public:
-    HttpUpstreams(asio::io_context &io, const GatewaySettings &with)
+    HttpUpstreamPool(asio::io_context &io, const GatewaySettings &with)
         : context(io), settings(with), pool(io, with) {}
-    std::shared_ptr<Call> take(const EndpointId &endpoint) override {
+    std::shared_ptr<UpstreamCall> take(const EndpointId &endpoint) override {
         const auto connection = parseAddress(endpoint) ? pool.take(endpoint) : nullptr;
         return connection ? std::make_shared<HttpCall>(pool, settings, endpoint, connection) : nullptr;
     }
     void closeIdle(const EndpointId &endpoint) override { pool.closeIdle(endpoint); }
     void sweep(Duration now) override { pool.sweep(now); }
-    void probe(const EndpointId &endpoint, Probed done) override {
+    void probe(const EndpointId &endpoint, ProbeCallback done) override {
         const auto to = parseAddress(endpoint);
         if (!to) return done({});
         http::RequestHead head;
@@ -252,14 +255,17 @@
 
 }  // namespace
 
-std::unique_ptr<Front> HttpWays::front(const GatewaySettings &settings, FrontOwner owner) const {
-    return std::make_unique<HttpFront>(context, listen, settings, std::move(owner));
+std::unique_ptr<Downstream> HttpTransport::downstream(const GatewaySettings &settings,
+                                                      DownstreamHandler owner) const {
+    return std::make_unique<HttpDownstream>(context, listen, settings, std::move(owner));
 }
-std::unique_ptr<Upstreams> HttpWays::upstreams(const GatewaySettings &settings) const {
-    return std::make_unique<HttpUpstreams>(context, settings);
+std::unique_ptr<UpstreamPool> HttpTransport::upstreams(const GatewaySettings &settings) const {
+    return std::make_unique<HttpUpstreamPool>(context, settings);
 }
-std::unique_ptr<Desk> HttpWays::desk(const GatewaySettings &settings, DeskOwner owner) const {
-    return std::make_unique<DeskClient>(context, settings, std::move(owner.now), std::move(owner.tell));
+std::unique_ptr<ControlPlaneClient> HttpTransport::controlPlane(const GatewaySettings &settings,
+                                                                ControlPlaneObserver owner) const {
+    return std::make_unique<HttpControlPlaneClient>(context, settings, std::move(owner.now),
+                                                    std::move(owner.tell));
 }
 
 }  // namespace deckcart
--- a/src/gateway/http_transport.hpp
+++ b/src/gateway/http_transport.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 on both sides of a gateway, and the desk's documents: see ways.hpp.
+// HTTP/1.1 on both sides of a gateway, and the control plane's documents: see ways.hpp.
 #pragma once
 
 #include <asio.hpp>
@@ -7,12 +7,14 @@
 
 namespace deckcart {
 
-class HttpWays : public Ways {
+class HttpTransport : public Transport {
   public:
-    HttpWays(asio::io_context &io, const asio::ip::tcp::endpoint &at) : context(io), listen(at) {}
-    std::unique_ptr<Front> front(const GatewaySettings &settings, FrontOwner owner) const override;
-    std::unique_ptr<Upstreams> upstreams(const GatewaySettings &settings) const override;
-    std::unique_ptr<Desk> desk(const GatewaySettings &settings, DeskOwner owner) const override;
+    HttpTransport(asio::io_context &io, const asio::ip::tcp::endpoint &at) : context(io), listen(at) {}
+    std::unique_ptr<Downstream> downstream(const GatewaySettings &settings,
+                                           DownstreamHandler owner) const override;
+    std::unique_ptr<UpstreamPool> upstreams(const GatewaySettings &settings) const override;
+    std::unique_ptr<ControlPlaneClient> controlPlane(const GatewaySettings &settings,
+                                                     ControlPlaneObserver owner) const override;
 
   private:
     asio::io_context &context;
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -9,7 +9,7 @@
     auto one = idle.take(endpoint, [](const auto &kept) { return kept.reusable() ? Use::takes : Use::none; });
     const auto at = busy.find(endpoint);
     if (!one && (at == busy.end() ? 0 : at->second) >= settings.upstream.connections) return nullptr;
-    if (!one) one = std::make_shared<http::ClientConnection>(context, settings.door.headBytes);
+    if (!one) one = std::make_shared<http::ClientConnection>(context, settings.listener.headBytes);
     ++busy[endpoint];
     return one;
 }
--- a/src/gateway/service.cpp
+++ b/src/gateway/service.cpp
@@ -45,10 +45,10 @@
         try {
             gateway = std::make_unique<Gateway>(context, clock, std::move(settings), seed, log, start.listen,
                                                 start.faults);
-            http::DoorLimits limits;
+            http::ListenerLimits limits;
             limits.connections = 256, limits.bodyBytes = kMostDocument;
-            api = std::make_unique<http::Door>(context, start.api, limits,
-                                               [this](std::shared_ptr<http::Exchange> e) { serve(*e); });
+            api = std::make_unique<http::Listener>(context, start.api, limits,
+                                                   [this](std::shared_ptr<http::Exchange> e) { serve(*e); });
         } catch (const std::system_error &fault) {
             log.warn("listen", {{"fault", fault.what()}});
             return 1;
@@ -163,7 +163,7 @@
     }
 
     static void answer(http::Exchange &to, int status, const json &body) {
-        http::AnswerHead head;
+        http::ResponseHead head;
         head.status = status;
         const char *type = status >= 400 ? "application/problem+json" : "application/json";  // RFC 9457
         head.headers = {{"Content-Type", type}};
@@ -208,7 +208,7 @@
             const json said = json::parse(call.body, nullptr, false);
             if (!said.is_object() || !said.contains("req") || !said["req"].is_string())
                 return problem(call, 400, "the body is not {\"req\": ID}");
-            if (!gateway->wrongAnswer(said["req"].get<std::string>()))
+            if (!gateway->reportIncorrectResponse(said["req"].get<std::string>()))
                 return problem(call, 404, "no answer to that req is remembered here");
             answer(call, 202, json::object());
         } else problem(call, 404, "no such resource");
@@ -254,7 +254,7 @@
     asio::signal_set signals;
     asio::steady_timer saver;
     std::unique_ptr<Gateway> gateway;
-    std::unique_ptr<http::Door> api;
+    std::unique_ptr<http::Listener> api;
     json document = json::object();  // empty: none yet
     bool draining = false, listChanged = false;
     std::string saveFault;
--- a/src/gateway/transport.hpp
+++ b/src/gateway/transport.hpp
@@ -14,7 +14,7 @@
 
 namespace deckcart {
 
-class Call;
+class UpstreamCall;
 
 // What the module and the data path want to know of a request.
 struct RequestAttributes {
@@ -32,17 +32,17 @@
 
     virtual bool open() const = 0;  // the client is there and no final answer has ended
     // Looks at the client's socket as well: its close may not have been read yet.
-    virtual bool clientThere() const { return open(); }
-    virtual void shed(const std::string &name, Duration retryIn) = 0;
+    virtual bool isClientConnected() const { return open(); }
+    virtual void shed(const std::string &name, Duration retryAfter) = 0;
     virtual void errored(const std::string &name, bool late) = 0;
-    virtual void completed(Call &from, std::string_view answer) = 0;
+    virtual void completed(UpstreamCall &from, std::string_view answer) = 0;
     // An answer that is passed on as it comes.
-    virtual void begin(Call &from) = 0;
+    virtual void begin(UpstreamCall &from) = 0;
     virtual void write(std::string_view part) = 0;
     virtual void end() = 0;
-    virtual void abort() = 0;                 // it can't be completed, and the client can tell
-    virtual std::size_t waiting() const = 0;  // bytes that the client has not taken yet
-    virtual void answerTwice() {}             // a fault that rehearsals ask for
+    virtual void abort() = 0;                  // it can't be completed, and the client can tell
+    virtual std::size_t waiting() const = 0;   // bytes that the client has not taken yet
+    virtual void injectDuplicateResponse() {}  // a fault that rehearsals ask for
 
     RequestAttributes attributes;
     std::function<void()> onGone;     // the client has left before the answer's end
@@ -50,26 +50,26 @@
 };
 
 // What a call tells its owner. After onCallEnd nothing more comes.
-class CallOwner {
+class CallObserver {
   public:
-    virtual ~CallOwner() = default;
-    virtual void onAnswer(std::string_view part) = 0;
-    virtual void onCallEnd(Outcome how) = 0;  // ok, or the truth of whether it may have run
+    virtual ~CallObserver() = default;
+    virtual void onResponse(std::string_view part) = 0;
+    virtual void onCallEnd(Outcome outcome) = 0;  // ok, or the truth of whether it may have run
 };
 
 // Asked once, when a connection is up and nothing is written yet: what is left of the client's wait then, or
 // empty if the try must not go out any more.
-using HandOver = std::function<std::optional<Duration>()>;
+using PreSendCheck = std::function<std::optional<Duration>()>;
 
 // One try's way to an instance. Given back once, by release().
-class Call {
+class UpstreamCall {
   public:
-    virtual ~Call() = default;
+    virtual ~UpstreamCall() = default;
     // Sends what the client has sent. Never calls back from within.
-    virtual void start(const DownstreamRequest &request, const std::string &name, HandOver handOver,
-                       BuildNumber build, CallOwner *owner) = 0;
+    virtual void start(const DownstreamRequest &request, const std::string &name, PreSendCheck preSendCheck,
+                       BuildNumber build, CallObserver *owner) = 0;
     // Whether the instance may have got the whole of it. What was not handed over can be withdrawn.
-    virtual bool handedOver() const = 0;
+    virtual bool startedSending() const = 0;
     // Of a call that has ended its connection may serve on; else it is closed at once.
     virtual void release(Duration now) = 0;
     // Reads what has come already, which may end it: before it is given up.
@@ -78,21 +78,21 @@
     virtual void resume() {}
 };
 
-class Upstreams {
+class UpstreamPool {
   public:
-    using Probed = std::function<void(std::vector<double> load)>;  // empty: the probe has failed
-    virtual ~Upstreams() = default;
+    using ProbeCallback = std::function<void(std::vector<double> load)>;  // empty: the probe has failed
+    virtual ~UpstreamPool() = default;
     // Empty when a bound is reached or the instance has no address.
-    virtual std::shared_ptr<Call> take(const EndpointId &endpoint) = 0;
+    virtual std::shared_ptr<UpstreamCall> take(const EndpointId &endpoint) = 0;
     virtual void closeIdle(const EndpointId &endpoint) = 0;
     virtual void sweep(Duration now) = 0;  // ends connections that were idle for too long
     virtual Duration sweepEvery() const { return std::chrono::seconds(1); }
-    virtual void probe(const EndpointId &endpoint, Probed done) = 0;
+    virtual void probe(const EndpointId &endpoint, ProbeCallback done) = 0;
 };
 
-class Front {
+class Downstream {
   public:
-    virtual ~Front() = default;
+    virtual ~Downstream() = default;
     virtual asio::ip::tcp::endpoint address() const = 0;
     virtual void limit() = 0;  // the settings' bounds have changed
     // Takes no more; requests in hand are answered, each with its connection closed. `ended`, which may be
@@ -100,34 +100,38 @@
     virtual void drain(std::function<void()> ended) = 0;
     virtual std::size_t connections() const = 0;
 };
-struct FrontOwner {
+struct DownstreamHandler {
     std::function<void(std::shared_ptr<DownstreamRequest>)> arrived;
     std::function<void()> unrouted;  // one came that no route takes; it is answered
 };
 
-class Desk {
+class ControlPlaneClient {
   public:
-    virtual ~Desk() = default;
+    virtual ~ControlPlaneClient() = default;
     virtual void follow(bool active) = 0;
     virtual void vote(const Vote &vote, Duration within) = 0;
 };
-struct DeskOwner {
+struct ControlPlaneObserver {
     std::function<Duration()> now;
     std::function<void(Event)> tell;
 };
 
 // A vote that did not count, or may have.
-inline RolloutUpdate voteFailed(Outcome how) { return {true, how, 0, 0, RolloutPhase::canary, 0, {}}; }
+inline RolloutUpdate voteFailed(Outcome outcome) {
+    return {true, outcome, 0, 0, RolloutPhase::canary, 0, {}};
+}
 
 struct GatewaySettings;
 
 // Makes the four for a gateway whose settings outlive them.
-class Ways {
+class Transport {
   public:
-    virtual ~Ways() = default;
-    virtual std::unique_ptr<Front> front(const GatewaySettings &settings, FrontOwner owner) const = 0;
-    virtual std::unique_ptr<Upstreams> upstreams(const GatewaySettings &settings) const = 0;
-    virtual std::unique_ptr<Desk> desk(const GatewaySettings &settings, DeskOwner owner) const = 0;
+    virtual ~Transport() = default;
+    virtual std::unique_ptr<Downstream> downstream(const GatewaySettings &settings,
+                                                   DownstreamHandler owner) const = 0;
+    virtual std::unique_ptr<UpstreamPool> upstreams(const GatewaySettings &settings) const = 0;
+    virtual std::unique_ptr<ControlPlaneClient> controlPlane(const GatewaySettings &settings,
+                                                             ControlPlaneObserver owner) const = 0;
 };
 
 }  // namespace deckcart
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -12,7 +12,7 @@
     : socket(context), timer(context), parser(Parser::Kind::answer, mostHeadBytes, *this) {}
 
 void ClientConnection::call(const tcp::endpoint &to, Duration within, std::string bytes, bool isHead,
-                            CallSink *owner) {
+                            CallHandler *owner) {
     sink = owner, headCall = isHead, handed = 0, paused = sentAll = false;
     outgoing = std::move(bytes);
     parser.reset();
@@ -89,21 +89,21 @@
 }
 
 bool ClientConnection::onHead() {
-    if (parser.answer().status >= 200) sink->onAnswerHead(parser.answer());
+    if (parser.answer().status >= 200) sink->onResponseHead(parser.answer());
     return !headCall;
 }
 void ClientConnection::onBody(std::string_view part) {
-    if (sink) sink->onAnswerBody(part);
+    if (sink) sink->onResponseBody(part);
 }
 void ClientConnection::onEnd() {
     if (!parser.answer().keepAlive) tainted = true;  // the call ends once the parser has returned
 }
 
-void ClientConnection::finish(CallEnd how) {
+void ClientConnection::finish(CallEnd outcome) {
     const auto self = shared_from_this();
-    CallSink *to = std::exchange(sink, nullptr);
-    if (how != CallEnd::complete || tainted || !sentAll) shut();
-    if (to) to->onCallEnd(how);
+    CallHandler *to = std::exchange(sink, nullptr);
+    if (outcome != CallEnd::complete || tainted || !sentAll) shut();
+    if (to) to->onCallEnd(outcome);
 }
 
 void ClientConnection::drop() {
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -14,30 +14,30 @@
 using deckcart::CallEnd;
 
 // What a call tells its owner. After onEnd nothing more comes.
-class CallSink {
+class CallHandler {
   public:
-    virtual ~CallSink() = default;
-    virtual void onAnswerHead(const AnswerHead &head) = 0;
-    virtual void onAnswerBody(std::string_view part) = 0;
-    virtual void onCallEnd(CallEnd how) = 0;
+    virtual ~CallHandler() = default;
+    virtual void onResponseHead(const ResponseHead &head) = 0;
+    virtual void onResponseBody(std::string_view part) = 0;
+    virtual void onCallEnd(CallEnd outcome) = 0;
 };
 
-class ClientConnection : public std::enable_shared_from_this<ClientConnection>, private MessageSink {
+class ClientConnection : public std::enable_shared_from_this<ClientConnection>, private MessageHandler {
   public:
     ClientConnection(asio::io_context &context, std::size_t mostHeadBytes);
 
     // Connects within the time if it is not connected, then sends. The sink stays valid until onCallEnd or
     // drop().
     void call(const asio::ip::tcp::endpoint &to, Duration connectWithin, std::string bytes, bool isHead,
-              CallSink *owner);
+              CallHandler *owner);
     void drop();  // forgets the sink and closes at once
     void pause();
     void resume();
 
     bool reusable() const { return connected && !sink && !closed && !tainted; }
-    bool handedOver() const { return handed > 0; }  // bytes of the present call that the socket took
-    bool spokeUnasked() const { return unasked; }   // bytes came that belong to no call
-    std::function<void()> onIdleClosed;             // the peer has closed it while idle
+    bool startedSending() const { return handed > 0; }  // bytes of the present call that the socket took
+    bool spokeUnasked() const { return unasked; }       // bytes came that belong to no call
+    std::function<void()> onIdleClosed;                 // the peer has closed it while idle
     Duration idleSince{};
 
   private:
@@ -47,13 +47,13 @@
     void send();
     void read();
     void readable();
-    void finish(CallEnd how);
+    void finish(CallEnd outcome);
     void shut();
 
     asio::ip::tcp::socket socket;
     asio::steady_timer timer;
     Parser parser;
-    CallSink *sink = nullptr;
+    CallHandler *sink = nullptr;
     std::string outgoing;
     std::size_t handed = 0;
     bool connected = false, closed = false, reading = false, paused = false, headCall = false,
--- a/src/http/fetch.cpp
+++ b/src/http/fetch.cpp
@@ -33,15 +33,15 @@
     });
 }
 
-void Fetch::onAnswerHead(const AnswerHead &head) {
+void Fetch::onResponseHead(const ResponseHead &head) {
     result.head = head;
     if (line) arm();
 }
 
-void Fetch::onAnswerBody(std::string_view part) {
+void Fetch::onResponseBody(std::string_view part) {
     if (!line || result.head.status != 200) {
         if (result.body.size() + part.size() <= kMostBody) return void(result.body.append(part));
-        result.how = CallEnd::garbage;
+        result.outcome = CallEnd::garbage;
         return finish();
     }
     arm();
@@ -55,11 +55,11 @@
         line(whole);
     }
     partial.erase(0, from);
-    if (partial.size() > kMostLine) result.how = CallEnd::garbage, finish();
+    if (partial.size() > kMostLine) result.outcome = CallEnd::garbage, finish();
 }
 
-void Fetch::onCallEnd(CallEnd how) {
-    result.how = how;
+void Fetch::onCallEnd(CallEnd outcome) {
+    result.outcome = outcome;
     finish();
 }
 
@@ -67,7 +67,7 @@
     const auto held = std::exchange(self, nullptr);
     if (!held) return;
     timer.cancel();
-    result.handedOver = connection->handedOver();
+    result.startedSending = connection->startedSending();
     connection->drop();
     const auto tell = std::exchange(done, nullptr);
     line = nullptr;
--- a/src/http/fetch.hpp
+++ b/src/http/fetch.hpp
@@ -1,6 +1,6 @@
-// One call to a server of ours: the desk, an instance's probe, a gateway's API. Ends within a stated time,
-// with the whole answer; or, as a watch, tells line by line and ends when the peer has been silent for that
-// time.
+// One call to a server of ours: the control plane, an instance's probe, a gateway's API. Ends within a stated
+// time, with the whole answer; or, as a watch, tells line by line and ends when the peer has been silent for
+// that time.
 #pragma once
 
 #include "client.hpp"
@@ -9,15 +9,15 @@
 
 struct Fetched {
     bool inTime = true;
-    bool handedOver = false;  // bytes of the call have left: it may have been carried out
-    CallEnd how = CallEnd::complete;
-    AnswerHead head;
+    bool startedSending = false;  // bytes of the call have left: it may have been carried out
+    CallEnd outcome = CallEnd::complete;
+    ResponseHead head;
     std::string body;  // not of a watch whose status is 200
 
-    bool ok() const { return inTime && how == CallEnd::complete && head.status / 100 == 2; }
+    bool ok() const { return inTime && outcome == CallEnd::complete && head.status / 100 == 2; }
 };
 
-class Fetch : public std::enable_shared_from_this<Fetch>, private CallSink {
+class Fetch : public std::enable_shared_from_this<Fetch>, private CallHandler {
   public:
     using Done = std::function<void(const Fetched &)>;
     using Line = std::function<void(std::string_view)>;
@@ -32,9 +32,9 @@
 
   private:
     explicit Fetch(asio::io_context &context);
-    void onAnswerHead(const AnswerHead &head) override;
-    void onAnswerBody(std::string_view part) override;
-    void onCallEnd(CallEnd how) override;
+    void onResponseHead(const ResponseHead &head) override;
+    void onResponseBody(std::string_view part) override;
+    void onCallEnd(CallEnd outcome) override;
     void arm();
     void finish();
 
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -68,7 +68,7 @@
     return out;
 }
 
-std::string write(const AnswerHead &head, bool closes) {
+std::string write(const ResponseHead &head, bool closes) {
     std::string out = "HTTP/1.1 " + std::to_string(head.status) + " ";
     out.append(head.reason.empty() ? reasonOf(head.status) : std::string_view(head.reason)).append("\r\n");
     addRest(out, head, closes);
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -28,7 +28,7 @@
     bool upgrade = false;
     bool old = false;  // HTTP/1.0
 };
-struct AnswerHead : Head {
+struct ResponseHead : Head {
     int status = 0;
     std::string reason;
 };
@@ -41,6 +41,6 @@
 
 // A whole head with its empty line. Framing comes from length and chunked; the rest from headers.
 std::string write(const RequestHead &head);
-std::string write(const AnswerHead &head, bool closes);
+std::string write(const ResponseHead &head, bool closes);
 
 }  // namespace deckcart::http
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -50,7 +50,7 @@
     }
 };
 
-Parser::Parser(Kind which, std::size_t mostHeadBytes, MessageSink &owner)
+Parser::Parser(Kind which, std::size_t mostHeadBytes, MessageHandler &owner)
     : kind(which), mostHead(mostHeadBytes), sink(owner) {
     reset();
 }
--- a/src/http/parser.hpp
+++ b/src/http/parser.hpp
@@ -12,9 +12,9 @@
 enum class Fault { none, malformed, headTooLarge, unsupported };
 
 // What a parser tells its owner, in order: head, body parts, end.
-class MessageSink {
+class MessageHandler {
   public:
-    virtual ~MessageSink() = default;
+    virtual ~MessageHandler() = default;
     // False: the message has no body, whatever its head says (an answer to HEAD).
     virtual bool onHead() = 0;
     virtual void onBody(std::string_view part) = 0;
@@ -24,7 +24,7 @@
 class Parser {
   public:
     enum class Kind { request, answer };
-    Parser(Kind kind, std::size_t mostHeadBytes, MessageSink &owner);
+    Parser(Kind kind, std::size_t mostHeadBytes, MessageHandler &owner);
 
     // Reads up to the end of the present message; returns how many bytes that took. Stops at a fault.
     std::size_t feed(std::string_view bytes);
@@ -36,7 +36,7 @@
     bool begun() const { return stage != Stage::start; }
     bool done() const { return stage == Stage::done; }
     const RequestHead &request() const { return requestHead; }
-    const AnswerHead &answer() const { return answerHead; }
+    const ResponseHead &answer() const { return answerHead; }
 
   private:
     enum class Stage { start, head, length, chunked, untilClose, done };
@@ -53,7 +53,7 @@
 
     Kind kind;
     std::size_t mostHead;
-    MessageSink &sink;
+    MessageHandler &sink;
     http_parser state{};
     Stage stage = Stage::start;
     Line line = Line::start;
@@ -67,7 +67,7 @@
     std::string name, value;
     bool inValue = false;
     RequestHead requestHead;
-    AnswerHead answerHead;
+    ResponseHead answerHead;
 
     friend struct ParserCallbacks;
 };
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -9,8 +9,8 @@
 
 using asio::ip::tcp;
 
-struct Door::Core : std::enable_shared_from_this<Door::Core> {
-    Core(asio::io_context &io, const tcp::endpoint &at, DoorLimits most, Handler take)
+struct Listener::Core : std::enable_shared_from_this<Listener::Core> {
+    Core(asio::io_context &io, const tcp::endpoint &at, ListenerLimits most, Handler take)
         : context(io), acceptor(io), limits(most), handler(std::move(take)), retry(io) {
         listenAt(acceptor, at);
         local = acceptor.local_endpoint();
@@ -21,7 +21,7 @@
     asio::io_context &context;
     tcp::acceptor acceptor;
     tcp::endpoint local;
-    DoorLimits limits;
+    ListenerLimits limits;
     Handler handler;
     asio::steady_timer retry;
     std::set<ServerConnection *> open;
@@ -29,15 +29,15 @@
     std::array<char, 64 * 1024> buffer;  // shared: an idle connection holds none of its own
 };
 
-class ServerConnection : public std::enable_shared_from_this<ServerConnection>, private MessageSink {
+class ServerConnection : public std::enable_shared_from_this<ServerConnection>, private MessageHandler {
   public:
-    ServerConnection(std::shared_ptr<Door::Core> of, tcp::socket with)
-        : door(std::move(of)), socket(std::move(with)), timer(socket.get_executor()),
-          parser(Parser::Kind::request, door->limits.headBytes, *this) {
+    ServerConnection(std::shared_ptr<Listener::Core> of, tcp::socket with)
+        : listener(std::move(of)), socket(std::move(with)), timer(socket.get_executor()),
+          parser(Parser::Kind::request, listener->limits.headBytes, *this) {
         settle(socket);
     }
 
-    void start() { watch(door->limits.idleFor), read(); }
+    void start() { watch(listener->limits.idleFor), read(); }
 
     void write(std::string_view bytes) {
         if (closed) return;
@@ -61,7 +61,9 @@
         else finishing = true;
     }
     void abort() { shut(true); }
-    bool closesAfter(const RequestHead &head) const { return !head.keepAlive || closing || door->draining; }
+    bool closesAfter(const RequestHead &head) const {
+        return !head.keepAlive || closing || listener->draining;
+    }
     void drain() {
         if (!current && !parser.begun() && !finishing) shut(false);
     }
@@ -73,7 +75,7 @@
         if (reset) socket.set_option(asio::socket_base::linger(true, 0), ignored);
         socket.close(ignored);
         timer.cancel();
-        door->left(this);
+        listener->left(this);
         if (const auto gone = std::exchange(current, nullptr); gone && !gone->ended && gone->onGone) {
             const auto tell = gone->onGone;
             tell();
@@ -88,7 +90,7 @@
 
     void read() {
         if (closed || reading || refused) return;
-        if (current && pending.size() >= door->limits.pipelinedBytes)
+        if (current && pending.size() >= listener->limits.pipelinedBytes)
             return;  // goes on with the next request
         reading = true;
         socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](asio::error_code fault) {
@@ -101,20 +103,20 @@
 
     void readable() {
         asio::error_code fault;
-        std::size_t room = door->buffer.size();
-        if (current) room = std::min(room, door->limits.pipelinedBytes - pending.size());
-        const auto n = socket.read_some(asio::buffer(door->buffer.data(), room), fault);
+        std::size_t room = listener->buffer.size();
+        if (current) room = std::min(room, listener->limits.pipelinedBytes - pending.size());
+        const auto n = socket.read_some(asio::buffer(listener->buffer.data(), room), fault);
         if (fault == asio::error::would_block) return read();
         // The peer closing its side ends what it asked for: a client that is gone is not worth a try.
         if (fault) return shut(false);
-        take({door->buffer.data(), n});
+        take({listener->buffer.data(), n});
         read();
     }
 
     void take(std::string_view bytes) {
         while (!bytes.empty() && !closed && !refused) {
             if (current || finishing) return void(pending.append(bytes));
-            if (!parser.begun()) watch(door->limits.messageWithin);
+            if (!parser.begun()) watch(listener->limits.messageWithin);
             bytes.remove_prefix(parser.feed(bytes));
             if (parser.fault() == Fault::malformed) return refuse(400, "malformed request");
             if (parser.fault() == Fault::headTooLarge) return refuse(431, "head over the limit");
@@ -127,14 +129,14 @@
         const auto &head = parser.request();
         building = std::make_shared<Exchange>();
         if (head.upgrade) refuse(501, "no upgrades");
-        else if (head.length.value_or(0) > door->limits.bodyBytes) refuse(413, "body over the limit");
+        else if (head.length.value_or(0) > listener->limits.bodyBytes) refuse(413, "body over the limit");
         else if (head.expectsContinue && (head.chunked || head.length.value_or(0) > 0))
             write("HTTP/1.1 100 Continue\r\n\r\n");
         return true;
     }
     void onBody(std::string_view part) override {
         if (refused) return;
-        if (building->body.size() + part.size() > door->limits.bodyBytes)
+        if (building->body.size() + part.size() > listener->limits.bodyBytes)
             return refuse(413, "body over the limit");
         building->body.append(part);
     }
@@ -147,13 +149,14 @@
         current->bodiless = current->head.method == "HEAD";
         parser.reset();
         const auto handed = current;
-        door->handler(handed);
+        listener->handler(handed);
     }
 
-    // A request that is refused at the door: the rest of what this peer sends can't be trusted to be in step.
+    // A request that is refused at the listener: the rest of what this peer sends can't be trusted to be in
+    // step.
     void refuse(int status, std::string_view words) {
         refused = closing = true;
-        AnswerHead head;
+        ResponseHead head;
         head.status = status, head.length = words.size() + 1;
         head.headers = {{"Content-Type", "text/plain"}};
         const bool bodiless = parser.request().method == "HEAD";
@@ -166,13 +169,13 @@
     void linger() {
         asio::error_code ignored;
         socket.shutdown(tcp::socket::shutdown_send, ignored);
-        watch(std::min(door->limits.slowPeerFor, Duration{std::chrono::seconds(1)}));
+        watch(std::min(listener->limits.slowPeerFor, Duration{std::chrono::seconds(1)}));
         swallow();
     }
     void swallow() {
         socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](asio::error_code fault) {
             if (self->closed) return;
-            if (!fault) self->socket.read_some(asio::buffer(self->door->buffer), fault);
+            if (!fault) self->socket.read_some(asio::buffer(self->listener->buffer), fault);
             if (fault && fault != asio::error::would_block) return self->shut(false);
             self->swallow();
         });
@@ -181,10 +184,10 @@
     void next() {
         finishing = false;
         if (refused) return linger();
-        if (closing || door->draining) {
+        if (closing || listener->draining) {
             return linger();  // what was read ahead is not answered: the peer sees its connection end here
         }
-        watch(door->limits.idleFor);
+        watch(listener->limits.idleFor);
         if (pending.empty()) return read();
         // On a turn of its own, so that a long pipeline does not nest.
         asio::post(socket.get_executor(), [self = shared_from_this()] {
@@ -214,7 +217,7 @@
     }
 
     // The least rate of a reader: one full queue, at most the stated waiting bytes, within the stated time.
-    void watchWriting() { watch(door->limits.slowPeerFor); }
+    void watchWriting() { watch(listener->limits.slowPeerFor); }
     void watch(Duration within) {
         if (within <= Duration{0}) return void(timer.cancel());
         timer.expires_after(within);
@@ -228,7 +231,7 @@
         });
     }
 
-    std::shared_ptr<Door::Core> door;
+    std::shared_ptr<Listener::Core> listener;
     tcp::socket socket;
     asio::steady_timer timer;
     Parser parser;
@@ -242,7 +245,7 @@
 
 bool Exchange::open() const { return !ended && !connection.expired(); }
 
-void Exchange::answer(AnswerHead what, std::string_view text) {
+void Exchange::answer(ResponseHead what, std::string_view text) {
     const auto to = connection.lock();
     if (begun) return;
     what.length = text.size();
@@ -253,13 +256,13 @@
     end();
 }
 
-void Exchange::begin(AnswerHead what) {
+void Exchange::begin(ResponseHead what) {
     if (begun) return;
     const std::string text = opening(std::move(what));
     if (const auto to = connection.lock()) to->write(text);
 }
 
-std::string Exchange::opening(AnswerHead what) {
+std::string Exchange::opening(ResponseHead what) {
     const auto to = connection.lock();
     begun = true;
     if (head.old && what.chunked) what.chunked = false, head.keepAlive = false;  // HTTP/1.0 knows no chunks
@@ -317,16 +320,16 @@
     return to ? to->waiting() : 0;
 }
 
-// ---- Door ----
+// ---- Listener ----
 
-void Door::Core::accept() {
+void Listener::Core::accept() {
     if (draining || accepting || !acceptor.is_open()) return;
     if (open.size() >= limits.connections) return;  // left() goes on
     accepting = true;
     acceptor.async_accept([self = shared_from_this()](asio::error_code fault, tcp::socket socket) {
         self->accepting = false;
         if (self->draining || fault == asio::error::operation_aborted) return;
-        if (fault) {  // out of descriptors, or a peer that left at once: neither ends the door
+        if (fault) {  // out of descriptors, or a peer that left at once: neither ends the listener
             self->retry.expires_after(std::chrono::milliseconds(20));
             self->retry.async_wait([self](asio::error_code) { self->accept(); });
             return;
@@ -338,30 +341,30 @@
     });
 }
 
-void Door::Core::left(ServerConnection *which) {
+void Listener::Core::left(ServerConnection *which) {
     open.erase(which);
     accept();
 }
 
-Door::Door(asio::io_context &context, const tcp::endpoint &at, DoorLimits limits, Handler handler)
+Listener::Listener(asio::io_context &context, const tcp::endpoint &at, ListenerLimits limits, Handler handler)
     : core(std::make_shared<Core>(context, at, limits, std::move(handler))) {
     core->accept();
 }
-Door::~Door() { close(); }
-tcp::endpoint Door::address() const { return core->local; }
-void Door::limit(const DoorLimits &limits) {
+Listener::~Listener() { close(); }
+tcp::endpoint Listener::address() const { return core->local; }
+void Listener::limit(const ListenerLimits &limits) {
     core->limits = limits;
     core->accept();
 }
-std::size_t Door::connections() const { return core->open.size(); }
+std::size_t Listener::connections() const { return core->open.size(); }
 
-void Door::drain() {
+void Listener::drain() {
     core->draining = true;
     asio::error_code ignored;
     core->acceptor.close(ignored);
     for (ServerConnection *one : std::set<ServerConnection *>(core->open)) one->drain();
 }
-void Door::close() {
+void Listener::close() {
     drain();
     for (ServerConnection *one : std::set<ServerConnection *>(core->open)) one->shut(true);
     core->handler = [](std::shared_ptr<Exchange>) {};
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,5 +1,5 @@
 // The listening side of HTTP/1.1 on Asio: accepts, reads requests within stated limits, answers them in
-// order. The gateway, its API and the stand-ins all stand behind this door; what a request means is its
+// order. The gateway, its API and the stand-ins all stand behind this listener; what a request means is its
 // owner's business.
 #pragma once
 
@@ -14,13 +14,13 @@
 
 namespace deckcart::http {
 
-// What may come through a door. What goes over is refused early: 431, 413, 408, or accepting pauses.
-struct DoorLimits {
-    std::size_t connections = 4096;  // beyond it the door stops accepting until one has closed
+// What may come through a listener. What goes over is refused early: 431, 413, 408, or accepting pauses.
+struct ListenerLimits {
+    std::size_t connections = 4096;  // beyond it the listener stops accepting until one has closed
     std::size_t headBytes = 16 * 1024;
     std::size_t bodyBytes = 1024 * 1024;
     std::size_t pipelinedBytes =
-        16 * 1024;  // read ahead while a request is in hand; then the door stops reading
+        16 * 1024;  // read ahead while a request is in hand; then the listener stops reading
     std::size_t waitingBytes = 256 * 1024;  // of an answer for a slow reader: a writer should pause beyond
     Duration messageWithin = std::chrono::seconds(10);  // from a request's first byte to its last
     Duration idleFor = std::chrono::seconds(60);        // between requests
@@ -38,9 +38,9 @@
 
     bool open() const;  // the peer is there and no final answer has ended
     bool answered() const { return begun; }
-    void answer(AnswerHead what, std::string_view text);
+    void answer(ResponseHead what, std::string_view text);
     // Framing by what.length or what.chunked; without either the end of the connection ends the answer.
-    void begin(AnswerHead what);
+    void begin(ResponseHead what);
     void write(std::string_view part);
     void end();
     void abort();                              // cuts the connection: the answer can't be completed
@@ -51,7 +51,7 @@
 
   private:
     friend class ServerConnection;
-    std::string opening(AnswerHead what);
+    std::string opening(ResponseHead what);
     std::weak_ptr<ServerConnection> connection;
     bool begun = false, ended = false, chunked = false, bodiless = false;
     std::uint64_t owed = 0;  // of a stated length
@@ -59,18 +59,18 @@
 };
 
 // Accepts on one address until closed. Lives as long as its io_context runs its handlers.
-class Door {
+class Listener {
   public:
     using Handler = std::function<void(std::shared_ptr<Exchange>)>;
 
-    Door(asio::io_context &context, const asio::ip::tcp::endpoint &address, DoorLimits limits,
-         Handler handler);
-    ~Door();
-    Door(const Door &) = delete;
-    Door &operator=(const Door &) = delete;
+    Listener(asio::io_context &context, const asio::ip::tcp::endpoint &address, ListenerLimits limits,
+             Handler handler);
+    ~Listener();
+    Listener(const Listener &) = delete;
+    Listener &operator=(const Listener &) = delete;
 
     asio::ip::tcp::endpoint address() const;
-    void limit(const DoorLimits &limits);
+    void limit(const ListenerLimits &limits);
     // Accepts no more and ends idle connections; requests in hand are answered, each with its connection
     // closed.
     void drain();
--- a/src/membership/merge.cpp
+++ b/src/membership/merge.cpp
@@ -11,7 +11,7 @@
 
 const char *nameOf(SourceKind kind) {
     switch (kind) {
-    case SourceKind::desk: return "desk";
+    case SourceKind::controlPlane: return "desk";
     case SourceKind::nodes: return "nodes";
     case SourceKind::srv: return "srv";
     }
--- a/src/membership/merge.hpp
+++ b/src/membership/merge.hpp
@@ -12,12 +12,12 @@
 
 namespace deckcart::membership {
 
-enum class SourceKind { desk, nodes, srv };
+enum class SourceKind { controlPlane, nodes, srv };
 const char *nameOf(SourceKind kind);
 
 struct SourceRule {
     std::string name;
-    SourceKind kind = SourceKind::desk;
+    SourceKind kind = SourceKind::controlPlane;
 };
 
 struct MergeRules {
--- a/src/platform/commands.cpp
+++ b/src/platform/commands.cpp
@@ -24,7 +24,7 @@
     return args[0] == "Q.ASK" || args[0] == "Q.DO";
 }
 
-CommandRead readCommand(std::vector<std::string> args, const wire::DeploymentSettings &settings) {
+CommandRead readCommand(std::vector<std::string> args, const simulator::DeploymentSettings &settings) {
     CommandRead out;
     const auto refuse = [&](const char *words) {
         out.refusal = std::string("ERR ") + words;
--- a/src/platform/commands.hpp
+++ b/src/platform/commands.hpp
@@ -20,13 +20,13 @@
     Command command;
     std::string refusal;  // not empty: the words of an error, and the others mean nothing
 };
-CommandRead readCommand(std::vector<std::string> args, const wire::DeploymentSettings &settings);
+CommandRead readCommand(std::vector<std::string> args, const simulator::DeploymentSettings &settings);
 bool isRequestCommand(const std::vector<std::string> &args);
 
 std::string instanceCommand(const Command &from, Duration wait);
 
 struct ReplyRead {
-    Outcome how = Outcome::error;
+    Outcome outcome = Outcome::error;
     std::string value;
 };
 ReplyRead readReply(resp::Value reply);
--- a/src/platform/control_plane.cpp
+++ b/src/platform/control_plane.cpp
@@ -127,10 +127,12 @@
     });
 }
 
-// ---- the desk ----
+// ---- the control plane ----
 
-PlatformDesk::PlatformDesk(asio::io_context &io, Directory &where, const wire::DeploymentSettings &with,
-                           At places, std::uint64_t seed, Log to, std::int64_t known, DeskOwner from)
+PlatformControlPlaneClient::PlatformControlPlaneClient(asio::io_context &io, Directory &where,
+                                                       const simulator::DeploymentSettings &with, At places,
+                                                       std::uint64_t seed, Log to, std::int64_t known,
+                                                       ControlPlaneObserver from)
     : context(io), directory(where), settings(with), at(places), log(std::move(to)), owner(std::move(from)),
       generation(known),
       list(
@@ -162,31 +164,31 @@
 }
 
 // The streams stand always: the platform sends by itself, also where the module would ask.
-void PlatformDesk::follow(bool) {}
+void PlatformControlPlaneClient::follow(bool) {}
 
-void PlatformDesk::move(const At &to) {
+void PlatformControlPlaneClient::move(const At &to) {
     if (to.discovery != at.discovery) list.open(to.discovery);
     if (to.control != at.control) bulletin.open(to.control);
     at = to;
 }
 
-void PlatformDesk::took(const Members &told) {
+void PlatformControlPlaneClient::took(const Members &told) {
     if (told.generation < generation) return;  // overtaken: it changes nothing
     generation = told.generation;
     directory.note(told);
     owner.tell(listTold(told));
 }
 
-void PlatformDesk::vote(const Vote &vote, Duration within) {
+void PlatformControlPlaneClient::vote(const Vote &vote, Duration within) {
     http::RequestHead head;
     head.method = "POST", head.target = "/apis/fleet/";
     head.headers = {{"Content-Type", "application/x-www-form-urlencoded"}};
     calls.add(http::Fetch::start(
         context, at.control, head, voteForm(vote), within, [this](const http::Fetched &got) {
-            if (got.inTime && got.how == CallEnd::complete)
+            if (got.inTime && got.outcome == CallEnd::complete)
                 return owner.tell(readVoteAnswer(got.head.status, got.body));
             // Not carried out where nothing was handed over; else it may have been.
-            owner.tell(voteFailed(got.handedOver ? Outcome::timeout : Outcome::error));
+            owner.tell(voteFailed(got.startedSending ? Outcome::timeout : Outcome::error));
         }));
 }
 
--- a/src/platform/control_plane.hpp
+++ b/src/platform/control_plane.hpp
@@ -46,13 +46,14 @@
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
-class PlatformDesk : public Desk {
+class PlatformControlPlaneClient : public ControlPlaneClient {
   public:
     struct At {
         asio::ip::tcp::endpoint discovery, control;
     };
-    PlatformDesk(asio::io_context &context, Directory &directory, const wire::DeploymentSettings &settings,
-                 At at, std::uint64_t seed, Log log, std::int64_t generation, DeskOwner owner);
+    PlatformControlPlaneClient(asio::io_context &context, Directory &directory,
+                               const simulator::DeploymentSettings &settings, At at, std::uint64_t seed,
+                               Log log, std::int64_t generation, ControlPlaneObserver owner);
 
     void follow(bool active) override;
     void vote(const Vote &vote, Duration within) override;
@@ -63,10 +64,10 @@
 
     asio::io_context &context;
     Directory &directory;
-    const wire::DeploymentSettings &settings;
+    const simulator::DeploymentSettings &settings;
     At at;
     Log log;
-    DeskOwner owner;
+    ControlPlaneObserver owner;
     std::int64_t generation;
     Stream list, bulletin;
     http::Fetches calls;
--- a/src/platform/documents.cpp
+++ b/src/platform/documents.cpp
@@ -177,7 +177,7 @@
     UsageReport out{BuildNumber(number(from, "image", 0, kMostBuild)), int(route - routes.begin()),
                     int(number(from, "n", 0, 1e9)), int(number(from, "bad", 0, 1e9)),
                     Duration{std::llround(number(from, "lag_ms", 0, kMostLagMs) * 1000)}};
-    if (out.lost > out.counted) bad("bad", "is over n");
+    if (out.failures > out.attempts) bad("bad", "is over n");
     return out;
 }
 
@@ -260,7 +260,7 @@
     const json &control = need(from, "platform");
     out.control = addressOf(control, "address", "platform");
     const json &settings = need(from, "settings");
-    out.settings = within("settings", [&] { return wire::readSettings(settings, out.seed); });
+    out.settings = within("settings", [&] { return simulator::readSettings(settings, out.seed); });
     if (const auto told = control.find("news"); told != control.end() && !told->is_null())
         out.news = within("platform.news", [&] { return readNews(*told); });
     out.known = within("known", [&] { return readMembers(need(from, "known"), out.settings.zones); });
--- a/src/platform/documents.hpp
+++ b/src/platform/documents.hpp
@@ -55,7 +55,7 @@
     std::size_t memoryMb = 0, sockets = 0;
     Members known;
     std::optional<RolloutUpdate> news;
-    wire::DeploymentSettings settings;
+    simulator::DeploymentSettings settings;
 };
 Start readStart(const std::string &text);
 
--- a/src/platform/downstream.cpp
+++ b/src/platform/downstream.cpp
@@ -19,15 +19,15 @@
     }
 
     bool open() const override { return exchange->open(); }
-    bool clientThere() const override { return open() && exchange->peerThere(); }
-    void shed(const std::string &, Duration retryIn) override {
-        const auto ms = retryIn.count() / 1000;
+    bool isClientConnected() const override { return open() && exchange->peerThere(); }
+    void shed(const std::string &, Duration retryAfter) override {
+        const auto ms = retryAfter.count() / 1000;
         say(ms > 0 ? resp::error("BUSY " + std::to_string(ms)) : resp::error("BUSY"));
     }
     void errored(const std::string &, bool) override { say(resp::error("ERR failed")); }
-    void completed(Call &, std::string_view answer) override { say(resp::bulk(answer)); }
+    void completed(UpstreamCall &, std::string_view answer) override { say(resp::bulk(answer)); }
     // Values are bounded and passed on whole: these are for answers of other ways.
-    void begin(Call &) override {}
+    void begin(UpstreamCall &) override {}
     void write(std::string_view) override {}
     void end() override {}
     void abort() override { exchange->abort(); }
@@ -53,13 +53,14 @@
     return static_cast<const RespRequest &>(request).command;
 }
 
-RespFront::RespFront(asio::io_context &io, const Clock &time, const asio::ip::tcp::endpoint &at,
-                     const resp::DoorLimits &limits, const wire::DeploymentSettings &with, FrontOwner to)
+RespDownstream::RespDownstream(asio::io_context &io, const Clock &time, const asio::ip::tcp::endpoint &at,
+                               const resp::ListenerLimits &limits, const simulator::DeploymentSettings &with,
+                               DownstreamHandler to)
     : clock(time), settings(with), owner(std::move(to)),
       names(std::make_shared<OpenNames>(with.longestTimeout())),
-      door(io, at, limits, [this](const std::shared_ptr<resp::Exchange> &e) { arrived(e); }) {}
+      listener(io, at, limits, [this](const std::shared_ptr<resp::Exchange> &e) { arrived(e); }) {}
 
-void RespFront::arrived(const std::shared_ptr<resp::Exchange> &exchange) {
+void RespDownstream::arrived(const std::shared_ptr<resp::Exchange> &exchange) {
     auto &args = exchange->args;
     if (!isRequestCommand(args)) {
         if (args[0] == "PING" && args.size() == 1) return exchange->answer("+PONG\r\n");
--- a/src/platform/downstream.hpp
+++ b/src/platform/downstream.hpp
@@ -10,25 +10,26 @@
 
 class RespRequest;
 
-class RespFront : public Front {
+class RespDownstream : public Downstream {
   public:
-    RespFront(asio::io_context &context, const Clock &clock, const asio::ip::tcp::endpoint &at,
-              const resp::DoorLimits &limits, const wire::DeploymentSettings &settings, FrontOwner owner);
+    RespDownstream(asio::io_context &context, const Clock &clock, const asio::ip::tcp::endpoint &at,
+                   const resp::ListenerLimits &limits, const simulator::DeploymentSettings &settings,
+                   DownstreamHandler owner);
 
-    void open() { door.open(); }  // who has connected before waits until then
-    asio::ip::tcp::endpoint address() const override { return door.address(); }
+    void open() { listener.open(); }  // who has connected before waits until then
+    asio::ip::tcp::endpoint address() const override { return listener.address(); }
     void limit() override {}
-    void drain(std::function<void()> ended) override { door.drain(std::move(ended)); }
-    std::size_t connections() const override { return door.connections(); }
+    void drain(std::function<void()> ended) override { listener.drain(std::move(ended)); }
+    std::size_t connections() const override { return listener.connections(); }
 
   private:
     void arrived(const std::shared_ptr<resp::Exchange> &exchange);
 
     const Clock &clock;
-    const wire::DeploymentSettings &settings;
-    FrontOwner owner;
+    const simulator::DeploymentSettings &settings;
+    DownstreamHandler owner;
     std::shared_ptr<OpenNames> names;
-    resp::Door door;
+    resp::Listener listener;
 };
 
 // The client's command of a request that this front has taken.
--- a/src/platform/limits.cpp
+++ b/src/platform/limits.cpp
@@ -66,8 +66,8 @@
 // As long again for the answer as for the connection.
 Duration probeWithin(Duration connectWithin) { return 2 * connectWithin; }
 
-resp::DoorLimits doorLimits(const Bounds &bounds) {
-    resp::DoorLimits out;
+resp::ListenerLimits listenerLimits(const Bounds &bounds) {
+    resp::ListenerLimits out;
     out.connections = bounds.clients;
     out.message.bulkBytes = bounds.bodyBytes;
     out.message.totalBytes = bounds.bodyBytes + 2 * kMostWords;
--- a/src/platform/limits.hpp
+++ b/src/platform/limits.hpp
@@ -40,7 +40,7 @@
 StreamTimes listTimes();
 StreamTimes bulletinTimes();
 Duration probeWithin(Duration connectWithin);
-resp::DoorLimits doorLimits(const Bounds &bounds);
+resp::ListenerLimits listenerLimits(const Bounds &bounds);
 resp::Limits replyLimits(const Bounds &bounds);
 Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t maxRequests, Duration keptIdle);
 
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -35,7 +35,7 @@
         }
         bounds = divide(start.sockets, start.memoryMb, start.settings.maxRequestsInFlight,
                         start.settings.keptIdle);
-        ways = std::make_unique<PlatformWays>(context, clock, start, bounds, log);
+        transport = std::make_unique<PlatformTransport>(context, clock, start, bounds, log);
         GatewaySettings settings = gatewaySettingsOf(start, bounds);
         settings.requestLogSample = requestLogSample;
         if (!open(settings)) return 1;
@@ -56,7 +56,7 @@
     bool open(const GatewaySettings &settings) {
         const auto until = std::chrono::steady_clock::now() + platform::starting().listensWithin;
         for (bool said = false; !gateway; said = true) try {
-                gateway = std::make_unique<Gateway>(context, clock, settings, start.seed, log, *ways);
+                gateway = std::make_unique<Gateway>(context, clock, settings, start.seed, log, *transport);
             } catch (const std::system_error &fault) {
                 const bool waits =
                     fault.code() == asio::error::address_in_use && std::chrono::steady_clock::now() < until;
@@ -71,7 +71,7 @@
     void ready() {
         if (std::exchange(serving, true)) return;
         listWithin.cancel();
-        ways->fronts->open();
+        transport->respDownstream->open();
         log.info("ready", {{"name", start.name},
                            {"listen", format(gateway->address())},
                            {"known", start.known.members.size()},
@@ -83,7 +83,7 @@
     nlohmann::json counts() const {
         nlohmann::json out = countsOf(*gateway);
         out["refused"] = gateway->counts().unrouted, out["clients"] = gateway->connections();
-        out["upstreams"] = ways->calls->connections();
+        out["upstreams"] = transport->upstreamPool->connections();
         return out;
     }
     void report() {
@@ -110,7 +110,7 @@
     void reload() {
         try {
             const Start again = read(file);
-            ways->desks->move({again.discovery, again.control});
+            transport->controlPlaneClient->move({again.discovery, again.control});
             log.info("configuration",
                      {{"discovery", format(again.discovery)}, {"control", format(again.control)}});
         } catch (const std::exception &fault) {
@@ -143,7 +143,7 @@
     asio::steady_timer listWithin, acceptsUntil, answersUntil, stopsAt, reporter;
     Start start;
     Bounds bounds;
-    std::unique_ptr<PlatformWays> ways;
+    std::unique_ptr<PlatformTransport> transport;
     std::unique_ptr<Gateway> gateway;
     bool serving = false, ending = false;
 };
--- a/src/platform/transport.cpp
+++ b/src/platform/transport.cpp
@@ -2,23 +2,25 @@
 
 namespace deckcart::platform {
 
-std::unique_ptr<Front> PlatformWays::front(const GatewaySettings &, FrontOwner owner) const {
-    auto out = std::make_unique<RespFront>(context, clock, start.listen, doorLimits(bounds), start.settings,
-                                           std::move(owner));
-    fronts = out.get();
+std::unique_ptr<Downstream> PlatformTransport::downstream(const GatewaySettings &,
+                                                          DownstreamHandler owner) const {
+    auto out = std::make_unique<RespDownstream>(context, clock, start.listen, listenerLimits(bounds),
+                                                start.settings, std::move(owner));
+    respDownstream = out.get();
     return out;
 }
-std::unique_ptr<Upstreams> PlatformWays::upstreams(const GatewaySettings &) const {
-    auto out = std::make_unique<RespUpstreams>(context, clock, directory, bounds, start.settings);
-    calls = out.get();
+std::unique_ptr<UpstreamPool> PlatformTransport::upstreams(const GatewaySettings &) const {
+    auto out = std::make_unique<RespUpstreamPool>(context, clock, directory, bounds, start.settings);
+    upstreamPool = out.get();
     return out;
 }
-std::unique_ptr<Desk> PlatformWays::desk(const GatewaySettings &, DeskOwner owner) const {
+std::unique_ptr<ControlPlaneClient> PlatformTransport::controlPlane(const GatewaySettings &,
+                                                                    ControlPlaneObserver owner) const {
     directory.note(start.known);
-    auto out = std::make_unique<PlatformDesk>(context, directory, start.settings,
-                                              PlatformDesk::At{start.discovery, start.control}, start.seed,
-                                              log, start.known.generation, std::move(owner));
-    desks = out.get();
+    auto out = std::make_unique<PlatformControlPlaneClient>(
+        context, directory, start.settings, PlatformControlPlaneClient::At{start.discovery, start.control},
+        start.seed, log, start.known.generation, std::move(owner));
+    controlPlaneClient = out.get();
     return out;
 }
 
--- a/src/platform/transport.hpp
+++ b/src/platform/transport.hpp
@@ -9,20 +9,22 @@
 
 namespace deckcart::platform {
 
-class PlatformWays : public Ways {
+class PlatformTransport : public Transport {
   public:
     // `start` outlives the gateway.
-    PlatformWays(asio::io_context &io, const Clock &time, const Start &with, const Bounds &most, Log to)
+    PlatformTransport(asio::io_context &io, const Clock &time, const Start &with, const Bounds &most, Log to)
         : context(io), clock(time), start(with), bounds(most), log(std::move(to)) {}
 
-    std::unique_ptr<Front> front(const GatewaySettings &settings, FrontOwner owner) const override;
-    std::unique_ptr<Upstreams> upstreams(const GatewaySettings &settings) const override;
-    std::unique_ptr<Desk> desk(const GatewaySettings &settings, DeskOwner owner) const override;
+    std::unique_ptr<Downstream> downstream(const GatewaySettings &settings,
+                                           DownstreamHandler owner) const override;
+    std::unique_ptr<UpstreamPool> upstreams(const GatewaySettings &settings) const override;
+    std::unique_ptr<ControlPlaneClient> controlPlane(const GatewaySettings &settings,
+                                                     ControlPlaneObserver owner) const override;
 
     // Of the gateway that was made with these.
-    mutable PlatformDesk *desks = nullptr;
-    mutable const RespUpstreams *calls = nullptr;
-    mutable RespFront *fronts = nullptr;
+    mutable PlatformControlPlaneClient *controlPlaneClient = nullptr;
+    mutable const RespUpstreamPool *upstreamPool = nullptr;
+    mutable RespDownstream *respDownstream = nullptr;
 
   private:
     asio::io_context &context;
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -4,38 +4,39 @@
 
 namespace deckcart::platform {
 
-class RespCall : public Call {
+class RespCall : public UpstreamCall {
   public:
-    RespCall(RespUpstreams &of, std::weak_ptr<bool> here, EndpointId to, RespUpstreams::Connection over)
+    RespCall(RespUpstreamPool &of, std::weak_ptr<bool> here, EndpointId to, RespUpstreamPool::Connection over)
         : upstreams(of), alive(std::move(here)), endpoint(std::move(to)), connection(std::move(over)) {}
     ~RespCall() override { release({}); }
 
-    void start(const DownstreamRequest &request, const std::string &, HandOver handOver, BuildNumber,
-               CallOwner *owner) override {
+    void start(const DownstreamRequest &request, const std::string &, PreSendCheck preSendCheck, BuildNumber,
+               CallObserver *owner) override {
         // What the try was decided for is what it goes to: an id may come back elsewhere, or as another
         // build.
-        const auto bytes = [this, &request, handOver = std::move(handOver)]() -> std::string {
+        const auto bytes = [this, &request, preSendCheck = std::move(preSendCheck)]() -> std::string {
             const auto *now = upstreams.directory.find(endpoint);
             if (!now || !(*now == connection->place)) return {};
-            const auto left = handOver();
+            const auto left = preSendCheck();
             return left ? instanceCommand(commandOf(request), *left) : std::string{};
         };
         connection->call(connection->place.address, upstreams.settings.connectWithin, bytes,
-                         [this, owner](CallEnd how, resp::Value reply) {
+                         [this, owner](CallEnd outcome, resp::Value reply) {
                              // One that breaks off within its answer is as one that can't be read.
-                             if (how != CallEnd::complete)
-                                 return owner->onCallEnd(how == CallEnd::garbage || connection->answerBegun()
-                                                             ? Outcome::malformed
-                                                         : connection->handedOver() ? Outcome::reset
-                                                                                    : Outcome::connectFailed);
+                             if (outcome != CallEnd::complete)
+                                 return owner->onCallEnd(
+                                     outcome == CallEnd::garbage || connection->answerBegun()
+                                         ? Outcome::malformed
+                                     : connection->startedSending() ? Outcome::reset
+                                                                    : Outcome::connectFailed);
                              ReplyRead read = readReply(std::move(reply));
                              // What came is no answer of an instance: more may follow.
-                             if (read.how == Outcome::malformed) connection->drop();
-                             if (read.how == Outcome::ok) owner->onAnswer(read.value);
-                             owner->onCallEnd(read.how);
+                             if (read.outcome == Outcome::malformed) connection->drop();
+                             if (read.outcome == Outcome::ok) owner->onResponse(read.value);
+                             owner->onCallEnd(read.outcome);
                          });
     }
-    bool handedOver() const override { return connection->handedOver(); }
+    bool startedSending() const override { return connection->startedSending(); }
     void look() override { connection->look(); }
     void release(Duration) override {
         if (std::exchange(released, true)) return;
@@ -44,18 +45,18 @@
     }
 
   private:
-    RespUpstreams &upstreams;
+    RespUpstreamPool &upstreams;
     std::weak_ptr<bool> alive;
     EndpointId endpoint;
-    RespUpstreams::Connection connection;
+    RespUpstreamPool::Connection connection;
     bool released = false;
 };
 
-RespUpstreams::RespUpstreams(asio::io_context &io, const Clock &time, const Directory &where,
-                             const Bounds &most, const wire::DeploymentSettings &with)
+RespUpstreamPool::RespUpstreamPool(asio::io_context &io, const Clock &time, const Directory &where,
+                                   const Bounds &most, const simulator::DeploymentSettings &with)
     : context(io), clock(time), directory(where), bounds(most), settings(with) {}
 
-RespUpstreams::Connection RespUpstreams::connect(const EndpointId &endpoint) {
+RespUpstreamPool::Connection RespUpstreamPool::connect(const EndpointId &endpoint) {
     using Use = IdleConnections<Placed>::Use;
     const auto *place = directory.find(endpoint);
     if (!place) return nullptr;
@@ -73,19 +74,19 @@
     return one;
 }
 
-std::shared_ptr<Call> RespUpstreams::take(const EndpointId &endpoint) {
+std::shared_ptr<UpstreamCall> RespUpstreamPool::take(const EndpointId &endpoint) {
     const auto connection = connect(endpoint);
     return connection ? std::make_shared<RespCall>(*this, alive, endpoint, connection) : nullptr;
 }
 
-void RespUpstreams::give(const EndpointId &endpoint, const Connection &connection) {
+void RespUpstreamPool::give(const EndpointId &endpoint, const Connection &connection) {
     --busy;
     const auto *now = directory.find(endpoint);
     if (!connection->reusable() || !now || !(*now == connection->place)) return connection->drop();
     idle.keep(endpoint, connection, clock.now());
 }
 
-void RespUpstreams::probe(const EndpointId &endpoint, Probed done) {
+void RespUpstreamPool::probe(const EndpointId &endpoint, ProbeCallback done) {
     const auto connection = connect(endpoint);
     if (!connection) return done({});
     const auto timer = std::make_shared<asio::steady_timer>(context, probeWithin(settings.connectWithin));
@@ -101,8 +102,8 @@
         [] {
             return resp::command({"INFO", "load"});
         },
-        [this, finish, connection](CallEnd how, resp::Value reply) {
-            const bool told = how == CallEnd::complete && reply.kind == resp::Value::Kind::bulk;
+        [this, finish, connection](CallEnd outcome, resp::Value reply) {
+            const bool told = outcome == CallEnd::complete && reply.kind == resp::Value::Kind::bulk;
             finish(told ? readLoad(reply.text, settings.loadFields) : std::vector<double>{});
         });
     timer->async_wait([finish, connection, no = connection->callNumber()](asio::error_code fault) {
--- a/src/platform/upstream_pool.hpp
+++ b/src/platform/upstream_pool.hpp
@@ -13,16 +13,16 @@
 
 class RespCall;
 
-class RespUpstreams : public Upstreams {
+class RespUpstreamPool : public UpstreamPool {
   public:
-    RespUpstreams(asio::io_context &context, const Clock &clock, const Directory &directory,
-                  const Bounds &bounds, const wire::DeploymentSettings &settings);
+    RespUpstreamPool(asio::io_context &context, const Clock &clock, const Directory &directory,
+                     const Bounds &bounds, const simulator::DeploymentSettings &settings);
 
-    std::shared_ptr<Call> take(const EndpointId &endpoint) override;
+    std::shared_ptr<UpstreamCall> take(const EndpointId &endpoint) override;
     void closeIdle(const EndpointId &endpoint) override { idle.close(endpoint); }
     void sweep(Duration now) override { idle.sweep(now, bounds.idleFor); }
     Duration sweepEvery() const override { return bounds.sweepEvery; }
-    void probe(const EndpointId &endpoint, Probed done) override;
+    void probe(const EndpointId &endpoint, ProbeCallback done) override;
     std::size_t connections() const { return busy + idle.size(); }
 
   private:
@@ -41,7 +41,7 @@
     const Clock &clock;
     const Directory &directory;
     Bounds bounds;
-    const wire::DeploymentSettings &settings;
+    const simulator::DeploymentSettings &settings;
     IdleConnections<Placed> idle;
     std::size_t busy = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -80,12 +80,13 @@
 double secs(Duration s) { return std::chrono::duration<double>(s).count(); }
 Duration span(double seconds) { return Duration{std::llround(seconds * 1e6)}; }
 
-bool provesNotRun(Outcome how) {
-    return how == Outcome::overloaded || how == Outcome::connectFailed || how == Outcome::obsolete;
+bool provesNotRun(Outcome outcome) {
+    return outcome == Outcome::overloaded || outcome == Outcome::connectFailed ||
+           outcome == Outcome::obsolete;
 }
 // Refusals and failed connects are capacity or machine trouble; cancelled attempts were our own doing.
-bool isFailure(Outcome how) {
-    return how == Outcome::error || how == Outcome::timeout || how == Outcome::reset;
+bool isFailure(Outcome outcome) {
+    return outcome == Outcome::error || outcome == Outcome::timeout || outcome == Outcome::reset;
 }
 
 // One record a endpoint, found by its id.
@@ -119,9 +120,9 @@
     bool cold;
     bool out = true;
     bool calledOff = false;  // given up on, or copied, for the endpoint's silence
-    Outcome how = Outcome::ok;
+    Outcome outcome = Outcome::ok;
 
-    bool mayHaveRun() const { return out || !provesNotRun(how); }
+    bool mayHaveRun() const { return out || !provesNotRun(outcome); }
 };
 
 struct Request {
@@ -339,17 +340,17 @@
         return onTrial(b) ||
                (b == news.build && (lastTold.build < b || lastTold.phase != RolloutPhase::released));
     }
-    double cap(BuildNumber b) const {
+    double exposureLimit(BuildNumber b) const {
         const double first = v.exposureLimits.empty() ? 0 : v.exposureLimits.front();
         if (!told || b != news.build) return first;
-        return std::min(news.cap, lastTold.build == b ? lastTold.cap : first);
+        return std::min(news.exposureLimit, lastTold.build == b ? lastTold.exposureLimit : first);
     }
     // The part of the keys whose first sends go to the trial build: 0.7 of the cap. Exception: while machines
     // are missing or cold, what of the stage runs, by warmth: the few would be crowded. Harm: one short.
     double trialShare() const {
         if (suspicion == Suspicion::paused) return 0;
         const double machines = std::max(1.0, stageShare() * count.places);
-        const double share = kHashShare * news.cap * std::min(1.0, count.ready / machines);
+        const double share = kHashShare * news.exposureLimit * std::min(1.0, count.ready / machines);
         // At once where this gateway has shed of late (one of many sheds too seldom to know).
         const bool full = many() || shedOfLate();
         return eased || full ? std::min(share, count.ready / std::max(1.0, count.ready + count.others))
@@ -411,7 +412,7 @@
     bool passes(const Request &request, Endpoint &s) {
         const Route &rt = route(request);
         // every request one timely answer
-        if (request.answered || now >= request.in.notAfter) return false;
+        if (request.answered || now >= request.in.deadline) return false;
         if (int(request.attempts.size()) >= v.maxAttempts) return false;
         if (!v.hedgingAllowed && request.outstanding()) return false;
         // no effect twice
@@ -447,7 +448,7 @@
     // Counts attempts over a tick more and accepted requests over a tick less than the span: it may end
     // anywhere.
     bool withinCap(BuildNumber build, int route) {
-        const double share = cap(build);
+        const double share = exposureLimit(build);
         if (share <= 0) return false;
         const std::size_t c = counted(route);
         auto &attempts = attemptsAt(build, route);
@@ -496,7 +497,7 @@
         for (const BuildNumber build : place(request))
             if (request.asked.empty()) request.asked = two(request, build, false);
         if (request.asked.size() < 2) return false;
-        for (const Endpoint *s : request.asked) out.push_back(Probe{s->entry.id});
+        for (const Endpoint *s : request.asked) out.push_back(ProbeEndpoint{s->entry.id});
         request.waiting = request.asked.size();
         return true;
     }
@@ -527,7 +528,8 @@
         const auto at = trials.find(news.build);
         if (at == trials.end()) return true;
         const std::size_t c = counted(route);
-        return double(at->second[c].size()) < kHashShare * cap(news.build) * double(taken[c].size());
+        return double(at->second[c].size()) <
+               kHashShare * exposureLimit(news.build) * double(taken[c].size());
     }
 
     // The builds in the order in which this request should try them.
@@ -726,7 +728,7 @@
         Request &request = it->second;
         const Duration latest =
             std::min(request.arrived + route(request).latencyObjective - span(usualOf(request)),
-                     request.in.notAfter - 2 * kTick);
+                     request.in.deadline - 2 * kTick);
         if (now < latest && int(request.attempts.size()) < v.maxAttempts && mayGoAgain(request)) return;
         giveUp(request);
         drop(it);
@@ -750,16 +752,16 @@
         Request &request = it->second;
         Attempt &t = request.attempts[std::size_t(end.attemptNumber)];
         if (!t.out) return;  // told before: it must not count twice, nor prove the contrary
-        t.out = false, t.how = end.how;
+        t.out = false, t.outcome = end.outcome;
         t.endpoint->out.erase({t.sent, end.requestId});
         const auto asked = asking.find({request.in.key, t.build});
         if (asked != asking.end() && --asked->second == 0) asking.erase(asked);
-        if (end.how == Outcome::ok) ends.push_back(now);
+        if (end.outcome == Outcome::ok) ends.push_back(now);
         settle(request, t, end);
-        if (end.requestEnded || end.how == Outcome::ok) {
+        if (end.requestEnded || end.outcome == Outcome::ok) {
             if (!request.answered) callOff(request);
             finish(request,
-                   end.how == Outcome::ok && now <= request.arrived + route(request).latencyObjective);
+                   end.outcome == Outcome::ok && now <= request.arrived + route(request).latencyObjective);
         }
         if (request.answered) return drop(it);
         if (request.outstanding()) return;
@@ -791,14 +793,14 @@
         Endpoint &s = *t.endpoint;
         const auto r = std::size_t(request.in.route);
         const double took = secs(now - t.sent);
-        const bool answered = end.how == Outcome::ok || end.how == Outcome::malformed;
+        const bool answered = end.outcome == Outcome::ok || end.outcome == Outcome::malformed;
         // What ended unread may have been answered well all the same: its key stays as well. An error is an
         // answer, and no good one. Guards against a key that goes back to an earlier build. Harm: keys bound
         // to a bad build.
-        if (v.stickyKeys && !provesNotRun(end.how) && end.how != Outcome::error && !request.in.key.empty() &&
-            t.build > allStay)
+        if (v.stickyKeys && !provesNotRun(end.outcome) && end.outcome != Outcome::error &&
+            !request.in.key.empty() && t.build > allStay)
             stays[request.in.key] = std::max(stays[request.in.key], t.build);
-        if (end.how == Outcome::ok) {
+        if (end.outcome == Outcome::ok) {
             const double ratio = took / usual[r];
             const double keep = std::exp(-secs(now - s.slownessAt) / kLatencyFade);
             s.slowness = (1 - kLatencyGain) * (1 + (s.slowness - 1) * keep) + kLatencyGain * ratio;
@@ -809,34 +811,36 @@
                 usual[r] += gain * (took - usual[r]);
             }
             if (!t.cold) done.push_back({now, &s}), ++s.given;
-        } else if (end.how == Outcome::error || end.how == Outcome::overloaded || answered) s.unanswered = 0;
-        else if (end.how == Outcome::reset || end.how == Outcome::connectFailed || silent(s, t))
+        } else if (end.outcome == Outcome::error || end.outcome == Outcome::overloaded || answered)
+            s.unanswered = 0;
+        else if (end.outcome == Outcome::reset || end.outcome == Outcome::connectFailed || silent(s, t))
             unanswered(s);
-        if (answered || end.how == Outcome::error || end.how == Outcome::overloaded) s.answeredAt = now;
+        if (answered || end.outcome == Outcome::error || end.outcome == Outcome::overloaded)
+            s.answeredAt = now;
         evidence(request, t, end, took / usual[r]);
     }
 
     void evidence(const Request &request, const Attempt &t, const AttemptEnded &end, double ratio) {
         // What can't be read is a connection's trouble, of either build alike.
-        if (!told || provesNotRun(end.how) || end.how == Outcome::malformed) return;
+        if (!told || provesNotRun(end.outcome) || end.outcome == Outcome::malformed) return;
         if (news.phase != RolloutPhase::canary && news.phase != RolloutPhase::released) return;
         // Of one that went back before this one came: neither the trial nor what it is held against. Guards
         // against its late failures hiding the next one's. Harm: none seen.
         if (t.build < news.build && t.build == sentBack) return;
         const bool isTrial = t.build == news.build;
-        const bool failed = isFailure(end.how);
+        const bool failed = isFailure(end.outcome);
         // A endpoint that answers nothing is a machine's trouble: its silence tells nothing of the build.
-        if (failed && end.how != Outcome::error && t.endpoint->unanswered >= kEjectAfter) return;
+        if (failed && end.outcome != Outcome::error && t.endpoint->unanswered >= kEjectAfter) return;
         Arm &arm = isTrial ? trial : earlier;
         // A try cut short took at least so long; or a slow build's slowest answers would not count.
-        const bool cutShort = end.how == Outcome::cancelled || end.how == Outcome::timeout;
+        const bool cutShort = end.outcome == Outcome::cancelled || end.outcome == Outcome::timeout;
         const bool counts = t.build <= news.build && !t.cold && t.endpoint->unanswered < kEjectAfter;
         if (cutShort && counts && ratio > 1 && v.votesToRollBack >= kPooledVotes)
             arm.slowness.push_back({now, ratio});
-        if (end.how == Outcome::cancelled) return;
-        if (end.how == Outcome::ok && request.attempts.size() > 1) {
+        if (end.outcome == Outcome::cancelled) return;
+        if (end.outcome == Outcome::ok && request.attempts.size() > 1) {
             const Attempt &before = request.attempts[request.attempts.size() - 2];
-            if (before.build != t.build && !before.out && before.how == Outcome::error) {
+            if (before.build != t.build && !before.out && before.outcome == Outcome::error) {
                 if (before.build == news.build) ++pairsTrial, met.push_back({now, 1});
                 else if (isTrial) ++pairsEarlier;
             }
@@ -844,12 +848,13 @@
         // One of many has no window to tell by that the earlier build loses as well. Harm: where both are
         // bad.
         const bool allLose = many() && earlier.losesMany();
-        if (isTrial && failed && (!t.cold || end.how == Outcome::error) && !allLose) lastTrialFailure = now;
-        ownErrors += isTrial && end.how == Outcome::error;
+        if (isTrial && failed && (!t.cold || end.outcome == Outcome::error) && !allLose)
+            lastTrialFailure = now;
+        ownErrors += isTrial && end.outcome == Outcome::error;
         if (isTrial) met.push_back({now, 0}), ++canaryAttempts;
         if (t.cold || t.build > news.build || (eased && t.sent < easedAt + kWindowSpan)) return;
-        arm.add(request.in.route, t.endpoint->entry.id, failed, end.how == Outcome::error, ratio);
-        if (end.how == Outcome::ok) {
+        arm.add(request.in.route, t.endpoint->entry.id, failed, end.outcome == Outcome::error, ratio);
+        if (end.outcome == Outcome::ok) {
             arm.slowness.push_back({now, ratio});
             while (arm.slowness.front().first < now - kSlowSpan) arm.slowness.pop_front();
             // A build that was released a while ago is the next one's earlier build.
@@ -868,14 +873,14 @@
         if (at == endpoints.end() || !told) return;
         // The id may have come to run another build since that try was sent.
         const Endpoint &s = at->second;
-        if ((now - w.since < s.changedAt ? s.ranBefore : s.entry.build) == news.build)
+        if ((now - w.age < s.changedAt ? s.ranBefore : s.entry.build) == news.build)
             ++wrong, met.push_back({now, 1 / std::max(0.01, v.incorrectReportRate)});
     }
     void on(const UsageReport &c) {
-        if (!told || c.since > now - newsBegan || c.build > news.build) return;
+        if (!told || c.age > now - newsBegan || c.build > news.build) return;
         Arm &arm = c.build == news.build ? tallyTrial : tallyEarlier;
         auto &cell = arm.routes[c.route];
-        cell.n += c.counted, cell.fails += c.lost;
+        cell.n += c.attempts, cell.fails += c.failures;
     }
 
     // Exception where the platform counts attempts, the same for all: they are windows where own outcomes are
@@ -905,10 +910,10 @@
     void on(const RolloutUpdate &n) {
         if (n.isVoteReply) {
             votePending = false;
-            if (n.how == Outcome::ok) standing = lastVote, voteDue = now + v.voteLifetime * 6 / 10;
-            else voteDue = now + (n.how == Outcome::obsolete ? kMootRetry : kVoteRetry);
+            if (n.outcome == Outcome::ok) standing = lastVote, voteDue = now + v.voteLifetime * 6 / 10;
+            else voteDue = now + (n.outcome == Outcome::obsolete ? kMootRetry : kVoteRetry);
         }
-        if (n.how != Outcome::ok) return;
+        if (n.outcome != Outcome::ok) return;
         lastTold = n;
         if (told && n.build < news.build) return;
         const bool fresh = !told || n.build != news.build;
@@ -920,7 +925,7 @@
         if (!fresh && order(n) < order(news) && now < newsBegan + kOvertaken) return;
         news = n;
         if (!changed) return;
-        newsBegan = now - n.since;
+        newsBegan = now - n.age;
         countServers();
         if (fresh) {
             bad = eased = false, wrong = pairsTrial = pairsEarlier = canaryAttempts = ownErrors = 0;
@@ -1084,7 +1089,7 @@
         if (news.phase != RolloutPhase::canary) return;
         suspect();
         if (bad) return;
-        if (v.gate == PromotionRule::timer)
+        if (v.promotionRule == PromotionRule::timer)
             return want(unhealthy > 0 ? Verdict::hold : healthy > 0 ? Verdict::none : wanted, reason);
         const auto clock = clockStart();
         if (wanted == Verdict::promote || !clock || now < *clock + paced(kPatience) || unhealthy > 0) return;
@@ -1167,9 +1172,9 @@
 std::vector<Action> Policy::decide(GatewayId who, Duration now, const std::vector<Event> &happened) {
     std::vector<Action> out;
     for (const auto &event : happened) {
-        if (std::holds_alternative<Stopped>(event)) records.erase(who);
-        if (const auto *start = std::get_if<Started>(&event))
-            records[who] = std::make_unique<Record>(start->values, now);
+        if (std::holds_alternative<PolicyStopped>(event)) records.erase(who);
+        if (const auto *start = std::get_if<PolicyStarted>(&event))
+            records[who] = std::make_unique<Record>(start->settings, now);
         const auto found = records.find(who);
         if (found == records.end()) continue;
         found->second->now = now;
--- a/src/resp/client.cpp
+++ b/src/resp/client.cpp
@@ -46,7 +46,7 @@
         });
         return;
     }
-    if (handedOver()) return;
+    if (startedSending()) return;
     socket.async_wait(tcp::socket::wait_write,
                       [self = shared_from_this(), no = callNo](asio::error_code bad) {
                           if (self->closed || self->callNo != no) return;
@@ -83,7 +83,7 @@
 }
 
 void ClientConnection::look() {
-    if (!connected || closed || !done || !handedOver()) return;
+    if (!connected || closed || !done || !startedSending()) return;
     const auto self = shared_from_this();
     readable();
 }
@@ -94,12 +94,12 @@
     return false;
 }
 
-void ClientConnection::finish(CallEnd how, Value value) {
+void ClientConnection::finish(CallEnd outcome, Value value) {
     const auto self = shared_from_this();
     const Done tell = std::exchange(done, nullptr);
     bytes = nullptr;
-    if (how != CallEnd::complete || tainted || !handedOver()) shut();
-    if (tell) tell(how, std::move(value));
+    if (outcome != CallEnd::complete || tainted || !startedSending()) shut();
+    if (tell) tell(outcome, std::move(value));
 }
 
 void ClientConnection::drop() {
--- a/src/resp/client.hpp
+++ b/src/resp/client.hpp
@@ -26,7 +26,7 @@
     void look();  // reads what has come already; may call back
     bool answerBegun() const { return parser.begun() || parser.faulty(); }  // bytes of a reply have come
     // The present command's last byte.
-    bool handedOver() const { return !outgoing.empty() && written == outgoing.size(); }
+    bool startedSending() const { return !outgoing.empty() && written == outgoing.size(); }
     std::uint64_t callNumber() const { return callNo; }
     std::function<void()> onIdleClosed;  // it has closed, or spoken, while idle
     Duration idleSince{};
@@ -36,7 +36,7 @@
     void send();
     void awaitRead();
     void readable();
-    void finish(CallEnd how, Value value = {});
+    void finish(CallEnd outcome, Value value = {});
     void shut();
 
     asio::ip::tcp::socket socket;
--- a/src/resp/connection_admission.hpp
+++ b/src/resp/connection_admission.hpp
@@ -1,4 +1,4 @@
-// Who of a door's connections has had its time, and who makes room when all places are taken. Pure.
+// Who of a listener's connections has had its time, and who makes room when all places are taken. Pure.
 #pragma once
 
 #include "../base/clock.hpp"
@@ -6,13 +6,13 @@
 
 namespace deckcart::resp {
 
-// What may come through a door, each with what it guards against. Times are kept to kSweepEvery.
-struct DoorLimits {
+// What may come through a listener, each with what it guards against. Times are kept to kSweepEvery.
+struct ListenerLimits {
     std::size_t connections = 1024;  // beyond it who says nothing, or idles, makes room; else accepting waits
     Limits message;                  // a message over it: an error and the connection's end
-    std::size_t pipelined = 64;      // commands of one connection in hand; the door reads on as they end
+    std::size_t pipelined = 64;      // commands of one connection in hand; the listener reads on as they end
     std::size_t readAheadBytes = 16384;  // while no command is taken up: the peer's close is seen behind them
-    std::size_t waitingBytes = 256 * 1024;  // of answers for a slow reader; the door reads on as they go
+    std::size_t waitingBytes = 256 * 1024;  // of answers for a slow reader; the listener reads on as they go
     Duration silentFor = std::chrono::milliseconds(1500);      // from connecting to the first byte
     Duration messageWithin = std::chrono::milliseconds(1500);  // from a command's first byte to its last
     Duration idleFor = std::chrono::seconds(30);               // between commands
@@ -39,13 +39,13 @@
 };
 
 // In a drain: nothing of it is in hand or half read, and it is no newcomer that is about to ask.
-bool endsInDrain(const Standing &one, const DoorLimits &limits);
+bool endsInDrain(const Standing &one, const ListenerLimits &limits);
 
 // The higher, the sooner it makes room; 0: it can't.
-int dispensable(const Standing &one, const DoorLimits &limits);
+int dispensable(const Standing &one, const ListenerLimits &limits);
 
 enum class Due { nothing, error, cut, close, linger, incomplete };
-Due dueOf(const Standing &one, const DoorLimits &limits, bool pressed);
-bool pressed(std::size_t connections, const DoorLimits &limits);
+Due dueOf(const Standing &one, const ListenerLimits &limits, bool pressed);
+bool pressed(std::size_t connections, const ListenerLimits &limits);
 
 }  // namespace deckcart::resp
--- a/src/resp/server.cpp
+++ b/src/resp/server.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t kSwallowed = 256 * 1024;  // of a refused peer's bytes: then its connection is cut
 constexpr int kAcceptsAtOnce = 32;              // a turn's share: floods don't hold up who is connected
 
-struct Door::Core : std::enable_shared_from_this<Door::Core> {
-    Core(asio::io_context &io, const tcp::endpoint &at, const DoorLimits &most, Handler take)
+struct Listener::Core : std::enable_shared_from_this<Listener::Core> {
+    Core(asio::io_context &io, const tcp::endpoint &at, const ListenerLimits &most, Handler take)
         : context(io), acceptor(io), limits(most), handler(std::move(take)), retry(io), sweeper(io) {
         listenAt(acceptor, at);
         local = acceptor.local_endpoint();
@@ -35,7 +35,7 @@
     asio::io_context &context;
     tcp::acceptor acceptor;
     tcp::endpoint local;
-    DoorLimits limits;
+    ListenerLimits limits;
     Handler handler;
     asio::steady_timer retry, sweeper;
     std::set<std::shared_ptr<ServerConnection>> open;
@@ -46,15 +46,15 @@
 
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
   public:
-    ServerConnection(std::shared_ptr<Door::Core> of, tcp::socket with)
-        : door(std::move(of)), socket(std::move(with)), parser(Parser::What::command, door->limits.message),
-          since(std::chrono::steady_clock::now()) {
+    ServerConnection(std::shared_ptr<Listener::Core> of, tcp::socket with)
+        : listener(std::move(of)), socket(std::move(with)),
+          parser(Parser::What::command, listener->limits.message), since(std::chrono::steady_clock::now()) {
         settle(socket);
     }
 
     void read() {
         // Also where nothing more is taken up yet: a close shows itself behind what has been read.
-        if (closed || reading || peerEnded || pending.size() >= door->limits.readAheadBytes ||
+        if (closed || reading || peerEnded || pending.size() >= listener->limits.readAheadBytes ||
             swallowed > kSwallowed)
             return;
         reading = true;
@@ -88,12 +88,12 @@
     // Ends it unless something of it is in hand, half read or unread: that is answered first.
     void drain() {
         if (closed || !pending.empty()) return;
-        if (!endsInDrain(standing(std::chrono::steady_clock::now()), door->limits)) return;
+        if (!endsInDrain(standing(std::chrono::steady_clock::now()), listener->limits)) return;
         if (peek(socket) != Unread::bytes) linger();
     }
 
     void sweep(Time now, bool isPressed) {
-        switch (dueOf(standing(now), door->limits, isPressed)) {
+        switch (dueOf(standing(now), listener->limits, isPressed)) {
         case Due::nothing: return;
         case Due::error: return refusalDue();
         case Due::cut: return shut(true);
@@ -112,8 +112,8 @@
         asio::error_code ignored;
         if (reset) socket.set_option(asio::socket_base::linger(true, 0), ignored);
         socket.close(ignored);
-        door->open.erase(self);
-        door->left();
+        listener->open.erase(self);
+        listener->left();
         for (const auto &slot : std::exchange(slots, {})) {
             slot->connection.reset();
             if (const auto tell = std::exchange(slot->onGone, nullptr); tell && !slot->answered) tell();
@@ -133,17 +133,17 @@
         since = std::chrono::steady_clock::now();
         write();
     }
-    void refusal() { refuseAt = std::chrono::steady_clock::now() + door->limits.refusalAfter; }
+    void refusal() { refuseAt = std::chrono::steady_clock::now() + listener->limits.refusalAfter; }
 
   private:
     bool mayTakeUp() const {
-        return refuseAt == Time{} && slots.size() < door->limits.pipelined &&
-               outgoing.size() - gone < door->limits.waitingBytes;
+        return refuseAt == Time{} && slots.size() < listener->limits.pipelined &&
+               outgoing.size() - gone < listener->limits.waitingBytes;
     }
 
     void readable() {
         asio::error_code fault;
-        const auto n = socket.read_some(asio::buffer(door->buffer), fault);
+        const auto n = socket.read_some(asio::buffer(listener->buffer), fault);
         unread = false;
         if (fault == asio::error::would_block) return read();
         if (fault) {
@@ -157,14 +157,14 @@
             return swallowed > kSwallowed && lingering ? shut(false) : read();
         }
         if (!pending.empty() || !mayTakeUp()) {
-            pending.append(door->buffer.data(), n);
+            pending.append(listener->buffer.data(), n);
             goOn();
             return read();
         }
         if (!spoke || slots.empty()) since = std::chrono::steady_clock::now();
         spoke = true;
         const auto self = shared_from_this();
-        feed({door->buffer.data(), n});
+        feed({listener->buffer.data(), n});
         read();
     }
 
@@ -184,7 +184,7 @@
             for (auto &item : parser.take().items) made->args.push_back(std::move(*item));
             // The buffer is shared: what is left of it must not be lost if the handler comes back here.
             const std::string rest(bytes);
-            door->handler(made);
+            listener->handler(made);
             if (rest.empty() || closed || faulty) return;
             pending.insert(0, rest);
             return goOn();
@@ -239,7 +239,7 @@
             if (slots.empty() && peerEnded) return shut(false);
             if (slots.empty() && faulty) return linger();
             read(), goOn();
-            if (door->draining) drain();
+            if (listener->draining) drain();
             return;
         }
         writing = true;
@@ -262,7 +262,7 @@
         read();
     }
 
-    std::shared_ptr<Door::Core> door;
+    std::shared_ptr<Listener::Core> listener;
     tcp::socket socket;
     Parser parser;
     std::deque<std::shared_ptr<Exchange>> slots;  // commands in hand, in order
@@ -295,9 +295,9 @@
     if (const auto to = connection.lock()) to->shut(true);
 }
 
-// ---- Door ----
+// ---- Listener ----
 
-void Door::Core::accept() {
+void Listener::Core::accept() {
     if (draining || closed) return;
     acceptor.async_wait(tcp::acceptor::wait_read, [self = shared_from_this()](asio::error_code fault) {
         if (fault || self->closed || self->draining) return;
@@ -305,7 +305,7 @@
     });
 }
 
-void Door::Core::take() {
+void Listener::Core::take() {
     for (int k = 0; k < kAcceptsAtOnce; ++k) {
         const bool room = open.size() < limits.connections || makeRoom();
         asio::error_code fault;
@@ -334,20 +334,21 @@
     });
 }
 
-void Door::Core::left() {
+void Listener::Core::left() {
     if (draining && !acceptor.is_open() && open.empty() && onEmpty)
         asio::post(context, std::exchange(onEmpty, nullptr));
 }
 
-bool Door::Core::makeRoom() {
+bool Listener::Core::makeRoom() {
     const Time now = std::chrono::steady_clock::now();
     while (true) {
         std::shared_ptr<ServerConnection> which;
         int least = 0;
         for (const auto &one : open) {
-            const int how = dispensable(one->standing(now), limits);
-            if (how > least || (how == least && how > 0 && one->lastActive() < which->lastActive()))
-                which = one, least = how;
+            const int priority = dispensable(one->standing(now), limits);
+            if (priority > least ||
+                (priority == least && priority > 0 && one->lastActive() < which->lastActive()))
+                which = one, least = priority;
         }
         if (!which) return false;
         if (which->hasUnread()) continue;
@@ -356,7 +357,7 @@
     }
 }
 
-void Door::Core::sweep() {
+void Listener::Core::sweep() {
     if (closed) return;
     const Time now = std::chrono::steady_clock::now();
     each([this, now, isPressed = pressed(open.size(), limits)](auto &one) {
@@ -369,14 +370,15 @@
     });
 }
 
-Door::Door(asio::io_context &io, const tcp::endpoint &at, const DoorLimits &limits, Handler handler)
+Listener::Listener(asio::io_context &io, const tcp::endpoint &at, const ListenerLimits &limits,
+                   Handler handler)
     : core(std::make_shared<Core>(io, at, limits, std::move(handler))) {
     core->sweep();
 }
 
-void Door::open() { core->accept(); }
+void Listener::open() { core->accept(); }
 
-Door::~Door() {
+Listener::~Listener() {
     core->closed = true;
     core->onEmpty = nullptr;
     core->handler = [](const std::shared_ptr<Exchange> &) {};
@@ -386,10 +388,10 @@
     core->each([](auto &one) { one.shut(false); });
 }
 
-tcp::endpoint Door::address() const { return core->local; }
-std::size_t Door::connections() const { return core->open.size(); }
+tcp::endpoint Listener::address() const { return core->local; }
+std::size_t Listener::connections() const { return core->open.size(); }
 
-void Door::drain(std::function<void()> empty) {
+void Listener::drain(std::function<void()> empty) {
     core->draining = true, core->onEmpty = std::move(empty);
     asio::error_code ignored;
     core->acceptor.cancel(ignored);
--- a/src/resp/server.hpp
+++ b/src/resp/server.hpp
@@ -34,16 +34,16 @@
     bool answered = false, refused = false;
 };
 
-class Door {
+class Listener {
   public:
     using Handler = std::function<void(std::shared_ptr<Exchange>)>;
     // Listens at once; accepts from open() on.
-    Door(asio::io_context &context, const asio::ip::tcp::endpoint &address, const DoorLimits &limits,
-         Handler handler);
+    Listener(asio::io_context &context, const asio::ip::tcp::endpoint &address, const ListenerLimits &limits,
+             Handler handler);
     void open();  // once
-    ~Door();
-    Door(const Door &) = delete;
-    Door &operator=(const Door &) = delete;
+    ~Listener();
+    Listener(const Listener &) = delete;
+    Listener &operator=(const Listener &) = delete;
 
     asio::ip::tcp::endpoint address() const;
     // Takes what has connected already, and no more. Each connection ends once nothing of it is in hand, half
--- a/src/scenarios/invariant_checker.cpp
+++ b/src/scenarios/invariant_checker.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <unordered_map>
 
-namespace deckcart::rehearsal {
+namespace deckcart::scenarios {
 namespace {
 
 std::string at(Duration s) { return std::to_string(double(s.count() / 1000) / 1000) + " s"; }
@@ -36,7 +36,7 @@
     bool excused(const ClientRecord &c) const {
         return std::ranges::any_of(r.halts, [&](const GatewayHalt &h) {
             if (h.gateway != c.gateway) return false;
-            if (h.how == Halt::killed) return h.from <= c.givesUp && h.until >= c.sent;
+            if (h.outcome == Halt::killed) return h.from <= c.givesUp && h.until >= c.sent;
             return h.from <= c.givesUp && h.until + f.slack >= c.givesUp;
         });
     }
@@ -108,7 +108,7 @@
     // Whether the gateway runs without a kill from one moment to the other: a killed one has forgotten.
     bool sameLife(int gateway, Duration from, Duration until) const {
         return std::ranges::none_of(r.halts, [&](const GatewayHalt &h) {
-            return h.gateway == gateway && h.how == Halt::killed && h.from <= until && h.until >= from;
+            return h.gateway == gateway && h.outcome == Halt::killed && h.from <= until && h.until >= from;
         });
     }
 
@@ -161,9 +161,9 @@
         if (!k) return build > f.firstBuild;
         return build > k->build || (build == k->build && k->phase != RolloutPhase::released);
     }
-    double cap(const RolloutNotification *k, BuildNumber build) const {
+    double exposureLimit(const RolloutNotification *k, BuildNumber build) const {
         if (!onTrial(k, build)) return 1e9;
-        return k && k->build == build ? k->cap : f.firstCap;
+        return k && k->build == build ? k->exposureLimit : f.firstCap;
     }
 
     void exposure() {
@@ -206,7 +206,7 @@
                 double most = 0;
                 bool trial = true, guarded = true;
                 for (const auto *n : valid) {
-                    most = std::max(most, cap(n, build));
+                    most = std::max(most, exposureLimit(n, build));
                     trial = trial && onTrial(n, build);
                     guarded = guarded && (n && n->build == build ? n->step : 0) < f.idempotentOnlyStages;
                 }
@@ -218,7 +218,7 @@
                 Duration from = now - f.exposureWindow;
                 for (std::size_t n = 0; n < told.size(); ++n) {
                     const RolloutNotification *prior = n ? &told[n - 1] : nullptr;
-                    if (told[n].at <= now && cap(&told[n], build) < cap(prior, build))
+                    if (told[n].at <= now && exposureLimit(&told[n], build) < exposureLimit(prior, build))
                         from = std::max(from, told[n].at + f.drainGrace);
                 }
                 const auto sentThere =
@@ -291,4 +291,4 @@
     return std::move(auditor.found);
 }
 
-}  // namespace deckcart::rehearsal
+}  // namespace deckcart::scenarios
--- a/src/scenarios/invariant_checker.hpp
+++ b/src/scenarios/invariant_checker.hpp
@@ -1,5 +1,5 @@
-// The auditor: judges the five rules from what clients, instances and the desk saw at their sockets, never
-// from a gateway's own word. Pure: records in, breaches out.
+// The auditor: judges the five rules from what clients, instances and the control plane saw at their sockets,
+// never from a gateway's own word. Pure: records in, breaches out.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-namespace deckcart::rehearsal {
+namespace deckcart::scenarios {
 
 // How a client's try ended, as the client saw it.
 enum class ClientEnd { none, completed, shed, errored, cut, unreached };
@@ -51,7 +51,7 @@
     BuildNumber build = 0;
     int step = 0;
     RolloutPhase phase = RolloutPhase::canary;
-    double cap = 0;
+    double exposureLimit = 0;
 };
 // A cold instance fell over: it had got more in this window than the rule allows.
 struct FellOver {
@@ -61,7 +61,7 @@
 enum class Halt { killed, stopped };
 struct GatewayHalt {
     int gateway = 0;
-    Halt how = Halt::killed;
+    Halt outcome = Halt::killed;
     Duration from{}, until{};  // until it runs again
 };
 
@@ -104,4 +104,4 @@
 // Throws std::invalid_argument or a JSON exception that names the field.
 Records readRecords(const nlohmann::json &from);
 
-}  // namespace deckcart::rehearsal
+}  // namespace deckcart::scenarios
--- a/src/scenarios/records.cpp
+++ b/src/scenarios/records.cpp
@@ -3,7 +3,7 @@
 
 #include "invariant_checker.hpp"
 
-namespace deckcart::rehearsal {
+namespace deckcart::scenarios {
 namespace {
 
 using nlohmann::json;
@@ -55,12 +55,12 @@
                                    {"build", t.build},
                                    {"step", t.step},
                                    {"phase", int(t.phase)},
-                                   {"cap", t.cap}});
+                                   {"cap", t.exposureLimit}});
     for (const auto &f : r.fallen)
         out["fallen"].push_back({{"server", f.endpoint}, {"from", us(f.from)}, {"until", us(f.until)}});
     for (const auto &h : r.halts)
         out["halts"].push_back(
-            {{"gateway", h.gateway}, {"how", int(h.how)}, {"from", us(h.from)}, {"until", us(h.until)}});
+            {{"gateway", h.gateway}, {"how", int(h.outcome)}, {"from", us(h.from)}, {"until", us(h.until)}});
     return out;
 }
 
@@ -88,4 +88,4 @@
     return r;
 }
 
-}  // namespace deckcart::rehearsal
+}  // namespace deckcart::scenarios
