--- a/src/scenarios/runner.cpp
+++ b/src/scenarios/runner.cpp
@@ -16,7 +16,7 @@
 
 extern char **environ;
 
-namespace deckcart::rehearsal {
+namespace deckcart::scenarios {
 namespace {
 
 using nlohmann::json;
@@ -72,10 +72,10 @@
         return ready = true;
     }
     bool over() {
-        int how = 0;
+        int waitStatus = 0;
         if (pid <= 0) return true;
-        if (::waitpid(pid, &how, WNOHANG) != pid) return false;
-        status = WIFEXITED(how) ? WEXITSTATUS(how) : 128 + WTERMSIG(how), pid = -1;
+        if (::waitpid(pid, &waitStatus, WNOHANG) != pid) return false;
+        status = WIFEXITED(waitStatus) ? WEXITSTATUS(waitStatus) : 128 + WTERMSIG(waitStatus), pid = -1;
         return true;
     }
     void signal(int number) const {
@@ -91,8 +91,9 @@
 class Stage {
   public:
     Stage(const Day &what, const RehearsalStart &with)
-        : day(what), start(with), world(what, clock, out.records), desk(context, world, what.seed * 7 + 1),
-          chance(what.seed * 7 + 2), looking(context), processes(what.gatewayWeights.size()) {}
+        : day(what), start(with), world(what, clock, out.records),
+          controlPlane(context, world, what.seed * 7 + 1), chance(what.seed * 7 + 2), looking(context),
+          processes(what.gatewayWeights.size()) {}
 
     Rehearsal play() {
         std::signal(SIGPIPE, SIG_IGN);
@@ -100,11 +101,11 @@
         folder = temporary ? fs::temp_directory_path() / fmt::format("deckcart-rehearsal-{}", ::getpid())
                            : start.keep;
         if (day.nameServers > 0) {
-            names = std::make_unique<standin::FleetNames>(context, day, clock, out.records,
-                                                          std::uint32_t(day.seed * 7 + 4));
-            desk.names = names.get();
+            names = std::make_unique<fakes::FleetNames>(context, day, clock, out.records,
+                                                        std::uint32_t(day.seed * 7 + 4));
+            controlPlane.names = names.get();
         }
-        desk.start();
+        controlPlane.start();
         for (std::size_t k = 0; k < processes.size(); ++k) {
             auto &p = processes[k];
             p.no = int(k), p.folder = folder / ("g" + std::to_string(k));
@@ -161,7 +162,7 @@
             for (auto &p : processes) {
                 http::RequestHead head;
                 head.method = "PUT", head.target = "/v1/settings";
-                const json settings = settingsOf(day, p.no, desk.address(),
+                const json settings = settingsOf(day, p.no, controlPlane.address(),
                                                  names ? names->addresses(p.no) : std::vector<std::string>{});
                 http::Fetch::start(context, *parseAddress(p.api), head, settings.dump(),
                                    std::chrono::seconds(10), [this](const http::Fetched &got) {
@@ -179,16 +180,16 @@
             if (now < began) return;
             phase = Phase_::day, began = now;
             open();
-            std::vector<standin::Clients::Place> places;
+            std::vector<fakes::Clients::Place> places;
             for (const auto &p : processes)
                 places.push_back(
                     {*parseAddress(p.listen), *parseAddress(p.api), day.gatewayWeights[std::size_t(p.no)]});
-            clients = std::make_unique<standin::Clients>(context, world, std::move(places), day.seed * 7 + 3);
+            clients = std::make_unique<fakes::Clients>(context, world, std::move(places), day.seed * 7 + 3);
             clients->start(began + day.lasts);
             return;
         }
         case Phase_::day:
-            desk.tick();
+            controlPlane.tick();
             troubles(now - began);
             revive(now);
             if (now >= began + day.lasts && clients->idle()) {
@@ -212,16 +213,16 @@
 
     // What the document calls 0.
     void open() {
-        desk.dayBegins(began);
+        controlPlane.dayBegins(began);
         pending = day.troubles;
         std::ranges::stable_sort(pending, {}, &Trouble::at);
         active.clear();
     }
 
-    std::vector<standin::Instance *> some(const Trouble &t) {
-        auto all = desk.instances(t.where);
-        std::ranges::sort(all, {}, [](const standin::Instance *i) { return i->id(); });
-        std::vector<standin::Instance *> out_;
+    std::vector<fakes::FakeEndpoint *> some(const Trouble &t) {
+        auto all = controlPlane.instances(t.where);
+        std::ranges::sort(all, {}, [](const fakes::FakeEndpoint *i) { return i->id(); });
+        std::vector<fakes::FakeEndpoint *> out_;
         while (!all.empty() && int(out_.size()) < t.count) {
             const auto k = std::size_t(chance() % all.size());
             out_.push_back(all[k]), all.erase(all.begin() + long(k));
@@ -271,19 +272,19 @@
         // An instance may be gone when its trouble ends: it is looked up anew.
         const auto each = [this, ids](auto what) {
             return [this, ids, what] {
-                for (auto *i : desk.instances("any"))
+                for (auto *i : controlPlane.instances("any"))
                     if (std::ranges::find(ids, i->id()) != ids.end()) what(*i);
             };
         };
-        using I = standin::Instance;
+        using I = fakes::FakeEndpoint;
         const auto both = [&](auto on, auto off) { each(on)(), a.end = each(off); };
         switch (t.kind) {
         case TroubleKind::hang: both([](I &i) { i.hang(true); }, [](I &i) { i.hang(false); }); break;
         case TroubleKind::crash:
-            for (auto *i : hit) desk.crash(*i);
+            for (auto *i : hit) controlPlane.crash(*i);
             break;
         case TroubleKind::drain:
-            for (auto *i : hit) desk.staffDrains(*i);
+            for (auto *i : hit) controlPlane.staffDrains(*i);
             break;
         case TroubleKind::answersLost:
             both([p = t.part](I &i) { i.answersLost = p; }, [](I &i) { i.answersLost = 0; });
@@ -301,12 +302,15 @@
             world.fleetSlow = t.times, a.end = [this] { world.fleetSlow = 1; };
             break;
         case TroubleKind::listLate:
-            desk.listLate = Duration{std::llround(t.times * 1e6)},
-            a.end = [this] { desk.listLate = Duration{0}; };
+            controlPlane.listLate = Duration{std::llround(t.times * 1e6)},
+            a.end = [this] { controlPlane.listLate = Duration{0}; };
+            break;
+        case TroubleKind::listFails:
+            controlPlane.listFails = true, a.end = [this] { controlPlane.listFails = false; };
             break;
-        case TroubleKind::listFails: desk.listFails = true, a.end = [this] { desk.listFails = false; }; break;
         case TroubleKind::deskStill:
-            desk.still = true, desk.stillCounts = t.votesCount, a.end = [this] { desk.still = false; };
+            controlPlane.still = true, controlPlane.stillCounts = t.votesCount,
+            a.end = [this] { controlPlane.still = false; };
             break;
         case TroubleKind::gatewayKilled:
             for (auto *p : someGateways(t.count)) {
@@ -342,7 +346,7 @@
         case TroubleKind::namesSilent:
         case TroubleKind::namesLossy:
             for (std::size_t k = 0; k < std::size_t(t.count); ++k) {
-                standin::NameFaults faults;
+                fakes::NameFaults faults;
                 faults.silent = t.kind == TroubleKind::namesSilent;
                 faults.lost = t.kind == TroubleKind::namesLossy ? t.part : 0;
                 names->misbehave(k, faults);
@@ -410,14 +414,14 @@
             if (a > 0) worst = std::min(worst, b / a);
         }
         json stages = json::array();
-        for (const auto &s : desk.stages)
+        for (const auto &s : controlPlane.stages)
             stages.push_back({{"atMs", milliseconds(s.at - began)},
                               {"build", s.stage.build},
                               {"step", s.stage.step},
                               {"phase", deckcart::nameOf(s.stage.phase)},
-                              {"cap", s.stage.cap}});
+                              {"cap", s.stage.exposureLimit}});
         json votes = json::object();
-        for (const auto &[verdict, n] : desk.votesTaken) votes[deckcart::nameOf(verdict)] = n;
+        for (const auto &[verdict, n] : controlPlane.votesTaken) votes[deckcart::nameOf(verdict)] = n;
         std::map<Rule, std::vector<const Breach *>> byRule;
         for (const auto &b : out.breaches) byRule[b.rule].push_back(&b);
         json rules = json::array();
@@ -432,7 +436,7 @@
             one["count"] = list.size();
             rules.push_back(std::move(one));
         }
-        const auto &last = desk.stage();
+        const auto &last = controlPlane.stage();
         const bool released = last.build == world.trial && last.phase == deckcart::RolloutPhase::released;
         const bool sentBack =
             last.build == world.trial && (last.phase == deckcart::RolloutPhase::rollingBack ||
@@ -470,13 +474,13 @@
     asio::io_context context{1};
     SteadyClock clock;
     Rehearsal out;
-    standin::World world;
-    std::unique_ptr<standin::FleetNames> names;
-    standin::Desk desk;
+    fakes::FakeEnvironment world;
+    std::unique_ptr<fakes::FleetNames> names;
+    fakes::FakeControlPlane controlPlane;
     std::mt19937_64 chance;
     asio::steady_timer looking;
     std::deque<Process> processes;
-    std::unique_ptr<standin::Clients> clients;
+    std::unique_ptr<fakes::Clients> clients;
     fs::path folder;
     enum class Phase_ { starting, settings, waiting, day, ending } phase = Phase_::starting;
     Duration deadline{}, began{};
@@ -535,4 +539,4 @@
     return out;
 }
 
-}  // namespace deckcart::rehearsal
+}  // namespace deckcart::scenarios
--- a/src/scenarios/runner.hpp
+++ b/src/scenarios/runner.hpp
@@ -7,7 +7,7 @@
 #include "invariant_checker.hpp"
 #include "scenario.hpp"
 
-namespace deckcart::rehearsal {
+namespace deckcart::scenarios {
 
 struct RehearsalStart {
     std::filesystem::path program;         // the deckcart binary, run as gateways
@@ -29,4 +29,4 @@
 // The report as lines for people.
 std::string describe(const nlohmann::json &report);
 
-}  // namespace deckcart::rehearsal
+}  // namespace deckcart::scenarios
--- a/src/scenarios/scenario.cpp
+++ b/src/scenarios/scenario.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace deckcart::rehearsal {
+namespace deckcart::scenarios {
 namespace {
 
 using nlohmann::json;
@@ -293,4 +293,4 @@
     return s;
 }
 
-}  // namespace deckcart::rehearsal
+}  // namespace deckcart::scenarios
--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -10,7 +10,7 @@
 
 #include "../base/schema.hpp"
 
-namespace deckcart::rehearsal {
+namespace deckcart::scenarios {
 
 struct DayRoute {
     std::string name, method;
@@ -39,9 +39,9 @@
     neighbour,       // instances are slower
     pauses,          // instances stop for a moment, again and again
     fleetSlow,       // all instances are slower
-    listLate,        // the desk tells of instances late
-    listFails,       // the desk's list and watch fail
-    deskStill,       // the desk answers no vote
+    listLate,        // the control plane tells of instances late
+    listFails,       // the control plane's list and watch fail
+    deskStill,       // the control plane answers no vote
     gatewayKilled,   // gateways are killed and started again
     gatewayStalled,  // gateways stand still
     burst,           // all clients ask for more
@@ -76,7 +76,7 @@
     double requestsPerSecond = 100;
     int keys = 500, retries = 1;
     double leastPatience = 0.6;  // part of the route timeout that a client waits at least
-    // The fleet is told by SRV records of so many name servers; 0: by the desk's list.
+    // The fleet is told by SRV records of so many name servers; 0: by the control plane's list.
     int nameServers = 0;
     Duration recordLifetime{}, confirmAfter{};
     std::vector<std::string> tenants;
@@ -115,4 +115,4 @@
 // The name of the SRV records of a build in a zone.
 std::string srvNameOf(BuildNumber build, const std::string &zone);
 
-}  // namespace deckcart::rehearsal
+}  // namespace deckcart::scenarios
--- a/src/settings/gateway_settings.cpp
+++ b/src/settings/gateway_settings.cpp
@@ -103,12 +103,14 @@
 
     void limits() {
         const json &from = part(doc, "limits");
-        auto &door = out.door;
-        take(from, "clientConnections", door.connections), take(from, "reqsInHand", out.maxRequestsInFlight);
-        take(from, "headBytes", door.headBytes), take(from, "bodyBytes", door.bodyBytes);
-        take(from, "pipelinedBytes", door.pipelinedBytes), take(from, "waitingBytes", door.waitingBytes);
-        take(from, "messageWithinMs", door.messageWithin), take(from, "clientIdleMs", door.idleFor);
-        take(from, "slowPeerMs", door.slowPeerFor), take(from, "answerMarginMs", out.answerMargin);
+        auto &listener = out.listener;
+        take(from, "clientConnections", listener.connections),
+            take(from, "reqsInHand", out.maxRequestsInFlight);
+        take(from, "headBytes", listener.headBytes), take(from, "bodyBytes", listener.bodyBytes);
+        take(from, "pipelinedBytes", listener.pipelinedBytes),
+            take(from, "waitingBytes", listener.waitingBytes);
+        take(from, "messageWithinMs", listener.messageWithin), take(from, "clientIdleMs", listener.idleFor);
+        take(from, "slowPeerMs", listener.slowPeerFor), take(from, "answerMarginMs", out.answerMargin);
         take(from, "standstillMs", out.standstill);
         const json &up = part(doc, "upstream");
         auto &u = out.upstream;
@@ -175,10 +177,11 @@
     void release() {
         const json &from = part(doc, "release");
         auto &v = out.module;
-        v.gate = PromotionRule::quorum, v.exposureAllowance = 2, v.exposureWindow = std::chrono::seconds(4);
+        v.promotionRule = PromotionRule::quorum, v.exposureAllowance = 2,
+        v.exposureWindow = std::chrono::seconds(4);
         v.exposureLimits = {0.1, 0.4, 1}, v.stageShares = {0.1, 0.4, 1};
         v.voteLifetime = std::chrono::seconds(6), v.voteTimeout = std::chrono::milliseconds(800);
-        word(from, "gate", v.gate,
+        word(from, "gate", v.promotionRule,
              {{"first-vote", PromotionRule::firstVote},
               {"by-count", PromotionRule::quorum},
               {"clock", PromotionRule::timer}});
@@ -269,7 +272,7 @@
             if (r.refresh.floor > r.refresh.ceiling)
                 refuse("/sources/srv/lifetimeFloorMs", "is over /sources/srv/lifetimeCeilingMs");
         }
-        // As asked for; kinds that are not named come behind, in the order desk, nodes, srv.
+        // As asked for; kinds that are not named come behind, in the order control plane, nodes, srv.
         std::vector<std::string> kinds = from.value("precedence", std::vector<std::string>{});
         if (std::set<std::string>(kinds.begin(), kinds.end()).size() != kinds.size())
             refuse("/sources/precedence", "a kind stands twice");
@@ -277,7 +280,7 @@
             if (std::ranges::find(kinds, kind) == kinds.end()) kinds.emplace_back(kind);
         using membership::SourceKind;
         for (const auto &kind : kinds) {
-            if (kind == "desk" && deskList) merge.sources.push_back({"desk", SourceKind::desk});
+            if (kind == "desk" && deskList) merge.sources.push_back({"desk", SourceKind::controlPlane});
             if (kind == "nodes" && !settings.nodes.empty())
                 merge.sources.push_back({"nodes", SourceKind::nodes});
             if (kind == "srv")
@@ -288,12 +291,13 @@
     }
 
     void outside() {
-        if (const auto desk = doc.find("desk"); desk != doc.end()) {
-            const auto at = address(*desk, "address", "/desk/address");
+        if (const auto controlPlane = doc.find("desk"); controlPlane != doc.end()) {
+            const auto at = address(*controlPlane, "address", "/desk/address");
             ControlPlaneSettings calls{at.value_or(asio::ip::tcp::endpoint{}), std::chrono::seconds(1),
                                        std::chrono::seconds(3)};
-            take(*desk, "answerWithinMs", calls.answerWithin), take(*desk, "silentForMs", calls.silentFor);
-            out.desk = calls;
+            take(*controlPlane, "answerWithinMs", calls.answerWithin),
+                take(*controlPlane, "silentForMs", calls.silentFor);
+            out.controlPlane = calls;
         }
         take(part(doc, "logs"), "reqSample", out.requestLogSample);
     }
--- a/src/settings/gateway_settings.hpp
+++ b/src/settings/gateway_settings.hpp
@@ -44,7 +44,7 @@
     std::string probePath = "/probe";
 };
 
-// Where the list of instances comes from. Without it, it is the desk's alone, as told.
+// Where the list of instances comes from. Without it, it is the control plane's alone, as told.
 struct SourceSettings {
     membership::MergeRules merge;
     std::vector<membership::Claim> nodes;
@@ -58,7 +58,7 @@
     std::vector<RouteRule> routes;
     std::vector<std::string> tenants, zones;
     HeaderNames headers;
-    http::DoorLimits door;
+    http::ListenerLimits listener;
     std::size_t maxRequestsInFlight = 4096;
     Duration turnedAwayFor = std::chrono::seconds(1);  // a request over that bound is told to come back then
     Duration answerMargin =
@@ -66,7 +66,7 @@
     Duration standstill =
         std::chrono::milliseconds(200);  // a turn of the loop later than that found a stopped clock
     UpstreamLimits upstream;
-    std::optional<ControlPlaneSettings> desk;
+    std::optional<ControlPlaneSettings> controlPlane;
     std::optional<SourceSettings> sources;
     double requestLogSample = 0;     // part of the requests that are logged
     std::size_t passedKept = 16384;  // answers that may be reported wrong: some seconds of a busy gateway
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -5,7 +5,7 @@
 #include <iostream>
 #include <string_view>
 
-namespace deckcart::wire {
+namespace deckcart::simulator {
 namespace {
 
 using nlohmann::json;
@@ -124,10 +124,10 @@
     v.overloadMultiple = may<double>(safety, "TipMultiple", 1);
     v.overloadWindow = optionalDuration(safety, "OverloadForS");
     if (family.contains("GateMode"))
-        v.gate = word<PromotionRule>(family, "GateMode",
-                                     {{"first_voice", PromotionRule::firstVote},
-                                      {"by_count", PromotionRule::quorum},
-                                      {"automatic", PromotionRule::timer}});
+        v.promotionRule = word<PromotionRule>(family, "GateMode",
+                                              {{"first_voice", PromotionRule::firstVote},
+                                               {"by_count", PromotionRule::quorum},
+                                               {"automatic", PromotionRule::timer}});
     v.inPlaceReplacement = may<std::string>(family, "ReplaceMode") == "replace";
     v.exposurePerRoute = may<std::string>(family, "Per") == "each_class";
     v.stickyKeys = may<bool>(family, "KeysStay");
@@ -217,8 +217,9 @@
         const auto request = [&] { return need<RequestId>(event, "Req"); };
         const auto endpoint = [&] { return need<std::string>(event, "Instance"); };
         if (kind == "INIT")
-            out.push_back(Started{startValues(field(event, "Params"), need<std::uint64_t>(event, "Seed"))});
-        else if (kind == "DETACH") out.push_back(Stopped{});
+            out.push_back(
+                PolicyStarted{startValues(field(event, "Params"), need<std::uint64_t>(event, "Seed"))});
+        else if (kind == "DETACH") out.push_back(PolicyStopped{});
         else if (kind == "PEERS_KNOWN") {
             const auto form = need<std::string>(event, "Form");
             if (form == "FAILED") out.push_back(EndpointListFailed{});
@@ -268,16 +269,16 @@
                        },
                        [](const ShedRequest &a) {
                            json j{{"m", "DENY"}, {"Req", a.requestId}};
-                           if (a.retryIn > Duration{0}) j["RetryInS"] = seconds(a.retryIn);
+                           if (a.retryAfter > Duration{0}) j["RetryInS"] = seconds(a.retryAfter);
                            return j;
                        },
                        [](const FailRequest &a) {
                            return json{{"m", "END_FAILED"}, {"Req", a.requestId}};
                        },
                        [](const SetTimer &a) {
-                           return json{{"m", "SLEEP"}, {"SleepForS", seconds(a.after)}, {"Handle", 0}};
+                           return json{{"m", "SLEEP"}, {"SleepForS", seconds(a.delay)}, {"Handle", 0}};
                        },
-                       [](const Probe &a) {
+                       [](const ProbeEndpoint &a) {
                            return json{{"m", "INSPECT"}, {"Instance", a.endpoint}};
                        },
                        [](const WatchEndpoints &a) {
@@ -290,7 +291,7 @@
                                        {"Sense", static_cast<int>(a.verdict)}};
                        },
                        [](const LogLine &a) {
-                           return json{{"m", "SAY_LOG"}, {"Words", a.words}};
+                           return json{{"m", "SAY_LOG"}, {"Words", a.message}};
                        },
                    },
                    action);
@@ -325,4 +326,4 @@
     return 0;
 }
 
-}  // namespace deckcart::wire
+}  // namespace deckcart::simulator
--- a/src/simulator/codec.hpp
+++ b/src/simulator/codec.hpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace deckcart::wire {
+namespace deckcart::simulator {
 
 // A line that is not a batch; the text names the field.
 struct BadBatch : std::runtime_error {
@@ -51,4 +51,4 @@
 // Reads batches until the end of input, one reply a line; returns the exit status.
 int serve(std::istream &in, std::ostream &out, std::ostream &err);
 
-}  // namespace deckcart::wire
+}  // namespace deckcart::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -6,5 +6,5 @@
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
-    return deckcart::wire::serve(std::cin, std::cout, std::cerr);
+    return deckcart::simulator::serve(std::cin, std::cout, std::cerr);
 }
--- a/tests/path/cells_test.cpp
+++ b/tests/path/cells_test.cpp
@@ -68,7 +68,7 @@
     document["upstream"] = {{"connectWithinMs", 250}, {"heldAnswerBytes", 1024}, {"stalledMs", 200}};
     document["limits"] = {{"bodyBytes", 67108864}};
     Victim victim(io);
-    desk.list(victim.id);
+    controlPlane.list(victim.id);
     if (stage == "connecting") victim.fill();
     else victim.accept();
     start();
@@ -93,7 +93,7 @@
     }
 
     auto &other = instances.emplace_back(io, [](auto, auto &) { return ok(); });
-    const auto listed = [&](const EndpointId &id, EndpointState as) { desk.list(id, 1, as); };
+    const auto listed = [&](const EndpointId &id, EndpointState as) { controlPlane.list(id, 1, as); };
     if (fault == "dies") victim.acceptor.close(), victim.close(true);
     if (fault == "resets") victim.close(true);
     if (fault == "answerLost") victim.close(false);
@@ -105,10 +105,10 @@
         for (const auto as :
              {EndpointState::draining, EndpointState::active, EndpointState::removed, EndpointState::active})
             listed(victim.id, as);
-    if (fault == "coldStart") desk.list(other.id(), 2);
-    if (fault == "listLost" || fault == "deskErrs" || fault == "deskSilent") desk.fails = true;
+    if (fault == "coldStart") controlPlane.list(other.id(), 2);
+    if (fault == "listLost" || fault == "deskErrs" || fault == "deskSilent") controlPlane.fails = true;
     if (fault == "deskLate" || fault == "capLowered")
-        desk.stage = {2, 0, RolloutPhase::canary, 0, Duration{0}};
+        controlPlane.stage = {2, 0, RolloutPhase::canary, 0, Duration{0}};
     if (fault == "stalled") clock.ahead = 1500ms;
     if (fault == "settings") {
         document["release"] = {{"spareTries", 9}};
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -51,7 +51,7 @@
   protected:
     // A watch in the middle of which discovery falls silent.
     void fallSilent() {
-        standin.watchers.clear();  // kept open by the door, told nothing
+        fakes.watchers.clear();  // kept open by the listener, told nothing
         silentSince = std::chrono::steady_clock::now();
     }
     auto silentFor() const { return std::chrono::steady_clock::now() - silentSince; }
@@ -80,7 +80,7 @@
     }
     SlowToConnect &slowToConnect(const EndpointId &id) {
         auto &made = slows.emplace_back(io);
-        standin.list(id, made.address());
+        fakes.list(id, made.address());
         return made;
     }
     std::chrono::steady_clock::time_point silentSince{};
@@ -90,30 +90,30 @@
 // ---- lists ----
 
 TEST_F(Crossing, IndentedListsAreReadWholeWhereverTheyAreCut) {
-    standin.indent = 2;
+    fakes.indent = 2;
     instance(echo);
     begin();
     const std::string text = change("late", "Ready", 2, 100) + "\n\n" + change("later", "Ready", 1, 101);
     for (const char c : text) {
         io.restart();
         io.run_for(1ms);
-        standin.watchers.back()->write(std::string(1, c));
+        fakes.watchers.back()->write(std::string(1, c));
     }
     EXPECT_TRUE(until([&] { return listed("late") && listed("later"); }));
-    EXPECT_EQ(standin.asked.size(), 2u) << "no stream was opened anew";
+    EXPECT_EQ(fakes.asked.size(), 2u) << "no stream was opened anew";
 }
 
 TEST_F(Crossing, AWatchThatFellSilentIsOpenedAnewAndHeardWithinSixSeconds) {
     auto &one = instance(echo);
     begin();
     // The first new one is mute, the second says half a list, the third tells.
-    standin.oddWatches = {[](http::Exchange &) {},
-                          [&](http::Exchange &e) {
-                              Standin::beginWatch(e);
-                              e.write("{\"generation\":50,");
-                          }};
+    fakes.oddWatches = {[](http::Exchange &) {},
+                        [&](http::Exchange &e) {
+                            Standin::beginWatch(e);
+                            e.write("{\"generation\":50,");
+                        }};
     fallSilent();
-    standin.list("s1", one.address(), 1, "Terminating");
+    fakes.list("s1", one.address(), 1, "Terminating");
     EXPECT_TRUE(until([&] { return drains(); }));
     EXPECT_LT(silentFor(), 6s);
 }
@@ -127,7 +127,7 @@
     second.oddWatches = {[](http::Exchange &) {}, [](http::Exchange &e) { Standin::beginWatch(e); }};
     const auto at = *parseAddress(second.address());
     const auto from = std::chrono::steady_clock::now();
-    ways->desks->move({at, *parseAddress(standin.address())});
+    transport->controlPlaneClient->move({at, *parseAddress(fakes.address())});
     EXPECT_TRUE(until([&] { return drains(); }));
     EXPECT_LT(std::chrono::steady_clock::now() - from, 4s);
 }
@@ -135,10 +135,10 @@
 TEST_F(Crossing, LateLinesOfTheOldWatchChangeNothingOnceTheNewOneHasSpoken) {
     auto &one = instance(echo);
     begin();
-    const auto old = standin.watchers.back();
+    const auto old = fakes.watchers.back();
     fallSilent();
-    ASSERT_TRUE(until([&] { return !standin.watchers.empty(); })) << "opened anew";
-    standin.list("s1", one.address(), 1, "Terminating");
+    ASSERT_TRUE(until([&] { return !fakes.watchers.empty(); })) << "opened anew";
+    fakes.list("s1", one.address(), 1, "Terminating");
     ASSERT_TRUE(until([&] { return gateway->listed()[0].state == EndpointState::draining; }));
     old->write(change("s1", "Ready", -1, 900) + "\n");
     settleDown();
@@ -212,16 +212,17 @@
 }
 
 TEST_F(Crossing, AnIdleTimeThatEndsAsAReqComesServesTheReq) {
-    // At the door itself: its times are short, and its loop does not run while they pass.
-    resp::DoorLimits most;
+    // At the listener itself: its times are short, and its loop does not run while they pass.
+    resp::ListenerLimits most;
     most.idleFor = 50ms;
     std::vector<std::shared_ptr<resp::Exchange>> taken;
-    resp::Door door(io, *parseAddress("127.0.0.1:0"), most, [&](const std::shared_ptr<resp::Exchange> &e) {
-        taken.push_back(e);
-        e->answer("+PONG\r\n");
-    });
-    door.open();
-    RawClient c(io, door.address());
+    resp::Listener listener(io, *parseAddress("127.0.0.1:0"), most,
+                            [&](const std::shared_ptr<resp::Exchange> &e) {
+                                taken.push_back(e);
+                                e->answer("+PONG\r\n");
+                            });
+    listener.open();
+    RawClient c(io, listener.address());
     c.send(resp::command({"PING"}));
     ASSERT_TRUE(until([&] { return c.in == "+PONG\r\n"; }));
     const auto from = std::chrono::steady_clock::now();
@@ -288,7 +289,7 @@
     c.send(request("a", "once"));
     ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     auto &now = instances.emplace_back(io, echo);
-    standin.list("s", now.address());
+    fakes.list("s", now.address());
     io.restart();
     io.run_for(20ms);  // the list is read; the connection can't come up before
     slow.acceptAll();
@@ -328,7 +329,7 @@
 TEST_F(Crossing, WhatAnInstanceSaysBeforeItWasAskedIsNoAnswer) {
     limits = {{"MostTries", 100}};
     tcp::acceptor early(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-    standin.list("early", format(early.local_endpoint()));
+    fakes.list("early", format(early.local_endpoint()));
     begin();
     auto &c = client();
     c.send(request("a", "once"));
@@ -388,7 +389,7 @@
     begin(64, 0s);
     for (int k = 0; k < 120; ++k)
         ASSERT_EQ(ask("r" + std::to_string(k)), resp::bulk("of r" + std::to_string(k)));
-    EXPECT_LE(ways->calls->connections(), 20u);
+    EXPECT_LE(transport->upstreamPool->connections(), 20u);
 }
 
 // ---- the real program and its signals ----
@@ -492,7 +493,7 @@
     auto &old = instance(echo);
     auto &now = instances.emplace_back(io, echo);
     launch();  // knows the old address only
-    standin.list("s1", now.address());
+    fakes.list("s1", now.address());
     std::string log;
     while ((log = logged()).find("\"listening\"") == std::string::npos && !ended()) std::this_thread::yield();
     auto &c = clientOf(listens());
@@ -503,7 +504,7 @@
 }
 
 TEST_F(Program, ASignalBeforeTheFirstListEndsItInOrder) {
-    standin.oddWatches = {[](http::Exchange &) {}};
+    fakes.oddWatches = {[](http::Exchange &) {}};
     launch();
     listens();
     kill(pid, SIGTERM);
--- a/tests/path/gateway_fixture.hpp
+++ b/tests/path/gateway_fixture.hpp
@@ -1,5 +1,5 @@
-// What the path tests share: an event loop with a bound on every wait, a desk, instances that follow a script
-// byte by byte, a client that writes raw bytes, a clock that can be made to jump.
+// What the path tests share: an event loop with a bound on every wait, a control plane, instances that follow
+// a script byte by byte, a client that writes raw bytes, a clock that can be made to jump.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -39,10 +39,10 @@
             Reply::Then::keep};
 }
 
-class ScriptedInstance {
+class ScriptedEndpoint {
   public:
     using Script = std::function<Reply(std::size_t nth, const std::string &request)>;
-    ScriptedInstance(asio::io_context &io, Script what)
+    ScriptedEndpoint(asio::io_context &io, Script what)
         : script(std::move(what)), acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
         accept();
     }
@@ -104,12 +104,12 @@
 }
 
 // Lists what it is given, takes votes, and tells changes to whoever watches.
-class ScriptedDesk {
+class ScriptedControlPlane {
   public:
-    explicit ScriptedDesk(asio::io_context &io)
-        : door(io, *parseAddress("127.0.0.1:0"), {},
-               [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); }) {}
-    std::string address() const { return format(door.address()); }
+    explicit ScriptedControlPlane(asio::io_context &io)
+        : listener(io, *parseAddress("127.0.0.1:0"), {},
+                   [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); }) {}
+    std::string address() const { return format(listener.address()); }
     void list(const EndpointId &id, BuildNumber build = 1, EndpointState state = EndpointState::active) {
         entries[id] = toJson(listedAs(id, build, state));
         const json event{
@@ -122,7 +122,7 @@
 
   private:
     void serve(std::shared_ptr<http::Exchange> e) {
-        http::AnswerHead head;
+        http::ResponseHead head;
         head.status = fails ? 503 : 200;
         if (fails) return e->answer(head, "");
         if (e->head.target.starts_with("/v1/votes")) return ++votes, e->answer(head, toJson(stage).dump());
@@ -144,7 +144,7 @@
     std::map<EndpointId, json> entries;
     std::uint64_t version = 0;
     std::vector<std::shared_ptr<http::Exchange>> watchers;
-    http::Door door;
+    http::Listener listener;
 };
 
 class RawClient {
@@ -210,7 +210,7 @@
 
 class Path : public Loop {
   protected:
-    Path() : desk(io) {
+    Path() : controlPlane(io) {
         document = json::parse(R"({
           "gateway": {"id": "g", "seed": 1},
           "routes": [
@@ -218,16 +218,16 @@
             {"name": "deduped", "pathPrefix": "/deduped", "effect": "deduped", "repeatWindowMs": 5000, "latencyObjectiveMs": 2000, "routeTimeoutMs": 4000},
             {"name": "short", "pathPrefix": "/short", "effect": "non-retriable", "latencyObjectiveMs": 200, "routeTimeoutMs": 300},
             {"name": "any", "pathPrefix": "/", "effect": "retriable", "latencyObjectiveMs": 2000, "routeTimeoutMs": 4000}]})");
-        document["desk"] = {{"address", desk.address()}};
+        document["desk"] = {{"address", controlPlane.address()}};
     }
     void TearDown() override {
         clients.clear();
         gateway.reset();
         settleDown();
     }
-    ScriptedInstance &instance(ScriptedInstance::Script script) {
+    ScriptedEndpoint &instance(ScriptedEndpoint::Script script) {
         auto &made = instances.emplace_back(io, std::move(script));
-        desk.list(made.id());
+        controlPlane.list(made.id());
         return made;
     }
     void start() {
@@ -264,9 +264,9 @@
         return answer.find(what) != std::string::npos;
     }
 
-    ScriptedDesk desk;
+    ScriptedControlPlane controlPlane;
     json document;
-    std::deque<ScriptedInstance> instances;
+    std::deque<ScriptedEndpoint> instances;
     std::unique_ptr<Gateway> gateway;
     std::deque<RawClient> clients;
 };
--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -1,4 +1,5 @@
-// The whole path on loopback sockets: real gateway, scripted instances and desk, faults byte by byte.
+// The whole path on loopback sockets: real gateway, scripted instances and control plane, faults byte by
+// byte.
 #include "gateway_fixture.hpp"
 
 namespace deckcart::test {
@@ -6,7 +7,7 @@
 
 using Then = Reply::Then;
 
-std::size_t total(const std::deque<ScriptedInstance> &all) {
+std::size_t total(const std::deque<ScriptedEndpoint> &all) {
     std::size_t n = 0;
     for (const auto &one : all) n += one.requests.size();
     return n;
@@ -29,8 +30,8 @@
 TEST_F(Path, RefusedConnectsAreTriedElsewhereEvenWhereNothingMayRunTwice) {
     instance([](auto, auto &) { return ok(); });
     {
-        ScriptedInstance gone(io, nullptr);
-        desk.list(gone.id());
+        ScriptedEndpoint gone(io, nullptr);
+        controlPlane.list(gone.id());
     }
     start();
     for (int k = 0; k < 12; ++k) EXPECT_EQ(statusOf(ask("/once")), 200) << k;
@@ -150,7 +151,7 @@
         }
         EXPECT_EQ(instances[0].opened, 3u);
         TearDown();
-        desk.list(instances[0].id(), 1, EndpointState::removed);
+        controlPlane.list(instances[0].id(), 1, EndpointState::removed);
     }
 }
 
@@ -375,7 +376,7 @@
     askAtOnce(10);
     ASSERT_GT(instances[0].requests.size(), 0u);
     ASSERT_GT(instances[0].open, 0u);
-    desk.list(instances[0].id(), 1, EndpointState::draining);
+    controlPlane.list(instances[0].id(), 1, EndpointState::draining);
     ASSERT_TRUE(until([&] {
         return gateway->listed().front().state != EndpointState::active ||
                gateway->listed().back().state != EndpointState::active;
@@ -388,7 +389,7 @@
 
 TEST_F(Path, ADrainBetweenChoiceAndConnectIsKept) {
     // The two choices are asked for their load and never answer; both drain meanwhile.
-    const auto probed = [](const ScriptedInstance &i) {
+    const auto probed = [](const ScriptedEndpoint &i) {
         return !i.requests.empty() && says(i.requests[0], "GET /probe");
     };
     for (int k = 0; k < 3; ++k)
@@ -403,7 +404,7 @@
     ASSERT_TRUE(until([&] {
         if (std::ranges::count_if(instances, probed) < 2) return false;
         for (const auto &i : instances)
-            if (probed(i)) desk.list(i.id(), 1, EndpointState::draining);
+            if (probed(i)) controlPlane.list(i.id(), 1, EndpointState::draining);
         return true;
     }));
     ASSERT_TRUE(until([&] {
@@ -417,20 +418,20 @@
 
 TEST_F(Path, AConnectThatIsLateIsNotUsed) {
     // The connect is made in time, but this process stands still until after its bound: nothing may be sent.
-    struct Ends : http::CallSink {
-        void onAnswerHead(const http::AnswerHead &) override {}
-        void onAnswerBody(std::string_view) override {}
-        void onCallEnd(http::CallEnd what) override { how = what; }
-        std::optional<http::CallEnd> how;
+    struct Ends : http::CallHandler {
+        void onResponseHead(const http::ResponseHead &) override {}
+        void onResponseBody(std::string_view) override {}
+        void onCallEnd(http::CallEnd what) override { outcome = what; }
+        std::optional<http::CallEnd> outcome;
     } ends;
     auto &there = instance([](auto, auto &) { return ok(); });
     const auto connection = std::make_shared<http::ClientConnection>(io, 4096);
     const auto late = std::chrono::steady_clock::now() + 20ms;
     connection->call(*parseAddress(there.id()), 10ms, "GET /x HTTP/1.1\r\n\r\n", false, &ends);
     while (std::chrono::steady_clock::now() < late) continue;
-    ASSERT_TRUE(until([&] { return ends.how.has_value(); }));
-    EXPECT_EQ(ends.how, http::CallEnd::connectFailed);
-    EXPECT_FALSE(connection->handedOver());
+    ASSERT_TRUE(until([&] { return ends.outcome.has_value(); }));
+    EXPECT_EQ(ends.outcome, http::CallEnd::connectFailed);
+    EXPECT_FALSE(connection->startedSending());
 }
 
 TEST_F(Path, ADrainWhileItIsBeingConnectedIsKept) {
@@ -445,14 +446,14 @@
         fill.back().async_connect(full.local_endpoint(), [](asio::error_code) {});
     }
     const EndpointId hangs = format(full.local_endpoint());
-    desk.list(hangs);
+    controlPlane.list(hangs);
     document["upstream"] = {{"connectWithinMs", 3500}};
     start();
     auto &c = client();
     c.send("POST /once HTTP/1.1\r\nHost: r\r\n\r\n");
     ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     auto &other = instance([](auto, auto &) { return ok(); });
-    desk.list(hangs, 1, EndpointState::draining);
+    controlPlane.list(hangs, 1, EndpointState::draining);
     ASSERT_TRUE(until([&] { return c.statuses().size() == 1; }, 900ms)) << "before the connect could be made";
     EXPECT_EQ(c.statuses(), std::vector<int>{200});
     EXPECT_EQ(other.requests.size(), 1u);
@@ -474,7 +475,7 @@
     auto &c = client();
     c.send("GET /x HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 400\r\n\r\n");
     ASSERT_TRUE(until([&] { return total(instances) == 1; }));
-    desk.list(instances[0].id(), 1, EndpointState::removed);
+    controlPlane.list(instances[0].id(), 1, EndpointState::removed);
     EXPECT_TRUE(until([&] { return c.statuses().size() == 1; }));
     EXPECT_EQ(total(instances), 1u);
 }
@@ -483,12 +484,12 @@
     instance([](auto, auto &) { return ok(); });
     document["desk"]["silentForMs"] = 100;
     start();
-    desk.fails = true;
-    const int lists = desk.lists;
+    controlPlane.fails = true;
+    const int lists = controlPlane.lists;
     ASSERT_TRUE(until([&] { return gateway->counts().decisions > 100; }));
     EXPECT_EQ(statusOf(ask("/x")), 200);
-    desk.fails = false;
-    EXPECT_TRUE(until([&] { return desk.lists > lists; }));
+    controlPlane.fails = false;
+    EXPECT_TRUE(until([&] { return controlPlane.lists > lists; }));
 }
 
 TEST_F(Path, ManyGatewaysAskForLoadFirst) {
@@ -531,8 +532,8 @@
     instance([](auto, auto &) { return ok(); });
     start();
     EXPECT_TRUE(gateway->mayRestartModule());
-    ScriptedInstance trial(io, [](auto, auto &) { return ok(); });
-    desk.list(trial.id(), 2);
+    ScriptedEndpoint trial(io, [](auto, auto &) { return ok(); });
+    controlPlane.list(trial.id(), 2);
     ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
     EXPECT_FALSE(gateway->mayRestartModule());
 }
@@ -589,14 +590,14 @@
     instance([](auto, auto &) { return ok(); });
     start();
     EXPECT_EQ(statusOf(ask("/x", "X-Request-Id: r7\r\n")), 200);
-    EXPECT_TRUE(gateway->wrongAnswer("r7"));
-    EXPECT_FALSE(gateway->wrongAnswer("r8"));
+    EXPECT_TRUE(gateway->reportIncorrectResponse("r7"));
+    EXPECT_FALSE(gateway->reportIncorrectResponse("r8"));
 }
 
 TEST_F(Path, AnAnswerReportedTwiceIsWrongOnce) {
     for (const BuildNumber build : {1, 2})
-        desk.list(instances.emplace_back(io, [](auto, auto &) { return ok(); }).id(), build);
-    desk.stage = {2, 2, RolloutPhase::canary, 1, Duration{0}};
+        controlPlane.list(instances.emplace_back(io, [](auto, auto &) { return ok(); }).id(), build);
+    controlPlane.stage = {2, 2, RolloutPhase::canary, 1, Duration{0}};
     start();
     std::vector<std::string> names;
     for (int k = 0; names.size() < 2 && k < 64; ++k) {
@@ -604,20 +605,21 @@
         if (says(ask("/x", "X-Request-Id: " + name + "\r\n"), "Deckcart-Build: 2")) names.push_back(name);
     }
     ASSERT_EQ(names.size(), 2u);
-    for (int k = 0; k < 3; ++k) EXPECT_TRUE(gateway->wrongAnswer(names[0]));
+    for (int k = 0; k < 3; ++k) EXPECT_TRUE(gateway->reportIncorrectResponse(names[0]));
     const auto before = gateway->counts().decisions;
     ASSERT_TRUE(until([&] { return gateway->counts().decisions > before + 20; }));
-    EXPECT_EQ(desk.votes, 0) << "one client's word on one answer sends no build back";
-    EXPECT_TRUE(gateway->wrongAnswer(names[1]));
-    EXPECT_TRUE(until([&] { return desk.votes == 1; }));
+    EXPECT_EQ(controlPlane.votes, 0) << "one client's word on one answer sends no build back";
+    EXPECT_TRUE(gateway->reportIncorrectResponse(names[1]));
+    EXPECT_TRUE(until([&] { return controlPlane.votes == 1; }));
 }
 
 // ---- a gateway that starts empty on a rough day ----
 
 TEST_F(Path, ARestartedGatewayVotesOnNothingThatItHasNotSeen) {
     for (const BuildNumber build : {1, 2})
-        desk.list(instances.emplace_back(io, [](auto, auto &) { return status(500); }).id(), build);
-    desk.stage = {2, 1, RolloutPhase::canary, 0.4, 30s};  // it runs for long, and nobody has voted yet
+        controlPlane.list(instances.emplace_back(io, [](auto, auto &) { return status(500); }).id(), build);
+    controlPlane.stage = {2, 1, RolloutPhase::canary, 0.4,
+                          30s};  // it runs for long, and nobody has voted yet
     for (const bool saved : {false, true}) {
         start();
         std::vector<ListedEndpoint> list;
@@ -629,10 +631,10 @@
             return until([&] { return gateway->counts().decisions > before + 20; });
         };
         ASSERT_TRUE(settles());
-        EXPECT_EQ(desk.votes, 0) << "it has seen nothing; list saved: " << saved;
+        EXPECT_EQ(controlPlane.votes, 0) << "it has seen nothing; list saved: " << saved;
         for (int k = 0; k < 4; ++k) EXPECT_EQ(statusOf(ask("/once")), 502) << "both builds fail alike";
         ASSERT_TRUE(settles());
-        EXPECT_EQ(desk.votes, 0) << saved;
+        EXPECT_EQ(controlPlane.votes, 0) << saved;
         gateway.reset();
     }
 }
@@ -641,7 +643,7 @@
     std::vector<ListedEndpoint> list;
     for (const BuildNumber build : {1, 2, 2, 2})
         list.push_back(listedAs(instances.emplace_back(io, [](auto, auto &) { return ok(); }).id(), build));
-    desk.fails = true;
+    controlPlane.fails = true;
     document["release"] = {{"replacedInPlace", true}, {"caps", {0.1, 0.4}}, {"shares", {0.1, 0.4}}};
     auto read = parseSettings(document);
     gateway = std::make_unique<Gateway>(io, clock, *read.settings, 1, Log(), *parseAddress("127.0.0.1:0"));
--- a/tests/path/platform_fixture.hpp
+++ b/tests/path/platform_fixture.hpp
@@ -88,9 +88,9 @@
 class Standin {
   public:
     explicit Standin(asio::io_context &io)
-        : door(io, *parseAddress("127.0.0.1:0"), {},
-               [this](std::shared_ptr<http::Exchange> e) { serve(e); }) {}
-    std::string address() const { return format(door.address()); }
+        : listener(io, *parseAddress("127.0.0.1:0"), {},
+                   [this](std::shared_ptr<http::Exchange> e) { serve(e); }) {}
+    std::string address() const { return format(listener.address()); }
     void list(const std::string &id, const std::string &at, int build = 1, const char *state = "Ready") {
         entries[id] = {{"instanceId", id},   {"hostPort", at},   {"zone", "a"},
                        {"machineType", "m"}, {"cell", 0},        {"lifecycle", state},
@@ -106,9 +106,9 @@
     void say(const std::string &bytes) {
         for (const auto &r : readers) r->write(bytes);
     }
-    static std::string news(int build, int step, const char *phase, double cap) {
+    static std::string news(int build, int step, const char *phase, double exposureLimit) {
         return "event: news\ndata: image=" + std::to_string(build) + "&ring=" + std::to_string(step) +
-               "&progress=" + phase + "&ceiling=" + std::to_string(cap) + "&lag_ms=10\n\n";
+               "&progress=" + phase + "&ceiling=" + std::to_string(exposureLimit) + "&lag_ms=10\n\n";
     }
     std::string first = news(1, 0, "Healthy", 1);
     std::vector<std::shared_ptr<http::Exchange>> watchers, readers;
@@ -117,7 +117,7 @@
     std::deque<std::function<void(http::Exchange &)>> oddWatches;
     int indent = -1;  // of the lists
     static void beginWatch(http::Exchange &e) {
-        http::AnswerHead head;
+        http::ResponseHead head;
         head.status = 200, head.chunked = true;
         e.begin(head);
     }
@@ -143,12 +143,12 @@
     std::map<std::string, json> entries;
     std::int64_t generation = 1;
     std::vector<std::shared_ptr<http::Exchange>> oddOnes;
-    http::Door door;
+    http::Listener listener;
 };
 
 class Platform : public Loop {
   protected:
-    Platform() : standin(io) {}
+    Platform() : fakes(io) {}
     void TearDown() override {
         clients.clear();
         gateway.reset();
@@ -156,17 +156,17 @@
     }
     RespInstance &instance(RespInstance::Script script, int build = 1) {
         auto &made = instances.emplace_back(io, std::move(script));
-        standin.list("s" + std::to_string(instances.size()), made.address(), build);
+        fakes.list("s" + std::to_string(instances.size()), made.address(), build);
         return made;
     }
     json document(std::size_t sockets) {
         json out{{"name", "n"},
                  {"listen", "127.0.0.1:0"},
-                 {"discovery", standin.address()},
+                 {"discovery", fakes.address()},
                  {"seed", "1"},
                  {"limits", {{"cores", 1}, {"memory_mb", 32}, {"sockets", sockets}}},
-                 {"platform", {{"address", standin.address()}}},
-                 {"known", standin.all()},
+                 {"platform", {{"address", fakes.address()}}},
+                 {"known", fakes.all()},
                  {"settings", json::parse(R"({
           "FailureDomains": ["a"], "GroupSize": 3,
           "FamilyInfo": {"GateMode": "by_count", "ReplaceMode": "replace", "ExposureCaps": [0.5, 1.0], "Shares": [0.5, 1.0],
@@ -186,12 +186,12 @@
         configuration = platform::readStart(document(sockets).dump());
         auto bounds = platform::divide(sockets, 32, 1000, configuration.settings.keptIdle);
         if (rest) bounds.restFor = *rest;
-        ways = std::make_unique<platform::PlatformWays>(io, clock, configuration, bounds, Log());
+        transport = std::make_unique<platform::PlatformTransport>(io, clock, configuration, bounds, Log());
         gateway = std::make_unique<Gateway>(io, clock, platform::gatewaySettingsOf(configuration, bounds), 1,
-                                            Log(), *ways);
+                                            Log(), *transport);
         gateway->remember(platform::listTold(configuration.known));
-        ways->fronts->open();
-        ASSERT_TRUE(until([&] { return gateway->stage().has_value() && !standin.watchers.empty(); }));
+        transport->respDownstream->open();
+        ASSERT_TRUE(until([&] { return gateway->stage().has_value() && !fakes.watchers.empty(); }));
     }
     RawClient &client() { return clients.emplace_back(io, gateway->address()); }
     static std::string request(const std::string &id, const std::string &route = "any",
@@ -216,9 +216,9 @@
         return n;
     }
     json limits = json::object();  // of the settings, over those above
-    Standin standin;
+    Standin fakes;
     platform::Start configuration;
-    std::unique_ptr<platform::PlatformWays> ways;
+    std::unique_ptr<platform::PlatformTransport> transport;
     std::deque<RespInstance> instances;
     std::unique_ptr<Gateway> gateway;
     std::deque<RawClient> clients;
--- a/tests/path/platform_test.cpp
+++ b/tests/path/platform_test.cpp
@@ -72,7 +72,7 @@
     tcp::acceptor taken(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     const std::string nobody = format(taken.local_endpoint());
     taken.close();
-    standin.list("dead", nobody);
+    fakes.list("dead", nobody);
     begin();
     for (int k = 0; k < 12; ++k)
         EXPECT_EQ(ask("o" + std::to_string(k), "once"), resp::bulk("of o" + std::to_string(k)));
@@ -187,8 +187,8 @@
     second.list("s1", two.address(), 1);
     second.first = Standin::news(2, 0, "Progressing", 0.5);
     const auto at = *parseAddress(second.address());
-    ways->desks->move({at, at});
-    ways->desks->move({at, at});
+    transport->controlPlaneClient->move({at, at});
+    transport->controlPlaneClient->move({at, at});
     EXPECT_TRUE(until([&] { return gateway->stage()->build == 2; })) << "news come from there";
     EXPECT_TRUE(until([&] { return ask("m" + std::to_string(clients.size())), two.commands.size() > 0; }))
         << "an id's new address is called";
@@ -198,26 +198,26 @@
 TEST_F(Platform, StreamsThatBreakOrCantBeReadAreMadeAnewFromWhereTheyWere) {
     instance(echo);
     begin();
-    const auto opened = [&] { return standin.watchers.size() + 100 * standin.readers.size(); };
+    const auto opened = [&] { return fakes.watchers.size() + 100 * fakes.readers.size(); };
     for (const char *odd : {"{\"generation\":9,\"reset\":fal\n", "noise\n", "{\"generation\":\"x\"}\n"}) {
-        const auto before = standin.watchers.size();
-        standin.watchers.back()->write(odd);
-        EXPECT_TRUE(until([&] { return standin.watchers.size() == before + 1; })) << odd;
+        const auto before = fakes.watchers.size();
+        fakes.watchers.back()->write(odd);
+        EXPECT_TRUE(until([&] { return fakes.watchers.size() == before + 1; })) << odd;
     }
     const auto before = opened();
-    standin.say("event: news\ndata: image=7&ring=no\n\n");
+    fakes.say("event: news\ndata: image=7&ring=no\n\n");
     EXPECT_TRUE(until([&] { return opened() == before + 100; }));
-    standin.readers.back()->abort();
+    fakes.readers.back()->abort();
     EXPECT_TRUE(until([&] { return opened() == before + 200; }));
     EXPECT_EQ(gateway->stage()->build, 1);
-    EXPECT_NE(standin.asked.back().find("bulletin"), std::string::npos);
+    EXPECT_NE(fakes.asked.back().find("bulletin"), std::string::npos);
     EXPECT_EQ(ask("a"), resp::bulk("of a")) << "and reqs go on";
 }
 
 TEST_F(Platform, AnOlderGenerationChangesNothing) {
     auto &one = instance(echo);
     begin();
-    standin.watchers.back()->write("{\"generation\":0,\"reset\":true,\"instances\":[]}\n\n");
+    fakes.watchers.back()->write("{\"generation\":0,\"reset\":true,\"instances\":[]}\n\n");
     EXPECT_EQ(ask("a"), resp::bulk("of a"));
     EXPECT_EQ(one.commands.size(), 1u);
 }
@@ -242,13 +242,13 @@
     }
     io.restart();
     io.run_for(20ms);
-    standin.list("slow", format(full.local_endpoint()));
+    fakes.list("slow", format(full.local_endpoint()));
     begin();
     auto &c = client();
     c.send(request("a", "once"));
     ASSERT_TRUE(until([&] { return gateway->counts().attempts >= 1; }));
     auto &sound = instance(echo);
-    standin.list("slow", format(full.local_endpoint()), 2);
+    fakes.list("slow", format(full.local_endpoint()), 2);
     EXPECT_TRUE(until([&] { return c.in == resp::bulk("of a"); }, 2s)) << "it is sent elsewhere: " << c.in;
     EXPECT_EQ(sound.commands.size(), 1u);
 }
--- a/tests/path/sources_test.cpp
+++ b/tests/path/sources_test.cpp
@@ -6,8 +6,8 @@
 namespace deckcart::test {
 namespace {
 
-using standin::NameFaults;
-using standin::NameServer;
+using fakes::NameFaults;
+using fakes::NameServer;
 
 const std::string kName = "_relay._tcp.example.org.";
 
@@ -282,12 +282,12 @@
 
 TEST_F(Sources, TheDeskListAndTheRecordsAreMerged) {
     instancesUp(3);
-    desk.list(instances[0].id());
-    desk.list(instances[1].id(), 1, EndpointState::draining);
-    document["desk"] = {{"address", desk.address()}};
+    controlPlane.list(instances[0].id());
+    controlPlane.list(instances[1].id(), 1, EndpointState::draining);
+    document["desk"] = {{"address", controlPlane.address()}};
     server().serve(records({1, 2}));
     begin();
-    // The desk's drain stands though the records still list it.
+    // The control plane's drain stands though the records still list it.
     ASSERT_TRUE(until([&] { return live() == 2 && lists(instances[1].id()); }));
     for (const auto &one : gateway->listed())
         EXPECT_EQ(one.state == EndpointState::draining, one.id == instances[1].id());
--- a/tests/policy_script_runner.cpp
+++ b/tests/policy_script_runner.cpp
@@ -41,7 +41,7 @@
 };
 
 struct Answer {
-    Outcome how = Outcome::ok;
+    Outcome outcome = Outcome::ok;
     double after = 0.05;
     double failShare = 0;                // of the attempts fail instead, evenly spread
     double lostShare = 0;                // are done, but their answers never come
@@ -73,7 +73,7 @@
     RequestId nextRequestId = 1000;
     int life = 0;  // starts of the instance
     RolloutUpdate told{};
-    rehearsal::Records records;
+    scenarios::Records records;
     std::map<RequestId, std::size_t> client;                      // its place in the records
     std::map<std::pair<RequestId, int>, std::size_t> receivedAs;  // a try's place, likewise
     std::map<EndpointId, std::vector<Duration>> sends;
@@ -85,8 +85,8 @@
                         {span(1.2), Idempotency::nonIdempotent, DeduplicationScope::all, span(5)}};
         start.retryAfterSupported = true, start.maxRetryAfter = span(1);
         start.initialCapacity = 0.4, start.warmUpTime = span(4), start.overloadMultiple = 2;
-        start.overloadWindow = span(3), start.gate = PromotionRule::quorum, start.exposureAllowance = 2,
-        start.exposureWindow = span(4);
+        start.overloadWindow = span(3), start.promotionRule = PromotionRule::quorum,
+        start.exposureAllowance = 2, start.exposureWindow = span(4);
         start.exposureLimits = {0.2, 0.5, 1}, start.stageShares = {0.1, 0.5, 1}, start.voteLifetime = span(6);
         start.voteTimeout = span(0.8);
     }
@@ -110,15 +110,15 @@
                  " build=" + std::to_string(to.build) + " try=" + std::to_string(attemptNumber));
             Answer &answer = answers[a->endpoint];
             if (answer.silent) return;
-            Outcome how = answer.how;
+            Outcome outcome = answer.outcome;
             const bool hit = answer.route < 0 || answer.route == routeOf[a->requestId];
             const int n = ++answer.seen;
             const auto falls = [&](double share) {
                 return std::floor(n * share) > std::floor((n - 1) * share);
             };
-            if (hit && falls(answer.failShare)) how = Outcome::error;
+            if (hit && falls(answer.failShare)) outcome = Outcome::error;
             if (falls(answer.lostShare)) return;
-            end(*a, attemptNumber, how, span(answer.after * (0.7 + 0.06 * (n * 7 % 10))));
+            end(*a, attemptNumber, outcome, span(answer.after * (0.7 + 0.06 * (n * 7 % 10))));
         } else if (const auto *c = std::get_if<CancelAttempt>(&action)) {
             note("cancel req=" + std::to_string(c->requestId));
             SendAttempt t{c->requestId, sentTo.at({c->requestId, c->attemptNumber})};
@@ -127,17 +127,17 @@
         } else if (const auto *s = std::get_if<ShedRequest>(&action)) final(s->requestId, "shed");
         else if (const auto *e = std::get_if<FailRequest>(&action)) final(e->requestId, "errored");
         else if (const auto *t = std::get_if<SetTimer>(&action)) {
-            due.emplace(now + t->after, [this] { give(TimerFired{}); });
+            due.emplace(now + t->delay, [this] { give(TimerFired{}); });
         } else if (const auto *v = std::get_if<Vote>(&action)) {
             static constexpr const char *words[] = {"none", "on", "hold", "back"};
             note(std::string("vote ") + words[static_cast<int>(v->verdict)] +
                  " build=" + std::to_string(v->build) + " step=" + std::to_string(v->step));
         } else if (std::get_if<WatchEndpoints>(&action)) note("follow");
-        else if (const auto *p = std::get_if<Probe>(&action)) {
+        else if (const auto *p = std::get_if<ProbeEndpoint>(&action)) {
             note("probe server=" + p->endpoint);
             const ProbeEnded ended{p->endpoint, {answers[p->endpoint].load}};
             due.emplace(now + span(0.001), [this, ended] { give(ended); });
-        } else if (const auto *words = std::get_if<LogLine>(&action)) note("log " + words->words);
+        } else if (const auto *words = std::get_if<LogLine>(&action)) note("log " + words->message);
     }
     // A cold endpoint falls over when it gets more than the multiple of what it bears, by its warmth, over
     // the span. What one bears warm: the most that any has got of late, ten a second at the least.
@@ -160,7 +160,7 @@
             records.fallen.push_back({to.id, now - start.overloadWindow, now});
     }
     void audit() {
-        rehearsal::RuleFigures figures;
+        scenarios::RuleFigures figures;
         figures.routes = start.routes, figures.drainGrace = Duration{0},
         figures.exposureAllowance = start.exposureAllowance;
         figures.exposureWindow = start.exposureWindow, figures.stickyKeys = start.stickyKeys;
@@ -168,7 +168,7 @@
         figures.idempotentOnlyStages = start.idempotentOnlyStages;
         figures.exposurePerRoute = start.exposurePerRoute, figures.firstBuild = 1,
         figures.slack = Duration{0};  // one clock: to the microsecond
-        const auto found = rehearsal::audit(records, figures);
+        const auto found = scenarios::audit(records, figures);
         for (const auto &b : found)
             std::cerr << "BROKEN: " << nameOf(b.rule) << ": req " << b.requestId << ": " << b.words
                       << std::endl;
@@ -177,31 +177,32 @@
     void final(RequestId request, const std::string &word) {
         auto &c = records.clients[client.at(request)];
         c.answered = now, ++c.answers;
-        c.end = word == "completed" ? rehearsal::ClientEnd::completed
-                : word == "shed"    ? rehearsal::ClientEnd::shed
-                                    : rehearsal::ClientEnd::errored;
+        c.end = word == "completed" ? scenarios::ClientEnd::completed
+                : word == "shed"    ? scenarios::ClientEnd::shed
+                                    : scenarios::ClientEnd::errored;
         assert(++finals[request] == 1 && "a second final answer");
         note(word + " req=" + std::to_string(request));
     }
-    void end(const SendAttempt &t, int attemptNumber, Outcome how, Duration after) {
+    void end(const SendAttempt &t, int attemptNumber, Outcome outcome, Duration after) {
         due.emplace(now + after, [=, this, here = life] {
             if (here != life) return;
             auto &received = records.instances[receivedAs.at({t.requestId, attemptNumber})];
-            if (how == Outcome::overloaded || how == Outcome::connectFailed) received.mayHaveRun = false;
+            if (outcome == Outcome::overloaded || outcome == Outcome::connectFailed)
+                received.mayHaveRun = false;
             if (!over.insert({t.requestId, attemptNumber}).second) return;  // cancelled before it answered
             --open[t.requestId];
-            const bool first = how == Outcome::ok && !finals[t.requestId];
+            const bool first = outcome == Outcome::ok && !finals[t.requestId];
             if (first)
                 final(t.requestId, "completed"),
                     records.clients[client.at(t.requestId)].build = received.build;
-            const AttemptEnded ended{t.requestId, attemptNumber, finals[t.requestId] > 0, how};
+            const AttemptEnded ended{t.requestId, attemptNumber, finals[t.requestId] > 0, outcome};
             give(ended);
             if (answers[t.endpoint].twice) give(ended);
         });
     }
     // The instance stands still: what comes meanwhile is found all at once, by its clock at the end.
     void stall(Duration lasts) {
-        records.halts.push_back({0, rehearsal::Halt::stopped, now, now + lasts});
+        records.halts.push_back({0, scenarios::Halt::stopped, now, now + lasts});
         now += lasts;
         std::vector<std::function<void()>> found;
         for (; !due.empty() && due.begin()->first <= now; due.erase(due.begin()))
@@ -210,11 +211,11 @@
     }
     void stop(bool again = false) {  // in one round, where it starts again
         start.seed += again;
-        const std::vector<Event> both{Stopped{}, Started{start}};
+        const std::vector<Event> both{PolicyStopped{}, PolicyStarted{start}};
         std::vector<Action> first = policy.decide(1, now, {both.begin(), both.begin() + 1 + again});
         due.clear(), ++life;
         for (const auto &action : first) take(action);
-        records.halts.push_back({0, rehearsal::Halt::killed, now, now});
+        records.halts.push_back({0, scenarios::Halt::killed, now, now});
     }
     void tellList() {
         EndpointListUpdate all{true, {}};
@@ -226,8 +227,8 @@
         give(all);
     }
     void tellNews(const RolloutUpdate &n) {
-        if (n.how == Outcome::ok) {
-            records.releases.push_back({0, now, n.build, n.step, n.phase, n.cap});
+        if (n.outcome == Outcome::ok) {
+            records.releases.push_back({0, now, n.build, n.step, n.phase, n.exposureLimit});
             told = n;
         }
         give(n);
@@ -246,7 +247,7 @@
         finals[id] = 0;
         const Duration until = now + span(l.number("until", 3));
         client[id] = records.clients.size();
-        rehearsal::ClientRecord c;
+        scenarios::ClientRecord c;
         c.requestId = std::to_string(life) + "/" + std::to_string(id), c.route = routeOf[id],
         c.key = l.text("key");
         c.sent = now, c.givesUp = until;
@@ -284,8 +285,8 @@
             start.inFlightReportField = l.number("probes", 0) > 0 ? 0 : -1;
             start.gateways = static_cast<int>(l.number("gateways", start.inFlightReportField < 0 ? 3 : 99));
             start.votesToRollBack = static_cast<int>(l.number("back", 1)), start.incorrectReportRate = 0.5;
-            if (l.text("gate") == "clock") start.gate = PromotionRule::timer;
-            give(Started{start});
+            if (l.text("gate") == "clock") start.promotionRule = PromotionRule::timer;
+            give(PolicyStarted{start});
         } else if (verb == "server") {
             EndpointEntry &e = endpoints[l.words.at(1)];
             e.id = l.words.at(1), e.build = static_cast<int>(l.number("build", 1));
@@ -301,7 +302,7 @@
             Answer &a = answers[l.words.at(1)];
             a = Answer{};
             if (l.words.at(2) == "silent") a.silent = true;
-            else a.how = kOutcomes.at(l.words.at(2));
+            else a.outcome = kOutcomes.at(l.words.at(2));
             a.after = l.number("after", 0.05), a.failShare = l.number("fails", 0);
             a.lostShare = l.number("lost", 0), a.load = l.number("load", 0),
             a.twice = l.number("twice", 0) > 0;
@@ -341,14 +342,15 @@
         } else if (verb == "stall") stall(span(std::stod(l.words.at(1))));
         else if (verb == "dies") {  // its attempts end, and nothing can connect to it
             answers[l.words.at(1)] = Answer{};
-            answers[l.words.at(1)].how = Outcome::connectFailed;
+            answers[l.words.at(1)].outcome = Outcome::connectFailed;
             for (const auto &[which, endpoint] : sentTo)
                 if (endpoint == l.words.at(1) && !over.count(which))
                     end({which.first, endpoint}, which.second, Outcome::reset, Duration{0});
         } else if (verb == "again") {  // the stage told last, once more: with another cap, or an older one
             RolloutUpdate n = told;
-            n.cap = l.number("cap", n.cap), n.step = static_cast<int>(l.number("step", n.step));
-            n.since = span(l.number("since", 5));
+            n.exposureLimit = l.number("cap", n.exposureLimit),
+            n.step = static_cast<int>(l.number("step", n.step));
+            n.age = span(l.number("since", 5));
             if (l.named.count("phase")) n.phase = kPhases.at(l.text("phase"));
             tellNews(n);
         } else if (verb == "expect") {
--- a/tests/rules/memory.cpp
+++ b/tests/rules/memory.cpp
@@ -33,7 +33,7 @@
     v.stageShares = {0.1};
     v.voteLifetime = 6s, v.overloadWindow = 3s, v.warmUpTime = 4s, v.gateways = what == "many" ? 99 : 3;
     const auto give = [&](const Event &e) { return policy.decide(1, now, {e}); };
-    give(Started{v});
+    give(PolicyStarted{v});
     const auto list = [&](int n) {
         EndpointListUpdate told{true, {}};
         for (int k = 0; k < 4; ++k)
--- a/tests/unit/audit_test.cpp
+++ b/tests/unit/audit_test.cpp
@@ -7,7 +7,7 @@
 #include <algorithm>
 #include <deque>
 
-namespace deckcart::rehearsal {
+namespace deckcart::scenarios {
 namespace {
 
 using namespace std::chrono_literals;
@@ -209,4 +209,4 @@
 }
 
 }  // namespace
-}  // namespace deckcart::rehearsal
+}  // namespace deckcart::scenarios
--- a/tests/unit/dns_test.cpp
+++ b/tests/unit/dns_test.cpp
@@ -298,11 +298,11 @@
 }
 
 TEST(DnsAsking, CapsTheQuestionsASecond) {
-    QuestionCap cap(10);
+    QuestionCap exposureLimit(10);
     Duration now{};
     int sent = 0;
     while (now < seconds(10)) {
-        const Duration wait = cap.take(now);
+        const Duration wait = exposureLimit.take(now);
         if (wait == Duration{0}) ++sent;
         now += wait;
     }
--- a/tests/unit/merge_test.cpp
+++ b/tests/unit/merge_test.cpp
@@ -18,7 +18,7 @@
 
 MergeRules threeSources() {
     MergeRules rules;
-    rules.sources = {{"desk", SourceKind::desk}, {"a.", SourceKind::srv}, {"b.", SourceKind::srv}};
+    rules.sources = {{"desk", SourceKind::controlPlane}, {"a.", SourceKind::srv}, {"b.", SourceKind::srv}};
     rules.longestStale = seconds(60), rules.confirmShare = 0.5, rules.confirmAfter = seconds(5);
     rules.grace = seconds(10), rules.reserveBelow = 2, rules.reserveUntil = 3;
     return rules;
@@ -286,13 +286,13 @@
     }
     return out;
 }
-Claim claimIn(int who, bool desk) {
+Claim claimIn(int who, bool controlPlane) {
     const int flavour = who % 64;
-    const auto state = !desk || flavour < 50 ? EndpointState::active
-                       : flavour < 58        ? EndpointState::draining
-                                             : EndpointState::removed;
+    const auto state = !controlPlane || flavour < 50 ? EndpointState::active
+                       : flavour < 58                ? EndpointState::draining
+                                                     : EndpointState::removed;
     return claimOf(who / 64, flavour % 16 == 0 ? 2 : 1, state,
-                   desk ? membership::kNoClass : (flavour % 3) * 10);
+                   controlPlane ? membership::kNoClass : (flavour % 3) * 10);
 }
 void carryOut(Both &b, const Step &s, Duration &now, bool look = true) {
     now += seconds(s.span);
@@ -364,7 +364,7 @@
     Both b;
     Duration now{};
     for (const auto &s : drawn(seed % 0x7ffffffe + 1, 20)) carryOut(b, s, now);
-    // The records list it all along; the desk says gone, then fails.
+    // The records list it all along; the control plane says gone, then fails.
     auto all = servers(0, 7);
     now += seconds(1);
     b.took(0, reading(now, all, "desk")), b.took(1, reading(now, all)), b.took(2, reading(now, all));
--- a/tests/unit/parser_test.cpp
+++ b/tests/unit/parser_test.cpp
@@ -6,7 +6,7 @@
 namespace deckcart::http {
 namespace {
 
-struct Seen : MessageSink {
+struct Seen : MessageHandler {
     bool wantsBody = true;
     int heads = 0, ends = 0;
     std::string body;
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -93,7 +93,7 @@
     EXPECT_THROW(readStart("[]"), std::invalid_argument);
 }
 
-wire::DeploymentSettings settings() { return wire::readSettings(json::parse(kSettings), 1); }
+simulator::DeploymentSettings settings() { return simulator::readSettings(json::parse(kSettings), 1); }
 
 TEST(PlatformCommands, AReqIsReadAndOnlyItsWaitChangesOnTheWay) {
     const auto got = readCommand({"Q.DO", "key", "id1", "c=order,t=acme,d=480,k=5c0f", "BODY"}, settings());
@@ -143,18 +143,18 @@
 }
 
 TEST(PlatformCommands, RepliesTellWhatCameOfATry) {
-    EXPECT_EQ(reply("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").how, Outcome::ok);
+    EXPECT_EQ(reply("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").outcome, Outcome::ok);
     EXPECT_EQ(reply("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").value, "v");
-    EXPECT_EQ(reply("*3\r\n$1\r\nv\r\n$-1\r\n$4\r\n?!%&\r\n").how, Outcome::ok)
+    EXPECT_EQ(reply("*3\r\n$1\r\nv\r\n$-1\r\n$4\r\n?!%&\r\n").outcome, Outcome::ok)
         << "an odd report harms nothing";
-    EXPECT_EQ(reply("-ERR failed\r\n").how, Outcome::error);
-    EXPECT_EQ(reply("-ERR failed concurrent=3\r\n").how, Outcome::error);
-    EXPECT_EQ(reply("-BUSY\r\n").how, Outcome::overloaded);
-    EXPECT_EQ(reply("-BUSY concurrent=3\r\n").how, Outcome::overloaded);
-    EXPECT_EQ(reply("-BUSYBODY\r\n").how, Outcome::error);
+    EXPECT_EQ(reply("-ERR failed\r\n").outcome, Outcome::error);
+    EXPECT_EQ(reply("-ERR failed concurrent=3\r\n").outcome, Outcome::error);
+    EXPECT_EQ(reply("-BUSY\r\n").outcome, Outcome::overloaded);
+    EXPECT_EQ(reply("-BUSY concurrent=3\r\n").outcome, Outcome::overloaded);
+    EXPECT_EQ(reply("-BUSYBODY\r\n").outcome, Outcome::error);
     for (const char *odd : {"$1\r\nv\r\n", "+OK\r\n", "*1\r\n$1\r\nv\r\n", "*3\r\n$-1\r\n$-1\r\n$-1\r\n",
                             "$-1\r\n", "*3\r\n$1\r\nv\r\n$1\r\nw\r\n$-1\r\n"})
-        EXPECT_EQ(reply(odd).how, Outcome::malformed) << odd;
+        EXPECT_EQ(reply(odd).outcome, Outcome::malformed) << odd;
 }
 
 TEST(PlatformCommands, LoadIsReadByNameOrNotAtAll) {
@@ -171,18 +171,19 @@
         "<progress>Progressing</progress><ceiling>0.28</ceiling><lag_ms>310</lag_ms></item></items>"
         "</Response>";
     const RolloutUpdate ok = readVoteAnswer(200, item);
-    EXPECT_TRUE(ok.isVoteReply && ok.how == Outcome::ok && ok.build == 42 && ok.step == 1 && ok.cap == 0.28);
-    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>throttled</Code></Error>").how, Outcome::overloaded);
-    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>conflict</Code></Error>").how, Outcome::obsolete);
-    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>invalid</Code></Error>").how, Outcome::error);
-    EXPECT_EQ(readVoteAnswer(500, "<Error><Code>internal</Code></Error>").how, Outcome::error);
-    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>thro").how, Outcome::timeout);
-    EXPECT_EQ(readVoteAnswer(302, item).how, Outcome::timeout);
+    EXPECT_TRUE(ok.isVoteReply && ok.outcome == Outcome::ok && ok.build == 42 && ok.step == 1 &&
+                ok.exposureLimit == 0.28);
+    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>throttled</Code></Error>").outcome, Outcome::overloaded);
+    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>conflict</Code></Error>").outcome, Outcome::obsolete);
+    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>invalid</Code></Error>").outcome, Outcome::error);
+    EXPECT_EQ(readVoteAnswer(500, "<Error><Code>internal</Code></Error>").outcome, Outcome::error);
+    EXPECT_EQ(readVoteAnswer(400, "<Error><Code>thro").outcome, Outcome::timeout);
+    EXPECT_EQ(readVoteAnswer(302, item).outcome, Outcome::timeout);
     for (std::size_t cut = 0; cut < item.size(); ++cut)
-        EXPECT_EQ(readVoteAnswer(200, item.substr(0, cut)).how, Outcome::timeout) << cut;
+        EXPECT_EQ(readVoteAnswer(200, item.substr(0, cut)).outcome, Outcome::timeout) << cut;
     std::string odd = item;
     odd.replace(odd.find("0.28"), 4, "x.28");
-    EXPECT_EQ(readVoteAnswer(200, odd).how, Outcome::timeout);
+    EXPECT_EQ(readVoteAnswer(200, odd).outcome, Outcome::timeout);
     EXPECT_EQ(voteForm({42, 1, Verdict::promote}), "Action=RecordOpinion&image=42&ring=1&opinion=PROCEED");
 }
 
@@ -196,8 +197,8 @@
     ASSERT_TRUE(event);
     EXPECT_EQ(event->first, "counts");
     const UsageReport told = readCounts(readForm(event->second), {"lookup", "order"});
-    EXPECT_TRUE(told.build == 42 && told.route == 1 && told.counted == 57 && told.lost == 2 &&
-                told.since == 900ms);
+    EXPECT_TRUE(told.build == 42 && told.route == 1 && told.attempts == 57 && told.failures == 2 &&
+                told.age == 900ms);
     const auto counts = [](const char *text) { return readCounts(readForm(text), {"order"}); };
     for (const char *odd :
          {"image=42", "image=x&type=order&n=1&bad=0&lag_ms=1", "image=1&type=none&n=1&bad=0&lag_ms=1",
@@ -242,7 +243,7 @@
     json settings = json::parse(kSettings);
     settings["Grades"][0]["Name"] = ask, settings["Grades"][1]["Name"] = order;
     settings["Realms"][0]["Name"] = tenant;
-    const auto read = wire::readSettings(settings, 7);
+    const auto read = simulator::readSettings(settings, 7);
     Policy policy;
     std::string out;
     const auto happen = [&](Duration now, Event event) {
@@ -252,7 +253,7 @@
                 out += "send " + std::to_string(send->requestId) + " " + send->endpoint + "\n";
         }
     };
-    happen(10s, Started{read.start});
+    happen(10s, PolicyStarted{read.start});
     EndpointListUpdate list{true, {}};
     for (int k = 0; k < 6; ++k) {
         EndpointEntry e;
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -14,8 +14,8 @@
         v.routes = {{400ms, Idempotency::idempotent, DeduplicationScope::all, {}}};
         v.tenantQuotas = {1};
         v.cancellationAllowed = true, v.maxAttempts = 4, v.inPlaceReplacement = true, v.stickyKeys = true;
-        v.gate = PromotionRule::quorum, v.exposureAllowance = 3, v.exposureWindow = 4s, v.warmUpTime = 1s,
-        v.initialCapacity = 0.9;
+        v.promotionRule = PromotionRule::quorum, v.exposureAllowance = 3, v.exposureWindow = 4s,
+        v.warmUpTime = 1s, v.initialCapacity = 0.9;
         v.overloadMultiple = 2.5, v.overloadWindow = 3s, v.voteLifetime = 6s, v.voteTimeout = 800ms;
         v.exposureLimits = {0.12, 0.42, 1}, v.stageShares = {0.1, 0.35, 1};
     }
@@ -26,7 +26,7 @@
             list.entries.push_back(
                 {"t" + std::to_string(k), 0, 0, 2, EndpointState::active, 1, Duration{90s}});
         list.complete = true;
-        tell(Started{v});
+        tell(PolicyStarted{v});
         tell(list);
         tell(RolloutUpdate{false, Outcome::ok, 2, 0, RolloutPhase::canary, 0.12, 0s});
     }
@@ -41,9 +41,9 @@
         now += 5ms;
         return sent(tell(RequestArrived{++request, key, 0, 0, now + 2s}));
     }
-    EndpointId end(Outcome how, int attemptNumber = 0) {
+    EndpointId end(Outcome outcome, int attemptNumber = 0) {
         now += 20ms;
-        return sent(tell(AttemptEnded{request, attemptNumber, how == Outcome::ok, how}));
+        return sent(tell(AttemptEnded{request, attemptNumber, outcome == Outcome::ok, outcome}));
     }
     void tick(Duration span) {
         for (const Duration until = now + span; now < until; now += 20ms) note(tell(TimerFired{}));
--- a/tests/unit/scripts_test.cpp
+++ b/tests/unit/scripts_test.cpp
@@ -14,14 +14,14 @@
 namespace {
 
 using namespace std::chrono_literals;
-using standin::NameServer;
+using fakes::NameServer;
 
 const std::string kName = "_relay._tcp.example.org.";
 
 // The resolver without its sockets: one question at the servers of this moment.
 std::optional<dns::Message> ask(const dns::Question &question,
                                 std::vector<std::unique_ptr<NameServer>> &servers,
-                                const std::vector<standin::NameFaults> &faults, dns::ServerMemory &memory,
+                                const std::vector<fakes::NameFaults> &faults, dns::ServerMemory &memory,
                                 Duration now, std::size_t &answeredBy) {
     dns::Asking asking(memory.order(now), 1);
     dns::Message m;
@@ -48,7 +48,7 @@
 
 TEST_P(Scripts, TheSetIsWhatTheTablePredicts) {
     std::ifstream file(GetParam());
-    const auto read = standin::readNameScript(nlohmann::json::parse(file));
+    const auto read = fakes::readNameScript(nlohmann::json::parse(file));
     ASSERT_TRUE(read.script) << toJson(read.refused);
     const auto &script = *read.script;
     asio::io_context io;
@@ -56,7 +56,7 @@
     for (int k = 0; k < script.servers; ++k)
         servers.push_back(std::make_unique<NameServer>(
             io, asio::ip::udp::endpoint(asio::ip::address_v4::loopback(), 0), std::uint32_t(k + 1)));
-    std::vector<standin::NameFaults> faults(servers.size());
+    std::vector<fakes::NameFaults> faults(servers.size());
 
     MergeRules rules;
     rules.sources = {{kName, membership::SourceKind::srv}};
@@ -127,7 +127,7 @@
 
 TEST(NameScripts, BadOnesAreRefusedWithTheirPlaces) {
     const auto refusedAt = [](const char *text) {
-        const auto read = standin::readNameScript(nlohmann::json::parse(text));
+        const auto read = fakes::readNameScript(nlohmann::json::parse(text));
         EXPECT_FALSE(read.script);
         return read.refused.empty() ? std::string("none") : read.refused[0].path;
     };
