--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -14,7 +14,8 @@
         for (const auto &file : std::filesystem::directory_iterator(argv[k])) {
             std::ifstream in(file.path(), std::ios::binary);
             const std::vector<char> bytes((std::istreambuf_iterator<char>(in)), {});
-            LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t *>(bytes.data()), bytes.size());
+            LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t *>(bytes.data()),
+                                   bytes.size());
             ++played;
         }
     std::cout << played << " inputs played\n";
--- a/include/deckcart/policy.hpp
+++ b/include/deckcart/policy.hpp
@@ -1,5 +1,5 @@
-// The interface of the decision module: what can happen to a gateway, what it can do, and the one entry
-// point between the two. Types only; every decision is taken in src/policy/policy.cpp.
+// The interface of the decision module: what can happen to a gateway, what it can do, and the one
+// entry point between the two. Types only; every decision is taken in src/policy/policy.cpp.
 #pragma once
 
 #include <chrono>
@@ -22,8 +22,19 @@
 using EndpointId = std::string;
 using BuildNumber = int;
 
-// unreadable: an answer has begun that can't be read to its end; the instance may have given a good one
-enum class Outcome { ok, error, overloaded, timeout, connectFailed, reset, cancelled, obsolete, malformed };
+// unreadable: an answer has begun that can't be read to its end; the instance may have given a good
+// one
+enum class Outcome {
+    ok,
+    error,
+    overloaded,
+    timeout,
+    connectFailed,
+    reset,
+    cancelled,
+    obsolete,
+    malformed
+};
 enum class Idempotency { idempotent, withKey, nonIdempotent };
 enum class DeduplicationScope { all, zone, cell };
 enum class EndpointState { active, draining, removed };
@@ -176,15 +187,16 @@
 struct LogLine {
     std::string message;
 };
-using Action = std::variant<SendAttempt, CancelAttempt, ShedRequest, FailRequest, SetTimer, ProbeEndpoint,
-                            WatchEndpoints, Vote, LogLine>;
+using Action = std::variant<SendAttempt, CancelAttempt, ShedRequest, FailRequest, SetTimer,
+                            ProbeEndpoint, WatchEndpoints, Vote, LogLine>;
 
 // The records of the instances that one process hosts. They share nothing.
 class Policy {
   public:
     Policy();
     ~Policy();
-    // The entry point: what happened to this instance at this time, in order; returns what it does now.
+    // The entry point: what happened to this instance at this time, in order; returns what it does
+    // now.
     std::vector<Action> decide(GatewayId who, Duration now, const std::vector<Event> &happened);
 
   private:
--- a/src/base/back_off.hpp
+++ b/src/base/back_off.hpp
@@ -8,7 +8,8 @@
 
 namespace deckcart {
 
-// Doubles with each failure in a row before this one, from `first` up to `most`; of it the drawn part.
+// Doubles with each failure in a row before this one, from `first` up to `most`; of it the drawn
+// part.
 inline Duration backedOff(Duration first, Duration most, int failures, double part) {
     const Duration whole = std::min(most, first * (1 << std::min(failures, 6)));
     return Duration{std::llround(double(whole.count()) * part)};
--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -1,4 +1,5 @@
-// Time is passed in: a gateway reads it through this interface, steady in service, set by hand in tests.
+// Time is passed in: a gateway reads it through this interface, steady in service, set by hand in
+// tests.
 #pragma once
 
 #include <chrono>
@@ -20,10 +21,13 @@
 class SteadyClock final : public Clock {
   public:
     Duration now() const override {
-        return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch());
+        return std::chrono::duration_cast<Duration>(
+            std::chrono::steady_clock::now().time_since_epoch());
     }
 };
 
-inline double milliseconds(Duration s) { return std::chrono::duration<double, std::milli>(s).count(); }
+inline double milliseconds(Duration s) {
+    return std::chrono::duration<double, std::milli>(s).count();
+}
 
 }  // namespace deckcart
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,4 +1,5 @@
-// Structured logs on spdlog: an event's name and its fields, as text or as JSON lines, on standard error.
+// Structured logs on spdlog: an event's name and its fields, as text or as JSON lines, on standard
+// error.
 #pragma once
 
 #include <memory>
@@ -19,7 +20,8 @@
     bool on() const { return form != LogForm::none; }
 
   private:
-    void write(spdlog::level::level_enum level, const char *event, const nlohmann::json &fields) const;
+    void write(spdlog::level::level_enum level, const char *event,
+               const nlohmann::json &fields) const;
     LogForm form;
     std::string who;
     std::shared_ptr<spdlog::logger> logger;
--- a/src/base/number.hpp
+++ b/src/base/number.hpp
@@ -14,7 +14,8 @@
     double value = 0;
     const char *last = text.data() + text.size();
     const auto [end, fault] = std::from_chars(text.data(), last, value, form);
-    if (fault != std::errc{} || end != last || !std::isfinite(value)) return std::nullopt;
+    if (fault != std::errc{} || end != last || !std::isfinite(value))
+        return std::nullopt;
     return value;
 }
 
--- a/src/base/schema.hpp
+++ b/src/base/schema.hpp
@@ -1,5 +1,5 @@
-// JSON documents checked by JSON Schema (draft 7) with the registry's validator; what is wrong comes with its
-// place.
+// JSON documents checked by JSON Schema (draft 7) with the registry's validator; what is wrong
+// comes with its place.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -13,7 +13,8 @@
     std::string reason;
 };
 
-// Empty if the document fits. The schema itself is the program's own: a faulty one throws std::logic_error.
+// Empty if the document fits. The schema itself is the program's own: a faulty one throws
+// std::logic_error.
 std::vector<Refusal> checkSchema(const nlohmann::json &schema, const nlohmann::json &document);
 nlohmann::json toJson(const std::vector<Refusal> &refused);
 
--- a/src/base/snapshot.hpp
+++ b/src/base/snapshot.hpp
@@ -1,5 +1,5 @@
-// A small file that is either the old one or the new one: written beside it, synced, renamed, its folder
-// synced.
+// A small file that is either the old one or the new one: written beside it, synced, renamed, its
+// folder synced.
 #pragma once
 
 #include <filesystem>
@@ -15,7 +15,8 @@
 };  // atLeisure: whole after a kill of the process, not after a power loss
 
 // Empty if it was written; else what failed, with the path.
-std::string writeWhole(const std::filesystem::path &path, const std::string &bytes, Durable durability);
+std::string writeWhole(const std::filesystem::path &path, const std::string &bytes,
+                       Durable durability);
 
 // Empty where it can't be read.
 std::optional<std::string> readWhole(const std::filesystem::path &path);
@@ -24,8 +25,8 @@
     std::optional<nlohmann::json> document;  // empty: there is none, or it was set aside
     std::string fault;                       // why it was set aside, as PATH.bad
 };
-// Reads {"format": N, ...}. One that is damaged or of another format is renamed and never read as something
-// else.
+// Reads {"format": N, ...}. One that is damaged or of another format is renamed and never read as
+// something else.
 SnapshotRead readSnapshot(const std::filesystem::path &path, int format);
 
 }  // namespace deckcart
--- a/src/base/socket.cpp
+++ b/src/base/socket.cpp
@@ -24,21 +24,25 @@
     char byte = 0;
     asio::error_code fault;
     socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, fault);
-    return !fault ? Unread::bytes : fault == asio::error::would_block ? Unread::nothing : Unread::end;
+    return !fault                              ? Unread::bytes
+           : fault == asio::error::would_block ? Unread::nothing
+                                               : Unread::end;
 }
 
-void connectWithin(tcp::socket &socket, asio::steady_timer &timer, const tcp::endpoint &to, Duration within,
-                   std::function<void(bool)> done) {
+void connectWithin(tcp::socket &socket, asio::steady_timer &timer, const tcp::endpoint &to,
+                   Duration within, std::function<void(bool)> done) {
     timer.expires_after(within);
     timer.async_wait([done](asio::error_code fault) {
-        if (!fault) done(false);
+        if (!fault)
+            done(false);
     });
     socket.async_connect(to, [&socket, &timer, done = std::move(done)](asio::error_code fault) {
-        // Read after its bound, as after a standstill of this process, it is late as well: what was decided
-        // then is not sent now.
+        // Read after its bound, as after a standstill of this process, it is late as well: what was
+        // decided then is not sent now.
         const bool late = timer.expiry() <= std::chrono::steady_clock::now();
         timer.cancel();
-        if (fault || late) return done(false);
+        if (fault || late)
+            return done(false);
         settle(socket);
         done(true);
     });
--- a/src/base/socket.hpp
+++ b/src/base/socket.hpp
@@ -26,8 +26,8 @@
 enum class Unread { nothing, bytes, end };
 Unread peek(asio::ip::tcp::socket &socket);
 
-// Connects within the time and settles the socket. `done` may come twice, the later ones false: its owner
-// knows whether it still waits. It keeps alive what owns the socket and the timer.
+// Connects within the time and settles the socket. `done` may come twice, the later ones false: its
+// owner knows whether it still waits. It keeps alive what owns the socket and the timer.
 void connectWithin(asio::ip::tcp::socket &socket, asio::steady_timer &timer,
                    const asio::ip::tcp::endpoint &to, Duration within,
                    std::function<void(bool connected)> done);
--- a/src/cli/api_calls.hpp
+++ b/src/cli/api_calls.hpp
@@ -1,5 +1,5 @@
-// The subcommands that call a gateway's API: one call, its answer on standard output, its status as exit
-// status.
+// The subcommands that call a gateway's API: one call, its answer on standard output, its status as
+// exit status.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 int get(const std::string &api, const std::string &path);
 // The set with its reasons as a table, or as the gateway tells it.
 int members(const std::string &api, bool asJson);
-// Reads the document from a file, or from standard input for "-"; checks it here first, so that a refused one
-// is named with its places even before a gateway is asked.
+// Reads the document from a file, or from standard input for "-"; checks it here first, so that a
+// refused one is named with its places even before a gateway is asked.
 int applySettings(const std::string &api, const std::string &file);
 int checkSettings(const std::string &file);
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -13,7 +13,8 @@
 
 using deckcart::LogForm;
 
-const std::vector<std::string> kShellFaults{"sends-after-drain", "answers-twice", "repeats-non-retriable"};
+const std::vector<std::string> kShellFaults{"sends-after-drain", "answers-twice",
+                                            "repeats-non-retriable"};
 const std::map<std::string, LogForm> kLogForms{
     {"text", LogForm::text}, {"json", LogForm::json}, {"none", LogForm::none}};
 
@@ -28,31 +29,42 @@
 }  // namespace
 
 int main(int argc, char **argv) {
-    CLI::App app{"deckcart: a release controller with the router that shifts traffic between builds"};
+    CLI::App app{
+        "deckcart: a release controller with the router that shifts traffic between builds"};
     app.require_subcommand(1);
 
     std::string listen, api, state, readyFile;
     LogForm logs = LogForm::text;
     std::vector<std::string> faults;
-    auto *gateway =
-        app.add_subcommand("gateway", "run a gateway until SIGTERM; settings come by PUT /v1/settings");
+    auto *gateway = app.add_subcommand(
+        "gateway", "run a gateway until SIGTERM; settings come by PUT /v1/settings");
     bool platform = false;
     auto *onPlatform = gateway->add_flag(
-        "--platform", platform, "serve as the platform's configuration, the file EDGE_CONFIG names, says");
+        "--platform", platform,
+        "serve as the platform's configuration, the file EDGE_CONFIG names, says");
     double requestLogSample = 0;
     gateway
-        ->add_option("--req-sample", requestLogSample, "under --platform: part of the reqs that are logged")
+        ->add_option("--req-sample", requestLogSample,
+                     "under --platform: part of the reqs that are logged")
         ->check(CLI::Range(0.0, 1.0));
     gateway->add_option("--listen", listen, "where clients connect; port 0 picks one")
         ->excludes(onPlatform)
         ->check(address());
-    gateway->add_option("--api", api, "where the API listens")->excludes(onPlatform)->check(address());
-    gateway->add_option("--state", state, "folder of the saved settings and list; without it nothing is kept")
+    gateway->add_option("--api", api, "where the API listens")
+        ->excludes(onPlatform)
+        ->check(address());
+    gateway
+        ->add_option("--state", state,
+                     "folder of the saved settings and list; without it nothing is kept")
         ->excludes(onPlatform);
-    gateway->add_option("--ready-file", readyFile, "written with the chosen addresses once it listens")
+    gateway
+        ->add_option("--ready-file", readyFile, "written with the chosen addresses once it listens")
         ->excludes(onPlatform);
-    gateway->add_option("--logs", logs, "text, json or none")->transform(CLI::CheckedTransformer(kLogForms));
-    gateway->add_option("--shell-fault", faults, "for rehearsals of the auditor: a fault of the data path")
+    gateway->add_option("--logs", logs, "text, json or none")
+        ->transform(CLI::CheckedTransformer(kLogForms));
+    gateway
+        ->add_option("--shell-fault", faults,
+                     "for rehearsals of the auditor: a fault of the data path")
         ->check(CLI::IsMember(kShellFaults));
 
     std::string file;
@@ -68,14 +80,16 @@
     auto *settingsCheck = settings->add_subcommand("check", "check a document without a gateway");
     settingsCheck->add_option("file", file, "a JSON document, - for standard input")->required();
     auto *status = atApi(app.add_subcommand("status", "a gateway's counts"));
-    auto *members = atApi(app.add_subcommand("members", "the instances that a gateway routes to, and why"));
+    auto *members =
+        atApi(app.add_subcommand("members", "the instances that a gateway routes to, and why"));
     bool asJson = false;
     members->add_flag("--json", asJson, "all that the gateway tells, as JSON");
 
     deckcart::cli::RehearseWords words;
-    auto *rehearse =
-        app.add_subcommand("rehearse", "play days of trouble through real gateways and judge the rules");
-    rehearse->add_option("days", words.days, "documents of days, see docs/operate/rehearsals.md")->required();
+    auto *rehearse = app.add_subcommand(
+        "rehearse", "play days of trouble through real gateways and judge the rules");
+    rehearse->add_option("days", words.days, "documents of days, see docs/operate/rehearsals.md")
+        ->required();
     rehearse->add_option("--seed", words.seed, "instead of the day's own");
     rehearse->add_option("--seeds", words.seeds, "plays each day so many times, seed after seed")
         ->check(CLI::Range(1, 1000));
@@ -100,14 +114,19 @@
     }
     if (gateway->parsed() && platform) {
         const char *config = std::getenv("EDGE_CONFIG");
-        if (!config) return std::cerr << "deckcart: EDGE_CONFIG is not set\n", 2;
+        if (!config)
+            return std::cerr << "deckcart: EDGE_CONFIG is not set\n", 2;
         return deckcart::platform::runGateway(config, logs, requestLogSample);
     }
     if (gateway->parsed()) {
         if (listen.empty() || api.empty())
             return std::cerr << "deckcart: --listen and --api are required without --platform\n", 2;
-        deckcart::ServiceStart start{
-            *deckcart::parseAddress(listen), *deckcart::parseAddress(api), state, readyFile, logs, {}};
+        deckcart::ServiceStart start{*deckcart::parseAddress(listen),
+                                     *deckcart::parseAddress(api),
+                                     state,
+                                     readyFile,
+                                     logs,
+                                     {}};
         for (const auto &fault : faults) {
             start.faults.sendsAfterDrain |= fault == "sends-after-drain";
             start.faults.answersTwice |= fault == "answers-twice";
@@ -115,12 +134,19 @@
         }
         return deckcart::runGateway(start);
     }
-    if (settingsGet->parsed()) return deckcart::cli::get(api, "/v1/settings");
-    if (settingsApply->parsed()) return deckcart::cli::applySettings(api, file);
-    if (settingsCheck->parsed()) return deckcart::cli::checkSettings(file);
-    if (status->parsed()) return deckcart::cli::get(api, "/v1/status");
-    if (members->parsed()) return deckcart::cli::members(api, asJson);
-    if (rehearse->parsed()) return deckcart::cli::rehearse(words);
-    if (audit->parsed()) return deckcart::cli::audit(day, records);
+    if (settingsGet->parsed())
+        return deckcart::cli::get(api, "/v1/settings");
+    if (settingsApply->parsed())
+        return deckcart::cli::applySettings(api, file);
+    if (settingsCheck->parsed())
+        return deckcart::cli::checkSettings(file);
+    if (status->parsed())
+        return deckcart::cli::get(api, "/v1/status");
+    if (members->parsed())
+        return deckcart::cli::members(api, asJson);
+    if (rehearse->parsed())
+        return deckcart::cli::rehearse(words);
+    if (audit->parsed())
+        return deckcart::cli::audit(day, records);
     return 2;
 }
--- a/src/control_plane/http_client.hpp
+++ b/src/control_plane/http_client.hpp
@@ -1,5 +1,6 @@
-// What a gateway and the control plane say to each other: the list and the stage by list and watch, votes as
-// POST. Turns documents into events; when to follow, to ask again or to vote is the module's business.
+// What a gateway and the control plane say to each other: the list and the stage by list and watch,
+// votes as POST. Turns documents into events; when to follow, to ask again or to vote is the
+// module's business.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -12,8 +13,8 @@
 
 namespace deckcart {
 
-// Reads and writes of the documents, shared with whoever speaks for the control plane. Bad ones throw
-// std::invalid_argument with the place.
+// Reads and writes of the documents, shared with whoever speaks for the control plane. Bad ones
+// throw std::invalid_argument with the place.
 struct ListedEndpoint {
     EndpointId id;
     std::string zone;
@@ -30,7 +31,8 @@
 EndpointEntry entryOf(const ListedEndpoint &endpoint, const GatewaySettings &settings);
 
 // The way back, with its age at `now`.
-ListedEndpoint listedOf(const EndpointEntry &entry, const std::vector<std::string> &zones, Duration now);
+ListedEndpoint listedOf(const EndpointEntry &entry, const std::vector<std::string> &zones,
+                        Duration now);
 
 struct RolloutStage {
     BuildNumber build = 0;
@@ -50,7 +52,8 @@
   public:
     using Tell = std::function<void(Event)>;
     using Now = std::function<Duration()>;
-    HttpControlPlaneClient(asio::io_context &context, const GatewaySettings &settings, Now now, Tell tell);
+    HttpControlPlaneClient(asio::io_context &context, const GatewaySettings &settings, Now now,
+                           Tell tell);
     ~HttpControlPlaneClient() override;
     HttpControlPlaneClient(const HttpControlPlaneClient &) = delete;
     HttpControlPlaneClient &operator=(const HttpControlPlaneClient &) = delete;
@@ -74,8 +77,8 @@
     std::uint64_t version = 0, votesSent = 0;
     std::shared_ptr<http::Fetch> watching, listing;
     http::Fetches calls;
-    // When each start of an instance was, on this gateway's clock: it must not move from one telling to the
-    // next.
+    // When each start of an instance was, on this gateway's clock: it must not move from one
+    // telling to the next.
     std::map<std::pair<EndpointId, std::string>, Duration> starts;
 };
 
--- a/src/dns/lookup.cpp
+++ b/src/dns/lookup.cpp
@@ -11,12 +11,18 @@
 
 const char *codeName(std::uint8_t code) {
     switch (static_cast<Code>(code)) {
-    case Code::noError: return "NOERROR";
-    case Code::formErr: return "FORMERR";
-    case Code::servFail: return "SERVFAIL";
-    case Code::nxDomain: return "NXDOMAIN";
-    case Code::notImp: return "NOTIMP";
-    case Code::refused: return "REFUSED";
+    case Code::noError:
+        return "NOERROR";
+    case Code::formErr:
+        return "FORMERR";
+    case Code::servFail:
+        return "SERVFAIL";
+    case Code::nxDomain:
+        return "NXDOMAIN";
+    case Code::notImp:
+        return "NOTIMP";
+    case Code::refused:
+        return "REFUSED";
     }
     return "an error";
 }
@@ -29,12 +35,14 @@
 }
 
 // Addresses of one version for `name` in a section; the least lifetime of them.
-std::vector<asio::ip::address> addressesOf(const std::vector<Record> &section, const std::string &name,
-                                           bool v4, std::uint32_t &seconds) {
+std::vector<asio::ip::address> addressesOf(const std::vector<Record> &section,
+                                           const std::string &name, bool v4,
+                                           std::uint32_t &seconds) {
     std::vector<asio::ip::address> out;
     for (const auto &r : section) {
         const auto *address = std::get_if<asio::ip::address>(&r.data);
-        if (!address || r.owner != name || address->is_v4() != v4) continue;
+        if (!address || r.owner != name || address->is_v4() != v4)
+            continue;
         out.push_back(*address), seconds = std::min(seconds, r.seconds);
     }
     return out;
@@ -44,11 +52,16 @@
 
 const char *nameOf(FoundKind kind) {
     switch (kind) {
-    case FoundKind::servers: return "servers";
-    case FoundKind::noData: return "no-data";
-    case FoundKind::noName: return "no-name";
-    case FoundKind::notOffered: return "not-offered";
-    case FoundKind::failed: return "failed";
+    case FoundKind::servers:
+        return "servers";
+    case FoundKind::noData:
+        return "no-data";
+    case FoundKind::noName:
+        return "no-name";
+    case FoundKind::notOffered:
+        return "not-offered";
+    case FoundKind::failed:
+        return "failed";
     }
     return "failed";
 }
@@ -57,40 +70,53 @@
     std::string_view rest = serviceName;
     while (rest.starts_with('_')) {
         const auto dot = rest.find('.');
-        if (dot == std::string_view::npos || dot + 1 == rest.size()) return ".";
+        if (dot == std::string_view::npos || dot + 1 == rest.size())
+            return ".";
         rest.remove_prefix(dot + 1);
     }
     return std::string(rest);
 }
 
-std::map<std::string, KnownAddresses> aged(std::map<std::string, KnownAddresses> known, Duration passed) {
-    const auto gone = std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(passed).count());
-    for (auto &[target, there] : known) there.seconds = there.seconds > gone ? there.seconds - gone : 0;
+std::map<std::string, KnownAddresses> aged(std::map<std::string, KnownAddresses> known,
+                                           Duration passed) {
+    const auto gone =
+        std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(passed).count());
+    for (auto &[target, there] : known)
+        there.seconds = there.seconds > gone ? there.seconds - gone : 0;
     return known;
 }
 
-Lookup::Lookup(std::string serviceName, std::map<std::string, KnownAddresses> before, LookupBounds with)
+Lookup::Lookup(std::string serviceName, std::map<std::string, KnownAddresses> before,
+               LookupBounds with)
     : name(std::move(serviceName)), at(name), known(std::move(before)), bounds(with) {
     result.seconds = kForever;
     passed.insert(name);
     toAsk.push_back({name, Type::srv});
 }
 
-std::vector<Question> Lookup::ask() { return std::exchange(toAsk, {}); }
+std::vector<Question> Lookup::ask() {
+    return std::exchange(toAsk, {});
+}
 
 void Lookup::failed(const Question &question, const std::string &why) {
-    if (done) return;
-    if (question.type != Type::srv) return noAddress(question.name, why);
+    if (done)
+        return;
+    if (question.type != Type::srv)
+        return noAddress(question.name, why);
     result.kind = FoundKind::failed, result.fault = why, done = true;
 }
 
 void Lookup::replied(const Question &question, const Message &reply) {
-    if (done) return;
+    if (done)
+        return;
     const bool known_ =
         reply.code == std::uint8_t(Code::noError) || reply.code == std::uint8_t(Code::nxDomain);
-    if (!known_) return failed(question, codeName(reply.code));
-    if (question.type == Type::srv) servers(question, reply);
-    else addressReply(question, reply);
+    if (!known_)
+        return failed(question, codeName(reply.code));
+    if (question.type == Type::srv)
+        servers(question, reply);
+    else
+        addressReply(question, reply);
 }
 
 void Lookup::servers(const Question &question, const Message &reply) {
@@ -99,7 +125,8 @@
         moved = false;
         for (const auto &r : reply.answers) {
             const auto *alias = std::get_if<Alias>(&r.data);
-            if (!alias || r.owner != at) continue;
+            if (!alias || r.owner != at)
+                continue;
             if (!passed.insert(alias->target).second)
                 return failed({at, Type::srv}, "aliases go round in a circle");
             if (passed.size() > bounds.aliases + 1)
@@ -113,7 +140,8 @@
     std::size_t seen = 0;
     for (const auto &r : reply.answers) {
         const auto *srv = std::get_if<Srv>(&r.data);
-        if (!srv || r.owner != at) continue;
+        if (!srv || r.owner != at)
+            continue;
         ++seen, least(r.seconds);
         if (srv->target == ".") {
             refusedService = true;
@@ -125,8 +153,8 @@
         }
         const auto [it, fresh] = byPlace.try_emplace({srv->target, srv->port}, *srv);
         if (!fresh && !(it->second == *srv)) {
-            result.notes.push_back(srv->target +
-                                   ": listed twice, the better priority and the greater weight stand");
+            result.notes.push_back(
+                srv->target + ": listed twice, the better priority and the greater weight stand");
             if (std::tuple(srv->priority, -int(srv->weight)) <
                 std::tuple(it->second.priority, -int(it->second.weight)))
                 it->second = *srv;
@@ -134,7 +162,8 @@
     }
     if (seen == 0) {
         const bool nothing = reply.code == std::uint8_t(Code::nxDomain);
-        // The alias's end is another zone's to tell; asked for itself, an empty reply is the answer.
+        // The alias's end is another zone's to tell; asked for itself, an empty reply is the
+        // answer.
         if (!nothing && at != question.name && reply.authority.empty()) {
             toAsk.push_back({at, Type::srv});
             return;
@@ -147,9 +176,12 @@
         result.kind = refusedService ? FoundKind::notOffered : FoundKind::noData, done = true;
         return;
     }
-    if (refusedService) result.notes.push_back("target \".\" among others: passed over");
-    for (auto &[place, srv] : byPlace) srvs.push_back(std::move(srv));
-    std::ranges::sort(srvs, {}, [](const Srv &s) { return std::tie(s.priority, s.target, s.port); });
+    if (refusedService)
+        result.notes.push_back("target \".\" among others: passed over");
+    for (auto &[place, srv] : byPlace)
+        srvs.push_back(std::move(srv));
+    std::ranges::sort(srvs, {},
+                      [](const Srv &s) { return std::tie(s.priority, s.target, s.port); });
     if (srvs.size() > bounds.targets) {
         result.notes.push_back(std::to_string(srvs.size() - bounds.targets) +
                                " targets over the bound left out");
@@ -157,18 +189,22 @@
     }
     const std::string domain = domainOf(at);
     for (const auto &srv : srvs) {
-        if (settled.contains(srv.target) || open.contains(srv.target)) continue;
+        if (settled.contains(srv.target) || open.contains(srv.target))
+            continue;
         std::uint32_t seconds = kForever;
         std::vector<asio::ip::address> came;
         if (within(srv.target, domain)) {
             came = addressesOf(reply.additional, srv.target, true, seconds);
-            if (came.empty()) came = addressesOf(reply.additional, srv.target, false, seconds);
+            if (came.empty())
+                came = addressesOf(reply.additional, srv.target, false, seconds);
         }
         const auto before = known.find(srv.target);
-        if (!came.empty()) settle(srv.target, std::move(came), seconds);
+        if (!came.empty())
+            settle(srv.target, std::move(came), seconds);
         else if (before != known.end() && before->second.seconds > 0)
             settle(srv.target, before->second.addresses, before->second.seconds);
-        else open.insert(srv.target), toAsk.push_back({srv.target, Type::a});
+        else
+            open.insert(srv.target), toAsk.push_back({srv.target, Type::a});
     }
     finish();
 }
@@ -176,13 +212,15 @@
 void Lookup::addressReply(const Question &question, const Message &reply) {
     for (const auto &r : reply.answers)
         if (std::holds_alternative<Alias>(r.data) && r.owner == question.name) {
-            result.notes.push_back(question.name + ": is an alias, which a target must not be (RFC 2782)");
+            result.notes.push_back(question.name +
+                                   ": is an alias, which a target must not be (RFC 2782)");
             settle(question.name, {}, r.seconds);
             return finish();
         }
     std::uint32_t seconds = kForever;
     auto got = addressesOf(reply.answers, question.name, question.type == Type::a, seconds);
-    if (!got.empty()) settle(question.name, std::move(got), seconds);
+    if (!got.empty())
+        settle(question.name, std::move(got), seconds);
     else if (question.type == Type::a && reply.code == std::uint8_t(Code::noError))
         toAsk.push_back({question.name, Type::aaaa});
     else {
@@ -218,22 +256,26 @@
 }
 
 void Lookup::finish() {
-    if (done || !open.empty()) return;
+    if (done || !open.empty())
+        return;
     for (const auto &srv : srvs) {
         const auto &there = settled.at(srv.target);
         least(there.seconds);
-        if (!there.addresses.empty()) result.targets.push_back({srv, there.addresses});
+        if (!there.addresses.empty())
+            result.targets.push_back({srv, there.addresses});
     }
     done = true, result.kind = FoundKind::servers;
     if (result.targets.empty() && !result.unresolved.empty())
-        result.kind = FoundKind::failed, result.fault = "no target has an address that could be asked for";
+        result.kind = FoundKind::failed,
+        result.fault = "no target has an address that could be asked for";
     std::ranges::sort(result.unresolved);
 }
 
 std::map<std::string, KnownAddresses> Lookup::addresses() const {
     std::map<std::string, KnownAddresses> out;
     for (const auto &[target, there] : settled)
-        if (!there.addresses.empty()) out.emplace(target, there);
+        if (!there.addresses.empty())
+            out.emplace(target, there);
     return out;
 }
 
--- a/src/dns/message.hpp
+++ b/src/dns/message.hpp
@@ -1,5 +1,6 @@
-// DNS messages as values (RFC 1035, 2782, 6891), by the registry's library. Names are in lower case with the
-// final dot. Of record types only those that lead to a server are kept; others are passed over.
+// DNS messages as values (RFC 1035, 2782, 6891), by the registry's library. Names are in lower case
+// with the final dot. Of record types only those that lead to a server are kept; others are passed
+// over.
 #pragma once
 
 #include <asio/ip/address.hpp>
@@ -13,7 +14,8 @@
 
 namespace deckcart::dns {
 
-// Largest message taken over UDP, in bytes: goes unfragmented over every usual path (DNS flag day 2020).
+// Largest message taken over UDP, in bytes: goes unfragmented over every usual path (DNS flag day
+// 2020).
 constexpr std::uint16_t kUdpBytes = 1232;
 // Most records of a reply: five times the largest site's 300 servers with two addresses each.
 constexpr std::size_t kMostRecords = 4096;
@@ -66,13 +68,15 @@
     std::vector<Record> answers, authority, additional;
 };
 
-// Lower case with the final dot; empty if it is no host or service name: labels of 1 to 63 letters, digits,
-// hyphens or underscores, 253 characters at most (RFC 1035, 2.3.4; RFC 2782 for the underscores).
+// Lower case with the final dot; empty if it is no host or service name: labels of 1 to 63 letters,
+// digits, hyphens or underscores, 253 characters at most (RFC 1035, 2.3.4; RFC 2782 for the
+// underscores).
 std::string canonicalName(std::string_view name);
 // Whether `name` is `zone` or below it.
 bool within(const std::string &name, const std::string &zone);
 
-// Throws std::invalid_argument for a name that can't be written. With EDNS (RFC 6891) it offers kUdpBytes.
+// Throws std::invalid_argument for a name that can't be written. With EDNS (RFC 6891) it offers
+// kUdpBytes.
 std::vector<std::uint8_t> encode(const Message &message, bool edns = true);
 
 struct Decoded {
--- a/src/dns/query_schedule.hpp
+++ b/src/dns/query_schedule.hpp
@@ -1,5 +1,5 @@
-// How one question is put to several name servers, and when a name is asked for again. Pure: the time is
-// passed in, chance is a seed. src/dns/resolver.cpp carries it out.
+// How one question is put to several name servers, and when a name is asked for again. Pure: the
+// time is passed in, chance is a seed. src/dns/resolver.cpp carries it out.
 #pragma once
 
 #include <random>
@@ -14,12 +14,14 @@
     explicit ServerMemory(std::size_t servers) : known(servers) {}
     void answered(std::size_t server, Duration took);
     void silent(std::size_t server, Duration now);  // no answer, or none that is of use
-    // All of them, best first: those that are not to be left alone, in the order given by the operator as
-    // long as they answer about as fast; then the others, the one that failed longest ago first.
+    // All of them, best first: those that are not to be left alone, in the order given by the
+    // operator as long as they answer about as fast; then the others, the one that failed longest
+    // ago first.
     std::vector<std::size_t> order(Duration now) const;
     struct Known {
-        Duration smoothed{};  // of the answers' times, RFC 6298 (2): 7/8 old, 1/8 new; zero: none yet
-        int failures = 0;     // in a row
+        Duration
+            smoothed{};    // of the answers' times, RFC 6298 (2): 7/8 old, 1/8 new; zero: none yet
+        int failures = 0;  // in a row
         Duration aloneUntil{}, failedAt{};
     };
     const Known &of(std::size_t server) const { return known.at(server); }
@@ -34,7 +36,8 @@
     Duration within{};  // no answer by then: the next one
 };
 
-// Whether such a reply is held against its server, as silence is: it knows the question and won't answer.
+// Whether such a reply is held against its server, as silence is: it knows the question and won't
+// answer.
 bool ofNoUse(const Message &reply);
 
 // One question until it is answered or given up. At most kMostAttempts messages are sent for it.
@@ -69,7 +72,8 @@
     Refresh(RefreshRules with, std::uint32_t seed) : rules(with), chance(seed) {}
     Duration lifetime(const Found &found) const;  // clamped
     // Spans from now.
-    Duration first(bool haveView);  // of a start, so that gateways started together don't ask in step
+    Duration
+    first(bool haveView);  // of a start, so that gateways started together don't ask in step
     Duration afterAnswer(Duration lifetime);  // ahead of the end, at a moment drawn anew each time
     Duration afterFailure();                  // doubling from one to the next, drawn anew each time
     Duration sooner(Duration wanted);         // when a reading is to be confirmed
@@ -81,8 +85,8 @@
     int failures = 0;
 };
 
-// At most so many questions a second, a burst of one second's worth: for the name servers' sake when many
-// names are due at once.
+// At most so many questions a second, a burst of one second's worth: for the name servers' sake
+// when many names are due at once.
 class QuestionCap {
   public:
     explicit QuestionCap(double aSecond) : rate(aSecond), left(aSecond) {}
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -32,7 +32,8 @@
 
 struct Resolver::Query {
     Query(asio::io_context &io, Question q, std::vector<std::size_t> order, std::uint32_t seed)
-        : question(std::move(q)), asking(std::move(order), seed), timer(io), datagrams(io), stream(io) {}
+        : question(std::move(q)), asking(std::move(order), seed), timer(io), datagrams(io),
+          stream(io) {}
     std::vector<std::string> forNames;  // followed names that wait for it
     Question question;
     Asking asking;
@@ -52,18 +53,20 @@
     }
 };
 
-Resolver::Resolver(asio::io_context &io, const Clock &with, ResolverSettings given, std::uint64_t seed,
-                   Tell to)
+Resolver::Resolver(asio::io_context &io, const Clock &with, ResolverSettings given,
+                   std::uint64_t seed, Tell to)
     : context(io), clock(with), settings(std::move(given)), chance(seed), tell(std::move(to)),
       servers(settings.servers.size()), cap(settings.questionsASecond), capTimer(io) {}
 
 Resolver::~Resolver() {
     *alive = false;
-    for (const auto &query : out) query->over = true, query->close();
+    for (const auto &query : out)
+        query->over = true, query->close();
 }
 
 void Resolver::follow(const std::string &name, bool haveView) {
-    if (followed.contains(name)) return;
+    if (followed.contains(name))
+        return;
     auto &of = *followed
                     .emplace(name, std::make_unique<Followed>(context, name, settings.refresh,
                                                               std::uint32_t(chance())))
@@ -73,41 +76,48 @@
 
 void Resolver::askAgainIn(const std::string &name, Duration wanted) {
     const auto it = followed.find(name);
-    if (it == followed.end() || it->second->lookup) return;
+    if (it == followed.end() || it->second->lookup)
+        return;
     const Duration in = it->second->refresh.sooner(wanted);
-    if (clock.now() + in < it->second->due) wait(*it->second, in);
+    if (clock.now() + in < it->second->due)
+        wait(*it->second, in);
 }
 
 void Resolver::wait(Followed &of, Duration span) {
     of.due = clock.now() + span;
     of.timer.expires_after(span);
     of.timer.async_wait([this, &of, here = alive](asio::error_code fault) {
-        if (!fault && *here) startLookup(of);
+        if (!fault && *here)
+            startLookup(of);
     });
 }
 
 void Resolver::startLookup(Followed &of) {
-    if (of.lookup) return;
+    if (of.lookup)
+        return;
     of.lookup.emplace(of.name, aged(of.addresses, clock.now() - of.addressesAt));
     goOn(of);
 }
 
 void Resolver::goOn(Followed &of) {
     for (auto &question : of.lookup->ask()) {
-        auto query = std::make_shared<Query>(context, std::move(question), servers.order(clock.now()),
-                                             std::uint32_t(chance()));
+        auto query = std::make_shared<Query>(context, std::move(question),
+                                             servers.order(clock.now()), std::uint32_t(chance()));
         query->forNames.push_back(of.name);
         put(std::move(query));
     }
-    if (of.lookup && of.lookup->over()) over(of);
+    if (of.lookup && of.lookup->over())
+        over(of);
 }
 
 void Resolver::over(Followed &of) {
     const Found found = of.lookup->found();
-    if (found.kind != FoundKind::failed) of.addresses = of.lookup->addresses(), of.addressesAt = clock.now();
+    if (found.kind != FoundKind::failed)
+        of.addresses = of.lookup->addresses(), of.addressesAt = clock.now();
     of.lookup.reset();
     const Duration lifetime = of.refresh.lifetime(found);
-    wait(of, found.kind == FoundKind::failed ? of.refresh.afterFailure() : of.refresh.afterAnswer(lifetime));
+    wait(of, found.kind == FoundKind::failed ? of.refresh.afterFailure()
+                                             : of.refresh.afterAnswer(lifetime));
     tell(of.name, found, lifetime, of.server);
 }
 
@@ -133,7 +143,8 @@
             capWaits = true;
             capTimer.expires_after(in);
             capTimer.async_wait([this, here = alive](asio::error_code fault) {
-                if (fault || !*here) return;
+                if (fault || !*here)
+                    return;
                 capWaits = false;
                 sendWaiting();
             });
@@ -152,7 +163,8 @@
     if (!what) {
         // On a turn of its own: this may be a call from within the lookup's own.
         asio::post(context, [this, query, here = alive] {
-            if (*here) ended(query, nullptr, query->asking.fault());
+            if (*here)
+                ended(query, nullptr, query->asking.fault());
         });
         return;
     }
@@ -162,7 +174,8 @@
     query->bytes = encode(m, what->edns);
     query->timer.expires_after(what->within);
     query->timer.async_wait([this, query, no = query->no, here = alive](asio::error_code fault) {
-        if (!fault && *here && no == query->no) noReply(query, "no answer in time");
+        if (!fault && *here && no == query->no)
+            noReply(query, "no answer in time");
     });
     what->tcp ? overTcp(query) : overUdp(query);
 }
@@ -171,14 +184,17 @@
     ++counted.udp;
     const auto to = settings.servers[query->now.server];
     asio::error_code fault;
-    // A socket for each attempt has a port of its own, drawn by the system; connected, it takes datagrams
-    // from the server's address and port only (RFC 5452, 9).
+    // A socket for each attempt has a port of its own, drawn by the system; connected, it takes
+    // datagrams from the server's address and port only (RFC 5452, 9).
     query->datagrams.open(to.protocol(), fault);
-    if (!fault) query->datagrams.connect(to, fault);
-    if (!fault) query->datagrams.send(asio::buffer(query->bytes), 0, fault);
+    if (!fault)
+        query->datagrams.connect(to, fault);
+    if (!fault)
+        query->datagrams.send(asio::buffer(query->bytes), 0, fault);
     if (fault) {
         asio::post(context, [this, query, no = query->no, why = fault.message(), here = alive] {
-            if (*here && no == query->no) noReply(query, why);
+            if (*here && no == query->no)
+                noReply(query, why);
         });
         return;
     }
@@ -190,63 +206,80 @@
     query->datagrams.async_receive(
         asio::buffer(query->received),
         [this, query, no = query->no, here = alive](asio::error_code fault, std::size_t size) {
-            if (!*here || query->over || no != query->no) return;
+            if (!*here || query->over || no != query->no)
+                return;
             if (fault)
-                return noReply(query, fault.message());  // refused by the host: at once, not at the end
-            if (!took(query, query->received.data(), size)) readUdp(query);
+                return noReply(query,
+                               fault.message());  // refused by the host: at once, not at the end
+            if (!took(query, query->received.data(), size))
+                readUdp(query);
         });
 }
 
 void Resolver::overTcp(const std::shared_ptr<Query> &query) {
     ++counted.tcp;
     const auto at = settings.servers[query->now.server];
-    query->bytes.insert(query->bytes.begin(),
-                        {std::uint8_t(query->bytes.size() >> 8), std::uint8_t(query->bytes.size())});
-    query->stream.async_connect(tcp::endpoint(at.address(), at.port()),
-                                [this, query, no = query->no, here = alive](asio::error_code fault) {
-                                    if (!*here || query->over || no != query->no) return;
-                                    if (fault) return noReply(query, "TCP: " + fault.message());
-                                    asio::async_write(
-                                        query->stream, asio::buffer(query->bytes),
-                                        [this, query, no, here](asio::error_code failed, std::size_t) {
-                                            if (!*here || query->over || no != query->no) return;
-                                            if (failed) return noReply(query, "TCP: " + failed.message());
-                                            readTcp(query);
-                                        });
-                                });
+    query->bytes.insert(query->bytes.begin(), {std::uint8_t(query->bytes.size() >> 8),
+                                               std::uint8_t(query->bytes.size())});
+    query->stream.async_connect(
+        tcp::endpoint(at.address(), at.port()),
+        [this, query, no = query->no, here = alive](asio::error_code fault) {
+            if (!*here || query->over || no != query->no)
+                return;
+            if (fault)
+                return noReply(query, "TCP: " + fault.message());
+            asio::async_write(query->stream, asio::buffer(query->bytes),
+                              [this, query, no, here](asio::error_code failed, std::size_t) {
+                                  if (!*here || query->over || no != query->no)
+                                      return;
+                                  if (failed)
+                                      return noReply(query, "TCP: " + failed.message());
+                                  readTcp(query);
+                              });
+        });
 }
 
 void Resolver::readTcp(const std::shared_ptr<Query> &query) {
     const auto failed = [this, query, no = query->no, here = alive](asio::error_code fault) {
-        if (!*here || query->over || no != query->no) return true;
-        if (fault) noReply(query, "TCP: " + fault.message());
+        if (!*here || query->over || no != query->no)
+            return true;
+        if (fault)
+            noReply(query, "TCP: " + fault.message());
         return bool(fault);
     };
-    asio::async_read(query->stream, asio::buffer(query->length),
-                     [this, query, failed](asio::error_code fault, std::size_t) {
-                         if (failed(fault)) return;
-                         query->received.resize(std::size_t(query->length[0]) << 8 | query->length[1]);
-                         asio::async_read(query->stream, asio::buffer(query->received),
-                                          [this, query, failed](asio::error_code cut, std::size_t size) {
-                                              if (failed(cut)) return;
-                                              if (!took(query, query->received.data(), size)) readTcp(query);
-                                          });
-                     });
+    asio::async_read(
+        query->stream, asio::buffer(query->length),
+        [this, query, failed](asio::error_code fault, std::size_t) {
+            if (failed(fault))
+                return;
+            query->received.resize(std::size_t(query->length[0]) << 8 | query->length[1]);
+            asio::async_read(query->stream, asio::buffer(query->received),
+                             [this, query, failed](asio::error_code cut, std::size_t size) {
+                                 if (failed(cut))
+                                     return;
+                                 if (!took(query, query->received.data(), size))
+                                     readTcp(query);
+                             });
+        });
 }
 
-bool Resolver::took(const std::shared_ptr<Query> &query, const std::uint8_t *bytes, std::size_t size) {
+bool Resolver::took(const std::shared_ptr<Query> &query, const std::uint8_t *bytes,
+                    std::size_t size) {
     const auto got = decode(bytes, size);
-    const bool ours = got.message && got.message->reply && got.message->id == query->id &&
-                      (got.message->question == query->question ||
-                       // A server that could not read the question may leave it out (RFC 6891, 7).
-                       (!got.message->question && got.message->code == std::uint8_t(Code::formErr)));
-    if (!ours) return ++counted.dropped, false;
+    const bool ours =
+        got.message && got.message->reply && got.message->id == query->id &&
+        (got.message->question == query->question ||
+         // A server that could not read the question may leave it out (RFC 6891, 7).
+         (!got.message->question && got.message->code == std::uint8_t(Code::formErr)));
+    if (!ours)
+        return ++counted.dropped, false;
     if (query->asking.replied(*got.message) == Asking::Use::answer) {
         servers.answered(query->now.server, clock.now() - query->sentAt);
         ended(query, &*got.message, {});
         return true;
     }
-    if (ofNoUse(*got.message)) servers.silent(query->now.server, clock.now());
+    if (ofNoUse(*got.message))
+        servers.silent(query->now.server, clock.now());
     attempt(query);
     return true;
 }
@@ -257,18 +290,24 @@
     attempt(query);
 }
 
-void Resolver::ended(const std::shared_ptr<Query> &query, const Message *reply, const std::string &fault) {
-    if (query->over) return;
+void Resolver::ended(const std::shared_ptr<Query> &query, const Message *reply,
+                     const std::string &fault) {
+    if (query->over)
+        return;
     query->over = true, query->close(), ++query->no;
     out.erase(query);
     ++(reply ? counted.answers : counted.failures);
     for (const auto &name : query->forNames) {
         const auto it = followed.find(name);
-        if (it == followed.end() || !it->second->lookup) continue;
+        if (it == followed.end() || !it->second->lookup)
+            continue;
         auto &of = *it->second;
-        if (reply && query->question.type == Type::srv) of.server = query->now.server;
-        if (reply) of.lookup->replied(query->question, *reply);
-        else of.lookup->failed(query->question, fault);
+        if (reply && query->question.type == Type::srv)
+            of.server = query->now.server;
+        if (reply)
+            of.lookup->replied(query->question, *reply);
+        else
+            of.lookup->failed(query->question, fault);
         goOn(of);
     }
     sendWaiting();
--- a/src/dns/resolver.hpp
+++ b/src/dns/resolver.hpp
@@ -1,5 +1,5 @@
-// Asks name servers over UDP and TCP (RFC 1035, 7766) and keeps following SRV names. Which server, how long
-// and when again is said by asking.hpp; what replies mean by lookup.hpp.
+// Asks name servers over UDP and TCP (RFC 1035, 7766) and keeps following SRV names. Which server,
+// how long and when again is said by asking.hpp; what replies mean by lookup.hpp.
 #pragma once
 
 #include <asio.hpp>
@@ -25,17 +25,18 @@
 
 class Resolver {
   public:
-    // A name was looked up. `server` is the place in ResolverSettings::servers of the SRV reply; meaningless
-    // where it failed.
+    // A name was looked up. `server` is the place in ResolverSettings::servers of the SRV reply;
+    // meaningless where it failed.
     using Tell = std::function<void(const std::string &name, const Found &found, Duration lifetime,
                                     std::size_t server)>;
-    Resolver(asio::io_context &context, const Clock &clock, ResolverSettings settings, std::uint64_t seed,
-             Tell tell);
+    Resolver(asio::io_context &context, const Clock &clock, ResolverSettings settings,
+             std::uint64_t seed, Tell tell);
     ~Resolver();
     Resolver(const Resolver &) = delete;
     Resolver &operator=(const Resolver &) = delete;
 
-    // Follows the name until the end. `haveView`: there is something to go by until the first answer.
+    // Follows the name until the end. `haveView`: there is something to go by until the first
+    // answer.
     void follow(const std::string &name, bool haveView);
     // Asks again so much later instead of when it was to be, unless that is sooner.
     void askAgainIn(const std::string &name, Duration wanted);
--- a/src/fakes/control_plane.hpp
+++ b/src/fakes/control_plane.hpp
@@ -1,5 +1,6 @@
-// A stand-in for the control plane and the fleet behind it: starts and drains instances, moves a release
-// through its stages by votes, and tells gateways by list and watch, late by as much as the day says.
+// A stand-in for the control plane and the fleet behind it: starts and drains instances, moves a
+// release through its stages by votes, and tells gateways by list and watch, late by as much as the
+// day says.
 #pragma once
 
 #include "../base/address.hpp"
@@ -17,7 +18,8 @@
     void start();  // the day's first instances, long since warm; call it before gateways list
     void dayBegins(Duration at) { dayBegan = at; }
     void tick();  // moves the release; called every few milliseconds
-    std::vector<FakeEndpoint *> instances(const std::string &where) const;  // running: any, trial or earlier
+    std::vector<FakeEndpoint *>
+    instances(const std::string &where) const;  // running: any, trial or earlier
     void staffDrains(FakeEndpoint &which);
     void crash(FakeEndpoint &which);
 
@@ -82,8 +84,8 @@
     std::map<std::string, Vote> votes;               // by gateway
     std::map<std::string, nlohmann::json> answered;  // by the key of a vote: a repeat acts once
     RolloutStage now;
-    Duration dayBegan{}, nowSince{}, publishedSince{}, allRunningSince{}, bookmarkAt{}, listDue{}, stageDue{},
-        tallyAt{}, oldLeaveAt{};
+    Duration dayBegan{}, nowSince{}, publishedSince{}, allRunningSince{}, bookmarkAt{}, listDue{},
+        stageDue{}, tallyAt{}, oldLeaveAt{};
     int starts = 0;
     bool began = false;
     http::Listener listener;
--- a/src/fakes/endpoint.hpp
+++ b/src/fakes/endpoint.hpp
@@ -1,5 +1,6 @@
-// A stand-in for a relay node: cores and a queue in front of them, cold at its start, falls over when it is
-// pushed while cold, forgets no mark within the window, and fails as its build or its trouble tells it to.
+// A stand-in for a relay node: cores and a queue in front of them, cold at its start, falls over
+// when it is pushed while cold, forgets no mark within the window, and fails as its build or its
+// trouble tells it to.
 #pragma once
 
 #include <asio.hpp>
@@ -33,7 +34,7 @@
     };
     std::vector<Done> finished;             // since the platform counted last
     std::map<std::string, Duration> marks;  // of deduped requests: when each was taken up
-    std::map<std::string, int> effects;     // how often each mark of a request with an effect has run
+    std::map<std::string, int> effects;  // how often each mark of a request with an effect has run
 };
 
 class FakeEndpoint {
--- a/src/fakes/fleet_names.hpp
+++ b/src/fakes/fleet_names.hpp
@@ -1,5 +1,5 @@
-// The fleet of a rehearsed day as SRV records: name servers of each gateway's own, so that what a gateway was
-// told, and when, is known. A name for each build and zone.
+// The fleet of a rehearsed day as SRV records: name servers of each gateway's own, so that what a
+// gateway was told, and when, is known. A name for each build and zone.
 #pragma once
 
 #include <set>
@@ -25,7 +25,7 @@
     void serve(std::vector<Listed> now);
 
     void misbehave(std::size_t server, const NameFaults &faults);  // that server of each gateway
-    void freeze(std::size_t server, bool on);                      // it goes on with the records of now
+    void freeze(std::size_t server, bool on);  // it goes on with the records of now
 
   private:
     std::vector<dns::Record> recordsOf(const std::vector<Listed> &fleet) const;
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,5 +1,6 @@
-// The data path: turns what crosses its sockets into the events of deckcart/policy.hpp and carries out the
-// actions. It picks no endpoint, limit or time-out of its own. One thread, one io_context, one gateway.
+// The data path: turns what crosses its sockets into the events of deckcart/policy.hpp and carries
+// out the actions. It picks no endpoint, limit or time-out of its own. One thread, one io_context,
+// one gateway.
 #pragma once
 
 #include <asio.hpp>
@@ -17,7 +18,8 @@
 
 namespace deckcart {
 
-// Faults of the shell that a rehearsal asks for, to show that its auditor finds them. Never set in service.
+// Faults of the shell that a rehearsal asks for, to show that its auditor finds them. Never set in
+// service.
 struct ShellFaults {
     bool sendsAfterDrain = false;      // first attempts go to what was listed as draining last
     bool answersTwice = false;         // writes a second answer behind each first one
@@ -37,30 +39,34 @@
 
 class Gateway {
   public:
-    Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings, std::uint64_t seed,
-            Log log, const asio::ip::tcp::endpoint &listen, ShellFaults faults = {});  // HTTP on both sides
-    Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings, std::uint64_t seed,
-            Log log, const Transport &transport, ShellFaults faults = {});
+    Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings,
+            std::uint64_t seed, Log log, const asio::ip::tcp::endpoint &listen,
+            ShellFaults faults = {});  // HTTP on both sides
+    Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings,
+            std::uint64_t seed, Log log, const Transport &transport, ShellFaults faults = {});
     ~Gateway();
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
-    // The list of before, told to the module as its last known one. Call it before the first request.
+    // The list of before, told to the module as its last known one. Call it before the first
+    // request.
     void remember(const std::vector<ListedEndpoint> &saved);
     void remember(const EndpointListUpdate &known) { happened(known); }
     void tell(const RolloutUpdate &news) { happened(news); }  // as last known
-    // The same where the list has sources of its own; read with readSaved() on this gateway's clock.
+    // The same where the list has sources of its own; read with readSaved() on this gateway's
+    // clock.
     void remember(const std::vector<membership::SavedSource> &saved);
-    // Takes new settings while requests go on. A new start of the module (newModule) takes the requests that
-    // come from now on; those in hand end under the old one. Only where one build is listed: see
-    // mayRestartModule().
+    // Takes new settings while requests go on. A new start of the module (newModule) takes the
+    // requests that come from now on; those in hand end under the old one. Only where one build is
+    // listed: see mayRestartModule().
     void apply(GatewaySettings settings, bool newModule, bool sourcesMoved = false);
     bool mayRestartModule() const;
     // Refuses new requests, finishes those in hand, then calls back.
     void drain(std::function<void()> done);
-    void endInHand();  // answers whatever is still in hand, as errored; sheds what comes from now on
-    bool reportIncorrectResponse(
-        const std::string &requestId);  // a client's report on an answer it got here; false: not known
+    void
+    endInHand();  // answers whatever is still in hand, as errored; sheds what comes from now on
+    bool reportIncorrectResponse(const std::string &requestId);  // a client's report on an answer
+                                                                 // it got here; false: not known
 
     asio::ip::tcp::endpoint address() const { return downstream->address(); }
     const GatewayCounts &counts() const { return counted; }
@@ -69,8 +75,10 @@
     const GatewaySettings &settings() const { return given; }
     std::vector<ListedEndpoint> listed() const;
     std::optional<RolloutStage> stage() const { return told; }
-    std::function<void()> onListed;                    // the list, or what a source says, has changed
-    EndpointWatcher *members() { return feed.get(); }  // none: the control plane's list is taken as it is
+    std::function<void()> onListed;  // the list, or what a source says, has changed
+    EndpointWatcher *members() {
+        return feed.get();
+    }  // none: the control plane's list is taken as it is
 
   private:
     struct Attempt;
@@ -152,8 +160,9 @@
     asio::steady_timer sweeper;
     GatewayCounts counted;
     std::function<void()> drained;
-    bool frontEnded = false, ended = false;  // no request can come; what still comes is shed at once
-    EndpointId drainingServer;               // for the fault that sends after a drain
+    bool frontEnded = false,
+         ended = false;         // no request can come; what still comes is shed at once
+    EndpointId drainingServer;  // for the fault that sends after a drain
     struct Nobody : CallObserver {
         void onResponse(std::string_view) override {}
         void onCallEnd(Outcome) override {}
--- a/src/gateway/http_transport.cpp
+++ b/src/gateway/http_transport.cpp
@@ -21,10 +21,12 @@
     const std::string *text = head.find(name);
     const char *at = text ? text->data() : nullptr, *end = text ? at + text->size() : nullptr;
     while (at != end && load.size() < 4) {
-        while (at != end && (*at == ' ' || *at == ',')) ++at;
+        while (at != end && (*at == ' ' || *at == ','))
+            ++at;
         double value = 0;
         const auto [next, fault] = std::from_chars(at, end, value);
-        if (fault != std::errc{}) break;
+        if (fault != std::errc{})
+            break;
         load.push_back(value), at = next;
     }
     return load;
@@ -39,10 +41,12 @@
     HttpRequest(std::shared_ptr<http::Exchange> e, const GatewaySettings &with)
         : exchange(std::move(e)), settings(with) {
         exchange->onGone = [this] {
-            if (const auto tell = onGone) tell();
+            if (const auto tell = onGone)
+                tell();
         };
         exchange->onDrained = [this] {
-            if (const auto tell = onDrained) tell();
+            if (const auto tell = onDrained)
+                tell();
         };
     }
     ~HttpRequest() override { exchange->onGone = nullptr, exchange->onDrained = nullptr; }
@@ -51,7 +55,8 @@
     void shed(const std::string &name, Duration retryAfter) override {
         const auto ms = std::max<std::int64_t>(retryAfter.count() / 1000, 0);
         refuse(503, "shed", name,
-               {{"Retry-After", std::to_string((ms + 999) / 1000)}, {kRetryHeader, std::to_string(ms)}});
+               {{"Retry-After", std::to_string((ms + 999) / 1000)},
+                {kRetryHeader, std::to_string(ms)}});
     }
     void errored(const std::string &name, bool late) override {
         refuse(late ? 504 : 502, "errored", name, {});
@@ -69,7 +74,8 @@
     const std::shared_ptr<http::Exchange> exchange;
 
   private:
-    void refuse(int status, const char *end, const std::string &name, std::vector<http::Header> more) {
+    void refuse(int status, const char *end, const std::string &name,
+                std::vector<http::Header> more) {
         http::ResponseHead answer;
         answer.status = status;
         answer.headers = {
@@ -82,8 +88,8 @@
 
 class HttpDownstream : public Downstream {
   public:
-    HttpDownstream(asio::io_context &io, const asio::ip::tcp::endpoint &at, const GatewaySettings &with,
-                   DownstreamHandler to)
+    HttpDownstream(asio::io_context &io, const asio::ip::tcp::endpoint &at,
+                   const GatewaySettings &with, DownstreamHandler to)
         : settings(with), owner(std::move(to)),
           listener(io, at, with.listener,
                    [this](std::shared_ptr<http::Exchange> e) { arrived(std::move(e)); }) {}
@@ -99,17 +105,20 @@
         const std::string path = head.target.substr(0, head.target.find('?'));
         std::size_t rule = 0;
         while (rule < settings.routes.size() &&
-               !((settings.routes[rule].method.empty() || settings.routes[rule].method == head.method) &&
+               !((settings.routes[rule].method.empty() ||
+                  settings.routes[rule].method == head.method) &&
                  path.starts_with(settings.routes[rule].pathPrefix)))
             ++rule;
         const auto refuse = [&](int status, const char *end, const char *words,
                                 std::vector<http::Header> more) {
             http::ResponseHead answer;
             answer.status = status, answer.headers = std::move(more);
-            answer.headers.insert(answer.headers.end(), {{kEndHeader, end}, {"Content-Type", "text/plain"}});
+            answer.headers.insert(answer.headers.end(),
+                                  {{kEndHeader, end}, {"Content-Type", "text/plain"}});
             exchange->answer(std::move(answer), words);
         };
-        if (settings.routes.empty()) return refuse(503, "shed", "no settings yet\n", {{"Retry-After", "1"}});
+        if (settings.routes.empty())
+            return refuse(503, "shed", "no settings yet\n", {{"Retry-After", "1"}});
         if (rule == settings.routes.size()) {
             owner.unrouted();
             return refuse(404, "errored", "no route takes this\n", {});
@@ -124,7 +133,8 @@
         attributes.tenant = tenantIndex(settings.tenants, text(settings.headers.tenant));
         attributes.wait = settings.routes[rule].routeTimeout;
         if (const auto left = wholeNumber(text(settings.headers.remaining)); left && *left >= 0)
-            attributes.wait = std::min(attributes.wait, Duration{std::llround(std::min(*left, 1e9) * 1000)});
+            attributes.wait =
+                std::min(attributes.wait, Duration{std::llround(std::min(*left, 1e9) * 1000)});
         auto request = std::make_shared<HttpRequest>(std::move(exchange), settings);
         request->attributes = std::move(attributes);
         owner.arrived(std::move(request));
@@ -154,19 +164,22 @@
         for (const auto &h : in.headers)
             if (http::travels(in, h.first) && !http::sameName(h.first, settings.headers.remaining))
                 out.headers.push_back(h);
-        if (!in.find(settings.headers.requestId)) out.headers.push_back({settings.headers.requestId, name});
-        // What is left of the client's wait, as it is now. None: it ends as its connection is made, by its
-        // time.
+        if (!in.find(settings.headers.requestId))
+            out.headers.push_back({settings.headers.requestId, name});
+        // What is left of the client's wait, as it is now. None: it ends as its connection is made,
+        // by its time.
         const Duration left = preSendCheck().value_or(Duration{0});
         out.headers.push_back({settings.headers.remaining, std::to_string(left.count() / 1000)});
         out.headers.push_back({"Via", "1.1 deckcart"});
-        if (!exchange.body.empty() || in.length || in.chunked) out.length = exchange.body.size();
+        if (!exchange.body.empty() || in.length || in.chunked)
+            out.length = exchange.body.size();
         connection->call(*parseAddress(endpoint), settings.upstream.connectWithin,
                          http::write(out) + exchange.body, in.method == "HEAD", this);
     }
     bool startedSending() const override { return connection->startedSending(); }
     void release(Duration now) override {
-        if (!connection->reusable()) connection->drop();
+        if (!connection->reusable())
+            connection->drop();
         pool.give(endpoint, connection, now);
     }
     void pause() override { connection->pause(); }
@@ -175,7 +188,8 @@
     // The head of an instance's answer as the client gets it.
     http::ResponseHead passedHead() const {
         http::ResponseHead out = head;
-        std::erase_if(out.headers, [&](const http::Header &h) { return !http::travels(head, h.first); });
+        std::erase_if(out.headers,
+                      [&](const http::Header &h) { return !http::travels(head, h.first); });
         out.headers.push_back({kEndHeader, "completed"});
         out.headers.push_back({kBuildHeader, std::to_string(build)});
         return out;
@@ -186,7 +200,8 @@
     void onResponseHead(const http::ResponseHead &came) override { head = came; }
     void onResponseBody(std::string_view part) override {
         // An error's body goes nowhere: the request may still be done elsewhere.
-        if (head.status < 500) owner->onResponse(part);
+        if (head.status < 500)
+            owner->onResponse(part);
     }
     void onCallEnd(http::CallEnd outcome) override {
         if (outcome == http::CallEnd::complete) {
@@ -195,8 +210,8 @@
                                     : full            ? Outcome::overloaded
                                                       : Outcome::error);
         }
-        // Whether it may have run is told by the bytes that were handed over. An idle connection that closes
-        // as the request goes out has taken them: it may have run.
+        // Whether it may have run is told by the bytes that were handed over. An idle connection
+        // that closes as the request goes out has taken them: it may have run.
         const bool none = outcome == http::CallEnd::connectFailed || !connection->startedSending();
         owner->onCallEnd(none                                ? Outcome::connectFailed
                          : outcome == http::CallEnd::garbage ? Outcome::malformed
@@ -215,7 +230,8 @@
 void HttpRequest::completed(UpstreamCall &from, std::string_view answer) {
     const auto &call = static_cast<HttpCall &>(from);
     http::ResponseHead head = call.passedHead();
-    if (exchange->head.method != "HEAD" || !call.length()) return exchange->answer(std::move(head), answer);
+    if (exchange->head.method != "HEAD" || !call.length())
+        return exchange->answer(std::move(head), answer);
     head.length = call.length();
     exchange->begin(std::move(head));
     exchange->end();
@@ -232,18 +248,21 @@
         : context(io), settings(with), pool(io, with) {}
     std::shared_ptr<UpstreamCall> take(const EndpointId &endpoint) override {
         const auto connection = parseAddress(endpoint) ? pool.take(endpoint) : nullptr;
-        return connection ? std::make_shared<HttpCall>(pool, settings, endpoint, connection) : nullptr;
+        return connection ? std::make_shared<HttpCall>(pool, settings, endpoint, connection)
+                          : nullptr;
     }
     void closeIdle(const EndpointId &endpoint) override { pool.closeIdle(endpoint); }
     void sweep(Duration now) override { pool.sweep(now); }
     void probe(const EndpointId &endpoint, ProbeCallback done) override {
         const auto to = parseAddress(endpoint);
-        if (!to) return done({});
+        if (!to)
+            return done({});
         http::RequestHead head;
         head.method = "GET", head.target = settings.upstream.probePath;
-        probes.add(http::Fetch::start(
-            context, *to, head, {}, settings.upstream.probeWithin,
-            [this, done](const http::Fetched &got) { done(loadOf(got.head, settings.headers.load)); }));
+        probes.add(http::Fetch::start(context, *to, head, {}, settings.upstream.probeWithin,
+                                      [this, done](const http::Fetched &got) {
+                                          done(loadOf(got.head, settings.headers.load));
+                                      }));
     }
 
   private:
--- a/src/gateway/http_transport.hpp
+++ b/src/gateway/http_transport.hpp
@@ -9,7 +9,8 @@
 
 class HttpTransport : public Transport {
   public:
-    HttpTransport(asio::io_context &io, const asio::ip::tcp::endpoint &at) : context(io), listen(at) {}
+    HttpTransport(asio::io_context &io, const asio::ip::tcp::endpoint &at)
+        : context(io), listen(at) {}
     std::unique_ptr<Downstream> downstream(const GatewaySettings &settings,
                                            DownstreamHandler owner) const override;
     std::unique_ptr<UpstreamPool> upstreams(const GatewaySettings &settings) const override;
--- a/src/gateway/idle_connections.hpp
+++ b/src/gateway/idle_connections.hpp
@@ -1,5 +1,5 @@
-// Idle connections to instances, the latest used last: kept until they are taken, too old or closed by the
-// other side. `Connection` has idleSince, onIdleClosed and drop().
+// Idle connections to instances, the latest used last: kept until they are taken, too old or closed
+// by the other side. `Connection` has idleSince, onIdleClosed and drop().
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -9,7 +9,8 @@
 
 namespace deckcart {
 
-template <class Connection> class IdleConnections {
+template <class Connection>
+class IdleConnections {
   public:
     using Held = std::shared_ptr<Connection>;
     enum class Use { takes, waits, none };  // none: it is dropped
@@ -17,7 +18,8 @@
     IdleConnections() = default;
     ~IdleConnections() {
         for (auto &[endpoint, list] : places)
-            for (const auto &one : list) drop(one);
+            for (const auto &one : list)
+                drop(one);
     }
     IdleConnections(const IdleConnections &) = delete;
     IdleConnections &operator=(const IdleConnections &) = delete;
@@ -27,38 +29,48 @@
         connection->onIdleClosed = [this, endpoint, weak = std::weak_ptr(connection),
                                     here = std::weak_ptr(alive)] {
             const auto one = weak.lock();
-            if (here.expired() || !one) return;
-            if (const auto at = places.find(endpoint); at != places.end()) std::erase(at->second, one);
+            if (here.expired() || !one)
+                return;
+            if (const auto at = places.find(endpoint); at != places.end())
+                std::erase(at->second, one);
         };
         places[endpoint].push_back(connection);
     }
-    // The one used last that is of use: the others may end by their idle time. Empty: there is none.
-    template <class Judge> Held take(const EndpointId &endpoint, Judge judge) {
+    // The one used last that is of use: the others may end by their idle time. Empty: there is
+    // none.
+    template <class Judge>
+    Held take(const EndpointId &endpoint, Judge judge) {
         const auto at = places.find(endpoint);
-        if (at == places.end()) return nullptr;
+        if (at == places.end())
+            return nullptr;
         auto &list = at->second;
         for (std::size_t k = list.size(); k-- > 0;) {
             const Held one = list[k];
             const Use use = judge(*one);
-            if (use == Use::waits) continue;
+            if (use == Use::waits)
+                continue;
             list.erase(list.begin() + std::ptrdiff_t(k));
             one->onIdleClosed = nullptr;
-            if (use == Use::takes) return one;
+            if (use == Use::takes)
+                return one;
             one->drop();
         }
         return nullptr;
     }
     void close(const EndpointId &endpoint) {
         const auto at = places.find(endpoint);
-        if (at == places.end()) return;
+        if (at == places.end())
+            return;
         const auto list = std::move(at->second);
         places.erase(at);
-        for (const auto &one : list) drop(one);
+        for (const auto &one : list)
+            drop(one);
     }
     void sweep(Duration now, Duration idleFor) {
         for (auto it = places.begin(); it != places.end();) {
             auto &list = it->second;
-            while (!list.empty() && now - list.front()->idleSince >= idleFor) dropFirst(list);
+            while (!list.empty() && now - list.front()->idleSince >= idleFor)
+                dropFirst(list);
             it = list.empty() ? places.erase(it) : std::next(it);
         }
     }
@@ -67,11 +79,13 @@
         for (auto &[endpoint, list] : places)
             if (!list.empty() && (!oldest || list.front()->idleSince < oldest->front()->idleSince))
                 oldest = &list;
-        if (oldest) dropFirst(*oldest);
+        if (oldest)
+            dropFirst(*oldest);
     }
     std::size_t size() const {
         std::size_t n = 0;
-        for (const auto &[endpoint, list] : places) n += list.size();
+        for (const auto &[endpoint, list] : places)
+            n += list.size();
         return n;
     }
 
--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -1,5 +1,5 @@
-// Connections to instances: bounded for each, kept while idle for a stated time, closed when told so. Whom to
-// send to is not decided here.
+// Connections to instances: bounded for each, kept while idle for a stated time, closed when told
+// so. Whom to send to is not decided here.
 #pragma once
 
 #include "../http/client.hpp"
@@ -18,7 +18,9 @@
     void give(const EndpointId &endpoint, const std::shared_ptr<http::ClientConnection> &connection,
               Duration now);
     void closeIdle(const EndpointId &endpoint) { idle.close(endpoint); }
-    void sweep(Duration now) { idle.sweep(now, settings.upstream.idleFor); }  // ends those idle for too long
+    void sweep(Duration now) {
+        idle.sweep(now, settings.upstream.idleFor);
+    }  // ends those idle for too long
 
   private:
     asio::io_context &context;
--- a/src/gateway/service.hpp
+++ b/src/gateway/service.hpp
@@ -16,8 +16,8 @@
     ShellFaults faults;
 };
 
-// Runs until SIGTERM or SIGINT has drained it. Returns the exit status: 0, or 1 with a log line when it can't
-// start.
+// Runs until SIGTERM or SIGINT has drained it. Returns the exit status: 0, or 1 with a log line
+// when it can't start.
 int runGateway(const ServiceStart &start);
 
 }  // namespace deckcart
--- a/src/gateway/transport.hpp
+++ b/src/gateway/transport.hpp
@@ -1,7 +1,7 @@
-// The ways in and out of a gateway: a request taken, a call to an instance, a probe, list and votes. What
-// crosses them is the same whatever the protocol; HTTP's stand in http_transport.cpp, a platform's in
-// src/platform/. Nothing behind them chooses an instance, sends again by itself, or holds a final answer
-// back.
+// The ways in and out of a gateway: a request taken, a call to an instance, a probe, list and
+// votes. What crosses them is the same whatever the protocol; HTTP's stand in http_transport.cpp, a
+// platform's in src/platform/. Nothing behind them chooses an instance, sends again by itself, or
+// holds a final answer back.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -24,8 +24,8 @@
     Duration wait{};        // from when it came until the client gives up
 };
 
-// A request that a client has sent; answered once: by shed, errored, completed, or begin, write and end. What
-// is written after the client has gone goes nowhere.
+// A request that a client has sent; answered once: by shed, errored, completed, or begin, write and
+// end. What is written after the client has gone goes nowhere.
 class DownstreamRequest {
   public:
     virtual ~DownstreamRequest() = default;
@@ -57,8 +57,8 @@
     virtual void onCallEnd(Outcome outcome) = 0;  // ok, or the truth of whether it may have run
 };
 
-// Asked once, when a connection is up and nothing is written yet: what is left of the client's wait then, or
-// empty if the try must not go out any more.
+// Asked once, when a connection is up and nothing is written yet: what is left of the client's wait
+// then, or empty if the try must not go out any more.
 using PreSendCheck = std::function<std::optional<Duration>()>;
 
 // One try's way to an instance. Given back once, by release().
@@ -66,8 +66,8 @@
   public:
     virtual ~UpstreamCall() = default;
     // Sends what the client has sent. Never calls back from within.
-    virtual void start(const DownstreamRequest &request, const std::string &name, PreSendCheck preSendCheck,
-                       BuildNumber build, CallObserver *owner) = 0;
+    virtual void start(const DownstreamRequest &request, const std::string &name,
+                       PreSendCheck preSendCheck, BuildNumber build, CallObserver *owner) = 0;
     // Whether the instance may have got the whole of it. What was not handed over can be withdrawn.
     virtual bool startedSending() const = 0;
     // Of a call that has ended its connection may serve on; else it is closed at once.
@@ -80,7 +80,8 @@
 
 class UpstreamPool {
   public:
-    using ProbeCallback = std::function<void(std::vector<double> load)>;  // empty: the probe has failed
+    using ProbeCallback =
+        std::function<void(std::vector<double> load)>;  // empty: the probe has failed
     virtual ~UpstreamPool() = default;
     // Empty when a bound is reached or the instance has no address.
     virtual std::shared_ptr<UpstreamCall> take(const EndpointId &endpoint) = 0;
@@ -95,8 +96,8 @@
     virtual ~Downstream() = default;
     virtual asio::ip::tcp::endpoint address() const = 0;
     virtual void limit() = 0;  // the settings' bounds have changed
-    // Takes no more; requests in hand are answered, each with its connection closed. `ended`, which may be
-    // called from within: no request of its clients can come any more.
+    // Takes no more; requests in hand are answered, each with its connection closed. `ended`, which
+    // may be called from within: no request of its clients can come any more.
     virtual void drain(std::function<void()> ended) = 0;
     virtual std::size_t connections() const = 0;
 };
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -1,5 +1,5 @@
-// The calling side of HTTP/1.1 on Asio: one connection that carries one call at a time, with what was handed
-// to the socket counted, so that a caller knows whether a call may have run.
+// The calling side of HTTP/1.1 on Asio: one connection that carries one call at a time, with what
+// was handed to the socket counted, so that a caller knows whether a call may have run.
 #pragma once
 
 #include <asio.hpp>
@@ -22,22 +22,25 @@
     virtual void onCallEnd(CallEnd outcome) = 0;
 };
 
-class ClientConnection : public std::enable_shared_from_this<ClientConnection>, private MessageHandler {
+class ClientConnection : public std::enable_shared_from_this<ClientConnection>,
+                         private MessageHandler {
   public:
     ClientConnection(asio::io_context &context, std::size_t mostHeadBytes);
 
-    // Connects within the time if it is not connected, then sends. The sink stays valid until onCallEnd or
-    // drop().
-    void call(const asio::ip::tcp::endpoint &to, Duration connectWithin, std::string bytes, bool isHead,
-              CallHandler *owner);
+    // Connects within the time if it is not connected, then sends. The sink stays valid until
+    // onCallEnd or drop().
+    void call(const asio::ip::tcp::endpoint &to, Duration connectWithin, std::string bytes,
+              bool isHead, CallHandler *owner);
     void drop();  // forgets the sink and closes at once
     void pause();
     void resume();
 
     bool reusable() const { return connected && !sink && !closed && !tainted; }
-    bool startedSending() const { return handed > 0; }  // bytes of the present call that the socket took
-    bool spokeUnasked() const { return unasked; }       // bytes came that belong to no call
-    std::function<void()> onIdleClosed;                 // the peer has closed it while idle
+    bool startedSending() const {
+        return handed > 0;
+    }                                              // bytes of the present call that the socket took
+    bool spokeUnasked() const { return unasked; }  // bytes came that belong to no call
+    std::function<void()> onIdleClosed;            // the peer has closed it while idle
     Duration idleSince{};
 
   private:
--- a/src/http/fetch.hpp
+++ b/src/http/fetch.hpp
@@ -1,6 +1,6 @@
-// One call to a server of ours: the control plane, an instance's probe, a gateway's API. Ends within a stated
-// time, with the whole answer; or, as a watch, tells line by line and ends when the peer has been silent for
-// that time.
+// One call to a server of ours: the control plane, an instance's probe, a gateway's API. Ends
+// within a stated time, with the whole answer; or, as a watch, tells line by line and ends when the
+// peer has been silent for that time.
 #pragma once
 
 #include "client.hpp"
@@ -23,10 +23,11 @@
     using Line = std::function<void(std::string_view)>;
     enum class Cut { atLines, nowhere };  // how a watch is told: line by line, or as the bytes come
 
-    // Calls back exactly once, never from within start(), unless stopped before. The host field is written
-    // here.
-    static std::shared_ptr<Fetch> start(asio::io_context &context, const asio::ip::tcp::endpoint &to,
-                                        RequestHead head, const std::string &body, Duration within, Done done,
+    // Calls back exactly once, never from within start(), unless stopped before. The host field is
+    // written here.
+    static std::shared_ptr<Fetch> start(asio::io_context &context,
+                                        const asio::ip::tcp::endpoint &to, RequestHead head,
+                                        const std::string &body, Duration within, Done done,
                                         Line line = nullptr, Cut cut = Cut::atLines);
     void stop();  // no call back any more
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -35,8 +35,8 @@
 
 std::string_view reasonOf(int status);
 
-// The fields that belong to one connection only (RFC 9110, 7.6.1), those that its Connection field names, and
-// the framing, which is written anew.
+// The fields that belong to one connection only (RFC 9110, 7.6.1), those that its Connection field
+// names, and the framing, which is written anew.
 bool travels(const Head &head, std::string_view name);
 
 // A whole head with its empty line. Framing comes from length and chunked; the rest from headers.
--- a/src/http/parser.hpp
+++ b/src/http/parser.hpp
@@ -1,6 +1,7 @@
-// One HTTP/1.1 message after another out of bytes. The registry's http_parser reads them; a guard beside it
-// refuses what that library lets through and other readers take otherwise (request smuggling): bare LF, white
-// space before the colon, folded lines, control characters, chunk sizes and chunk ends that are not exact.
+// One HTTP/1.1 message after another out of bytes. The registry's http_parser reads them; a guard
+// beside it refuses what that library lets through and other readers take otherwise (request
+// smuggling): bare LF, white space before the colon, folded lines, control characters, chunk sizes
+// and chunk ends that are not exact.
 #pragma once
 
 #include <http_parser.h>
@@ -26,9 +27,11 @@
     enum class Kind { request, answer };
     Parser(Kind kind, std::size_t mostHeadBytes, MessageHandler &owner);
 
-    // Reads up to the end of the present message; returns how many bytes that took. Stops at a fault.
+    // Reads up to the end of the present message; returns how many bytes that took. Stops at a
+    // fault.
     std::size_t feed(std::string_view bytes);
-    // The peer has closed: ends an answer whose body runs until then; false if a message is cut short.
+    // The peer has closed: ends an answer whose body runs until then; false if a message is cut
+    // short.
     bool finish();
     void reset();  // for the next message
 
--- a/src/membership/claims.hpp
+++ b/src/membership/claims.hpp
@@ -13,10 +13,10 @@
     int zone = 0, cell = 0;
 };
 
-// One claim for each address of each target: an instance is its address and port. Weights (RFC 2782):
-// relative to the greatest of the class, 1 for all if none has one; a weight of 0 beside others gets a
-// hundredth of the least of them, "a very small chance". A target's weight is shared by its addresses. Within
-// 0.001 to 1.
+// One claim for each address of each target: an instance is its address and port. Weights (RFC
+// 2782): relative to the greatest of the class, 1 for all if none has one; a weight of 0 beside
+// others gets a hundredth of the least of them, "a very small chance". A target's weight is shared
+// by its addresses. Within 0.001 to 1.
 Reading readingOf(const SrvName &name, const dns::Found &found, Duration at, Duration lifetime,
                   std::string from);
 
--- a/src/membership/merge.hpp
+++ b/src/membership/merge.hpp
@@ -1,6 +1,6 @@
-// What the sources of the list of instances last said, turned into the one set that is routed to, with a
-// reason for each entry. The rule is the table in docs/design-membership.md. Pure: no I/O, no clock, no
-// chance. It decides neither health nor routing: that is the decision module's.
+// What the sources of the list of instances last said, turned into the one set that is routed to,
+// with a reason for each entry. The rule is the table in docs/design-membership.md. Pure: no I/O,
+// no clock, no chance. It decides neither health nor routing: that is the decision module's.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -23,14 +23,18 @@
 struct MergeRules {
     std::vector<SourceRule> sources;  // the first has precedence
     // An hour outlasts most outages of name endpoints.
-    Duration longestStale =
-        std::chrono::hours(1);  // beyond the end of a reading's lifetime; then its source has failed
-    double confirmShare = 0.3;  // 0 to 1: a loss of more than this part of what a source listed is held
-    Duration confirmAfter = std::chrono::seconds(5);  // a held loss told again so much later is believed
+    Duration longestStale = std::chrono::hours(
+        1);  // beyond the end of a reading's lifetime; then its source has failed
+    double confirmShare =
+        0.3;  // 0 to 1: a loss of more than this part of what a source listed is held
+    Duration confirmAfter =
+        std::chrono::seconds(5);  // a held loss told again so much later is believed
     // Longer than the usual route timeout, so that requests in hand end.
-    Duration grace = std::chrono::seconds(30);  // what leaves the set is draining for so long, then gone
-    // Of each build: the next class of priority opens while fewer live instances than reserveBelow are in the
-    // open ones, and closes once those before it have reserveUntil. 1 <= reserveBelow <= reserveUntil.
+    Duration grace =
+        std::chrono::seconds(30);  // what leaves the set is draining for so long, then gone
+    // Of each build: the next class of priority opens while fewer live instances than reserveBelow
+    // are in the open ones, and closes once those before it have reserveUntil. 1 <= reserveBelow <=
+    // reserveUntil.
     int reserveBelow = 1, reserveUntil = 2;
 };
 
@@ -40,8 +44,8 @@
 
 struct Claim {
     EndpointEntry entry;
-    // Lower ones come first. kNoClass: its source knows no classes; it is in the first one, whichever that
-    // is.
+    // Lower ones come first. kNoClass: its source knows no classes; it is in the first one,
+    // whichever that is.
     int priority = -1;
     std::string as;  // what it stands as in its source: HOST:PORT of the target
 };
@@ -51,8 +55,9 @@
     Duration at{}, lifetime{};
     std::string from;  // who told: one name endpoint or another
     std::vector<Claim> claims;
-    bool certain = false;           // set by hand: a loss needs no confirmation
-    std::set<std::string> unknown;  // of `as`: nothing was learned of these, they stand as they were
+    bool certain = false;  // set by hand: a loss needs no confirmation
+    std::set<std::string>
+        unknown;  // of `as`: nothing was learned of these, they stand as they were
 };
 
 enum class SourceState { never, fresh, stale, failed };
@@ -79,8 +84,9 @@
 struct View {
     std::vector<Member> members;  // by id
     std::vector<SourceView> sources;
-    std::vector<std::pair<std::size_t, Duration>> confirm;  // sources to be asked again, and when (a time)
-    std::optional<Duration> changesAt;                      // look again then, though nothing is told
+    std::vector<std::pair<std::size_t, Duration>>
+        confirm;                        // sources to be asked again, and when (a time)
+    std::optional<Duration> changesAt;  // look again then, though nothing is told
 };
 
 // What has to outlive the process. Times are spans since the clock's start, as everywhere.
@@ -102,7 +108,8 @@
     void tookChanges(std::size_t source, Duration at, const std::vector<Claim> &claims);
     // It can't be read: its last reading is stale from now on at the latest.
     void lost(std::size_t source, Duration at, const std::string &why);
-    void failedOnce(std::size_t source, const std::string &why);  // one try of many; the reading lives on
+    void failedOnce(std::size_t source,
+                    const std::string &why);  // one try of many; the reading lives on
 
     // The set at a time not before any told so far.
     View at(Duration now);
@@ -148,7 +155,8 @@
     Duration failsAt(const Source &s) const;
     void claim(Source &s, Duration at, const Claim &c, bool first);
     void withdraw(Source &s, const EndpointId &id, Duration at);
-    Said say(const EndpointId &id, const std::vector<std::size_t> &ranks, std::size_t counted) const;
+    Said say(const EndpointId &id, const std::vector<std::size_t> &ranks,
+             std::size_t counted) const;
     void forget();
 
     MergeRules rules;
--- a/src/membership/restart.cpp
+++ b/src/membership/restart.cpp
@@ -7,7 +7,8 @@
 bool mayStartAnew(const std::vector<EndpointEntry> &listed, std::optional<RolloutPhase> phase) {
     std::set<BuildNumber> builds;
     for (const auto &e : listed)
-        if (e.state == EndpointState::active) builds.insert(e.build);
+        if (e.state == EndpointState::active)
+            builds.insert(e.build);
     return builds.size() <= 1 && phase != RolloutPhase::canary;
 }
 
--- a/src/platform/commands.cpp
+++ b/src/platform/commands.cpp
@@ -24,17 +24,22 @@
     return args[0] == "Q.ASK" || args[0] == "Q.DO";
 }
 
-CommandRead readCommand(std::vector<std::string> args, const simulator::DeploymentSettings &settings) {
+CommandRead readCommand(std::vector<std::string> args,
+                        const simulator::DeploymentSettings &settings) {
     CommandRead out;
     const auto refuse = [&](const char *words) {
         out.refusal = std::string("ERR ") + words;
         return out;
     };
     const bool asks = args[0] == "Q.ASK";
-    if (args.size() < 4 || args.size() > 5) return refuse("wrong number of arguments");
-    if (args[1].size() > kMostWords) return refuse("the key is too long");
-    if (args[2].empty() || args[2].size() > kMostId) return refuse("no id, or a longer one than ids are");
-    if (args[3].size() > kMostWords) return refuse("the list of names and values is too long");
+    if (args.size() < 4 || args.size() > 5)
+        return refuse("wrong number of arguments");
+    if (args[1].size() > kMostWords)
+        return refuse("the key is too long");
+    if (args[2].empty() || args[2].size() > kMostId)
+        return refuse("no id, or a longer one than ids are");
+    if (args[3].size() > kMostWords)
+        return refuse("the list of names and values is too long");
     std::optional<std::string_view> route, tenant, wait, repeat;
     const char *odd = "a name without a value";
     const bool paired = eachPair(args[3], ',', [&](std::string_view name, std::string_view value) {
@@ -43,25 +48,34 @@
                      : name == "d" ? &wait
                      : name == "k" ? &repeat
                                    : nullptr;
-        if (into && *into) return odd = "a name stands twice", false;
-        if (into) *into = value;
+        if (into && *into)
+            return odd = "a name stands twice", false;
+        if (into)
+            *into = value;
         return true;
     });
-    if (!paired) return refuse(odd);
-    if (!route || !wait) return refuse("no class, or no time to wait");
+    if (!paired)
+        return refuse(odd);
+    if (!route || !wait)
+        return refuse("no class, or no time to wait");
     const auto named = std::ranges::find(settings.routes, *route);
-    if (named == settings.routes.end()) return refuse("no such class");
+    if (named == settings.routes.end())
+        return refuse("no such class");
     out.attributes.route = std::size_t(named - settings.routes.begin());
     const Idempotency effect = settings.start.routes[out.attributes.route].idempotency;
-    if (asks != (effect == Idempotency::idempotent)) return refuse("not the command of this class");
+    if (asks != (effect == Idempotency::idempotent))
+        return refuse("not the command of this class");
     if (effect == Idempotency::withKey && (!repeat || repeat->empty()))
         return refuse("no mark against repeats");
     const auto ms = plainNumber(*wait);
-    if (!ms || *ms < 0 || *ms > kMostWaitMs) return refuse("the time to wait is no number");
+    if (!ms || *ms < 0 || *ms > kMostWaitMs)
+        return refuse("the time to wait is no number");
     out.attributes.wait =
         std::min(settings.routeTimeouts[out.attributes.route], Duration{std::llround(*ms * 1000)});
-    if (tenant) out.attributes.tenant = tenantIndex(settings.tenants, *tenant);
-    out.command.waitAt = std::size_t(wait->data() - args[3].data()), out.command.waitLength = wait->size();
+    if (tenant)
+        out.attributes.tenant = tenantIndex(settings.tenants, *tenant);
+    out.command.waitAt = std::size_t(wait->data() - args[3].data()),
+    out.command.waitLength = wait->size();
     out.attributes.key = args[1], out.attributes.name = args[2];
     out.command.args = std::move(args);
     return out;
@@ -83,7 +97,8 @@
     // The value, null, the load report or null.
     const bool shaped =
         reply.kind == Kind::array && reply.items.size() == 3 && reply.items[0] && !reply.items[1];
-    if (!shaped) return {Outcome::malformed, {}};
+    if (!shaped)
+        return {Outcome::malformed, {}};
     return {Outcome::ok, std::move(*reply.items[0])};
 }
 
@@ -92,12 +107,15 @@
     std::vector<bool> seen(fields.size());
     const bool paired = eachPair(report, ',', [&](std::string_view name, std::string_view text) {
         const auto value = plainNumber(text);
-        if (!value || *value < 0) return false;
+        if (!value || *value < 0)
+            return false;
         const auto at = std::size_t(std::ranges::find(fields, name) - fields.begin());
-        if (at < fields.size()) out[at] = *value, seen[at] = true;
+        if (at < fields.size())
+            out[at] = *value, seen[at] = true;
         return true;
     });
-    if (!paired) return {};
+    if (!paired)
+        return {};
     return std::ranges::find(seen, false) == seen.end() ? out : std::vector<double>{};
 }
 
--- a/src/platform/commands.hpp
+++ b/src/platform/commands.hpp
@@ -1,5 +1,5 @@
-// The platform's commands and replies in terms of the gateway: a client's command to a request's facts, a
-// request to an instance's command, an instance's reply to an outcome. Pure.
+// The platform's commands and replies in terms of the gateway: a client's command to a request's
+// facts, a request to an instance's command, an instance's reply to an outcome. Pure.
 #pragma once
 
 #include "../gateway/transport.hpp"
@@ -10,7 +10,8 @@
 
 constexpr std::size_t kMostWords = 4096;  // of a key, and of a list
 
-// A command as the client sent it: key, id and body pass on unchanged, and the list but for the wait.
+// A command as the client sent it: key, id and body pass on unchanged, and the list but for the
+// wait.
 struct Command {
     std::vector<std::string> args;
     std::size_t waitAt = 0, waitLength = 0;  // where the wait's figure stands in the list
@@ -20,7 +21,8 @@
     Command command;
     std::string refusal;  // not empty: the words of an error, and the others mean nothing
 };
-CommandRead readCommand(std::vector<std::string> args, const simulator::DeploymentSettings &settings);
+CommandRead readCommand(std::vector<std::string> args,
+                        const simulator::DeploymentSettings &settings);
 bool isRequestCommand(const std::vector<std::string> &args);
 
 std::string instanceCommand(const Command &from, Duration wait);
--- a/src/platform/control_plane.cpp
+++ b/src/platform/control_plane.cpp
@@ -6,7 +6,8 @@
 namespace deckcart::platform {
 
 constexpr std::size_t kMostList = 8 * 1024 * 1024;
-constexpr Duration kNever = std::chrono::hours(24 * 365);  // a leg's own silence: the stream watches it
+constexpr Duration kNever =
+    std::chrono::hours(24 * 365);  // a leg's own silence: the stream watches it
 
 Duration onClock(std::int64_t unixMs) {
     static const Duration offset =
@@ -19,7 +20,8 @@
     EndpointListUpdate out{told.complete, {}};
     for (const auto &m : told.members) {
         out.entries.push_back(m.entry);
-        if (m.startedAtMs > 0) out.entries.back().startedAt = onClock(m.startedAtMs);
+        if (m.startedAtMs > 0)
+            out.entries.back().startedAt = onClock(m.startedAtMs);
     }
     return out;
 }
@@ -33,10 +35,12 @@
     bool dead = false;
 };
 
-Stream::Stream(asio::io_context &io, StreamTimes with, http::Fetch::Cut cutAt, std::uint64_t seed, Log to,
-               const char *named, std::function<std::string()> path, std::function<Reader()> readers)
-    : context(io), times(with), cut(cutAt), chance(std::mt19937::result_type(seed)), log(std::move(to)),
-      name(named), target(std::move(path)), reader(std::move(readers)), timer(io), watchdog(io) {}
+Stream::Stream(asio::io_context &io, StreamTimes with, http::Fetch::Cut cutAt, std::uint64_t seed,
+               Log to, const char *named, std::function<std::string()> path,
+               std::function<Reader()> readers)
+    : context(io), times(with), cut(cutAt), chance(std::mt19937::result_type(seed)),
+      log(std::move(to)), name(named), target(std::move(path)), reader(std::move(readers)),
+      timer(io), watchdog(io) {}
 
 Stream::~Stream() {
     *alive = false;
@@ -44,9 +48,11 @@
 }
 
 void Stream::drop(std::shared_ptr<Leg> &leg) {
-    if (!leg) return;
+    if (!leg)
+        return;
     leg->dead = true;
-    if (const auto fetch = std::exchange(leg->fetch, nullptr)) fetch->stop();
+    if (const auto fetch = std::exchange(leg->fetch, nullptr))
+        fetch->stop();
     leg = nullptr;
 }
 
@@ -67,14 +73,19 @@
     leg->fetch = http::Fetch::start(
         context, address, head, {}, kNever,
         [this, leg, here = std::weak_ptr(alive)](const http::Fetched &) {
-            if (here.expired() || leg->dead) return;
+            if (here.expired() || leg->dead)
+                return;
             leg->dead = true, leg->fetch = nullptr;
-            if (leg == standing) standing = nullptr;
-            if (leg == coming) coming = nullptr;
-            if (!coming) again();
+            if (leg == standing)
+                standing = nullptr;
+            if (leg == coming)
+                coming = nullptr;
+            if (!coming)
+                again();
         },
         [this, leg, here = std::weak_ptr(alive)](std::string_view bytes) {
-            if (!here.expired() && !leg->dead) said(leg, bytes);
+            if (!here.expired() && !leg->dead)
+                said(leg, bytes);
         },
         cut);
     watch();
@@ -89,31 +100,40 @@
         log.warn("unreadable", {{"stream", name}, {"fault", fault.what()}});
         readable = false;
     }
-    if (leg->dead) return;  // what it told has moved the stream
-    if (whole) leg->spoke = std::chrono::steady_clock::now();
+    if (leg->dead)
+        return;  // what it told has moved the stream
+    if (whole)
+        leg->spoke = std::chrono::steady_clock::now();
     if (whole && leg == coming) {
         drop(standing);
         standing = std::exchange(coming, nullptr);
         failures = mute = 0;
         watch();
     }
-    if (readable) return;
+    if (readable)
+        return;
     drop(leg == standing ? standing : coming);
-    if (!coming) again();
+    if (!coming)
+        again();
 }
 
-// Silence: another one is opened beside the one that stands, which may still speak first. One that is mute
-// from the start is opened anew sooner; each in a row has longer, so that a slow one is heard in the end.
+// Silence: another one is opened beside the one that stands, which may still speak first. One that
+// is mute from the start is opened anew sooner; each in a row has longer, so that a slow one is
+// heard in the end.
 void Stream::watch() {
-    if (!coming && !standing) return;
+    if (!coming && !standing)
+        return;
     const auto due = [this] {
-        if (!coming) return standing->spoke + times.silentFor;
+        if (!coming)
+            return standing->spoke + times.silentFor;
         return coming->spoke + backedOff(times.firstWord, times.silentFor, mute, 1);
     };
     watchdog.expires_at(due());
     watchdog.async_wait([this, due, here = std::weak_ptr(alive)](asio::error_code fault) {
-        if (fault || here.expired() || (!coming && !standing)) return;
-        if (std::chrono::steady_clock::now() < due()) return watch();
+        if (fault || here.expired() || (!coming && !standing))
+            return;
+        if (std::chrono::steady_clock::now() < due())
+            return watch();
         mute += coming != nullptr;
         start();
     });
@@ -123,28 +143,31 @@
     const double part = 0.5 + 0.5 * double(chance()) / 4294967296.0;
     timer.expires_after(backedOff(times.first, times.most, failures++, part));
     timer.async_wait([this, here = std::weak_ptr(alive)](asio::error_code fault) {
-        if (!fault && !here.expired() && !coming) start();
+        if (!fault && !here.expired() && !coming)
+            start();
     });
 }
 
 // ---- the control plane ----
 
 PlatformControlPlaneClient::PlatformControlPlaneClient(asio::io_context &io, Directory &where,
-                                                       const simulator::DeploymentSettings &with, At places,
-                                                       std::uint64_t seed, Log to, std::int64_t known,
+                                                       const simulator::DeploymentSettings &with,
+                                                       At places, std::uint64_t seed, Log to,
+                                                       std::int64_t known,
                                                        ControlPlaneObserver from)
-    : context(io), directory(where), settings(with), at(places), log(std::move(to)), owner(std::move(from)),
-      generation(known),
+    : context(io), directory(where), settings(with), at(places), log(std::move(to)),
+      owner(std::move(from)), generation(known),
       list(
           io, listTimes(), http::Fetch::Cut::nowhere, seed, log, "discovery",
           [this] { return "/discovery/hosts?stream=1&index=" + std::to_string(generation); },
           [this]() -> Stream::Reader {
-              return [this, values = std::make_shared<JsonValues>(kMostList)](std::string_view bytes) {
-                  const auto whole = values->feed(bytes);
-                  for (const auto &text : whole)
-                      took(readMembers(nlohmann::json::parse(text), settings.zones));
-                  return !whole.empty() || !values->inside();  // or a sign of life
-              };
+              return
+                  [this, values = std::make_shared<JsonValues>(kMostList)](std::string_view bytes) {
+                      const auto whole = values->feed(bytes);
+                      for (const auto &text : whole)
+                          took(readMembers(nlohmann::json::parse(text), settings.zones));
+                      return !whole.empty() || !values->inside();  // or a sign of life
+                  };
           }),
       bulletin(
           io, bulletinTimes(), http::Fetch::Cut::atLines, seed + 1, log, "bulletin",
@@ -152,8 +175,10 @@
           [this]() -> Stream::Reader {
               return [this, events = std::make_shared<EventLines>()](std::string_view line) {
                   const auto event = events->line(line);
-                  if (!event) return true;
-                  if (event->first == "news") owner.tell(readNews(readForm(event->second)));
+                  if (!event)
+                      return true;
+                  if (event->first == "news")
+                      owner.tell(readNews(readForm(event->second)));
                   else if (event->first == "counts")
                       owner.tell(readCounts(readForm(event->second), settings.routes));
                   return true;
@@ -167,13 +192,16 @@
 void PlatformControlPlaneClient::follow(bool) {}
 
 void PlatformControlPlaneClient::move(const At &to) {
-    if (to.discovery != at.discovery) list.open(to.discovery);
-    if (to.control != at.control) bulletin.open(to.control);
+    if (to.discovery != at.discovery)
+        list.open(to.discovery);
+    if (to.control != at.control)
+        bulletin.open(to.control);
     at = to;
 }
 
 void PlatformControlPlaneClient::took(const Members &told) {
-    if (told.generation < generation) return;  // overtaken: it changes nothing
+    if (told.generation < generation)
+        return;  // overtaken: it changes nothing
     generation = told.generation;
     directory.note(told);
     owner.tell(listTold(told));
--- a/src/platform/control_plane.hpp
+++ b/src/platform/control_plane.hpp
@@ -1,6 +1,6 @@
-// Discovery and the control service of the platform: the list's watch, news and counts, votes. Turns
-// documents into events; when to vote is the module's business. A stream that breaks is made anew from where
-// it was; one that says nothing is kept until another one speaks.
+// Discovery and the control service of the platform: the list's watch, news and counts, votes.
+// Turns documents into events; when to vote is the module's business. A stream that breaks is made
+// anew from where it was; one that says nothing is kept until another one speaks.
 #pragma once
 
 #include <random>
@@ -16,12 +16,15 @@
 // One stream that is to stand always: opened, opened anew with back-off, moved to another address.
 class Stream {
   public:
-    // Whether a whole word of the peer's has come, a sign of life among them. Throws where it can't be read.
+    // Whether a whole word of the peer's has come, a sign of life among them. Throws where it can't
+    // be read.
     using Reader = std::function<bool(std::string_view bytes)>;
-    Stream(asio::io_context &context, StreamTimes times, http::Fetch::Cut cut, std::uint64_t seed, Log log,
-           const char *name, std::function<std::string()> target, std::function<Reader()> reader);
+    Stream(asio::io_context &context, StreamTimes times, http::Fetch::Cut cut, std::uint64_t seed,
+           Log log, const char *name, std::function<std::string()> target,
+           std::function<Reader()> reader);
     ~Stream();
-    void open(const asio::ip::tcp::endpoint &at);  // the one that stands is kept until the new one speaks
+    void open(
+        const asio::ip::tcp::endpoint &at);  // the one that stands is kept until the new one speaks
 
   private:
     struct Leg;
@@ -52,8 +55,9 @@
         asio::ip::tcp::endpoint discovery, control;
     };
     PlatformControlPlaneClient(asio::io_context &context, Directory &directory,
-                               const simulator::DeploymentSettings &settings, At at, std::uint64_t seed,
-                               Log log, std::int64_t generation, ControlPlaneObserver owner);
+                               const simulator::DeploymentSettings &settings, At at,
+                               std::uint64_t seed, Log log, std::int64_t generation,
+                               ControlPlaneObserver owner);
 
     void follow(bool active) override;
     void vote(const Vote &vote, Duration within) override;
--- a/src/platform/directory.cpp
+++ b/src/platform/directory.cpp
@@ -3,10 +3,13 @@
 namespace deckcart::platform {
 
 void Directory::note(const Members &told) {
-    if (told.complete) places.clear();
+    if (told.complete)
+        places.clear();
     for (const auto &m : told.members) {
-        if (m.entry.state == EndpointState::removed) places.erase(m.entry.id);
-        else if (m.address) places[m.entry.id] = {*m.address, m.entry.build, m.startedAtMs};
+        if (m.entry.state == EndpointState::removed)
+            places.erase(m.entry.id);
+        else if (m.address)
+            places[m.entry.id] = {*m.address, m.entry.build, m.startedAtMs};
     }
 }
 
--- a/src/platform/documents.hpp
+++ b/src/platform/documents.hpp
@@ -1,5 +1,5 @@
-// The platform's documents as values: the configuration, discovery's lists, the control service's news,
-// counts and answers. Pure; bad ones throw std::invalid_argument that names the place.
+// The platform's documents as values: the configuration, discovery's lists, the control service's
+// news, counts and answers. Pure; bad ones throw std::invalid_argument that names the place.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -14,7 +14,7 @@
 
 // An instance as discovery lists it.
 struct Member {
-    EndpointEntry entry;                             // but for startedAt, which is on the reader's clock
+    EndpointEntry entry;  // but for startedAt, which is on the reader's clock
     std::optional<asio::ip::tcp::endpoint> address;  // always there but for one that is gone
     std::int64_t startedAtMs = 0;                    // Unix time; 0: long ago
 };
@@ -26,14 +26,15 @@
 Members readMembers(const nlohmann::json &from, const std::vector<std::string> &zones);
 
 RolloutUpdate readNews(const nlohmann::json &from);
-// A form, as in the event stream: name=value&... Throws where a name is missing or a value can't be read.
+// A form, as in the event stream: name=value&... Throws where a name is missing or a value can't be
+// read.
 using Form = std::map<std::string, std::string>;
 Form readForm(std::string_view text);
 RolloutUpdate readNews(const Form &from);
 UsageReport readCounts(const Form &from, const std::vector<std::string> &routes);
 
-// What a call of a vote came back with: status and body. A body that can't be read is Outcome::timeout: the
-// vote may have counted.
+// What a call of a vote came back with: status and body. A body that can't be read is
+// Outcome::timeout: the vote may have counted.
 RolloutUpdate readVoteAnswer(int status, const std::string &body);
 std::string voteForm(const Vote &vote);
 
--- a/src/platform/downstream.cpp
+++ b/src/platform/downstream.cpp
@@ -6,11 +6,13 @@
   public:
     using Names = std::shared_ptr<OpenNames>;
     RespRequest(const Clock &time, std::shared_ptr<resp::Exchange> e, CommandRead read, Names open)
-        : command(std::move(read.command)), clock(time), exchange(std::move(e)), names(std::move(open)) {
+        : command(std::move(read.command)), clock(time), exchange(std::move(e)),
+          names(std::move(open)) {
         attributes = std::move(read.attributes);
         exchange->onGone = [this] {
             free();
-            if (const auto tell = onGone) tell();
+            if (const auto tell = onGone)
+                tell();
         };
     }
     ~RespRequest() override {
@@ -41,7 +43,8 @@
         exchange->answer(std::move(bytes));
     }
     void free() {
-        if (!std::exchange(freed, true)) names->ended(attributes.name, clock.now());
+        if (!std::exchange(freed, true))
+            names->ended(attributes.name, clock.now());
     }
     const Clock &clock;
     std::shared_ptr<resp::Exchange> exchange;
@@ -53,9 +56,10 @@
     return static_cast<const RespRequest &>(request).command;
 }
 
-RespDownstream::RespDownstream(asio::io_context &io, const Clock &time, const asio::ip::tcp::endpoint &at,
-                               const resp::ListenerLimits &limits, const simulator::DeploymentSettings &with,
-                               DownstreamHandler to)
+RespDownstream::RespDownstream(asio::io_context &io, const Clock &time,
+                               const asio::ip::tcp::endpoint &at,
+                               const resp::ListenerLimits &limits,
+                               const simulator::DeploymentSettings &with, DownstreamHandler to)
     : clock(time), settings(with), owner(std::move(to)),
       names(std::make_shared<OpenNames>(with.longestTimeout())),
       listener(io, at, limits, [this](const std::shared_ptr<resp::Exchange> &e) { arrived(e); }) {}
@@ -63,8 +67,10 @@
 void RespDownstream::arrived(const std::shared_ptr<resp::Exchange> &exchange) {
     auto &args = exchange->args;
     if (!isRequestCommand(args)) {
-        if (args[0] == "PING" && args.size() == 1) return exchange->answer("+PONG\r\n");
-        if (args[0] == "CLIENT" || args[0] == "SELECT") return exchange->answer("+OK\r\n");
+        if (args[0] == "PING" && args.size() == 1)
+            return exchange->answer("+PONG\r\n");
+        if (args[0] == "CLIENT" || args[0] == "SELECT")
+            return exchange->answer("+OK\r\n");
         return exchange->refuse("ERR unknown command");
     }
     CommandRead read = readCommand(std::move(args), settings);
--- a/src/platform/downstream.hpp
+++ b/src/platform/downstream.hpp
@@ -13,8 +13,8 @@
 class RespDownstream : public Downstream {
   public:
     RespDownstream(asio::io_context &context, const Clock &clock, const asio::ip::tcp::endpoint &at,
-                   const resp::ListenerLimits &limits, const simulator::DeploymentSettings &settings,
-                   DownstreamHandler owner);
+                   const resp::ListenerLimits &limits,
+                   const simulator::DeploymentSettings &settings, DownstreamHandler owner);
 
     void open() { listener.open(); }  // who has connected before waits until then
     asio::ip::tcp::endpoint address() const override { return listener.address(); }
--- a/src/platform/json_values.hpp
+++ b/src/platform/json_values.hpp
@@ -1,6 +1,6 @@
-// Whole JSON values out of a stream's bytes, cut anywhere, whatever the white space between their parts. What
-// can't become a value is found at the byte that shows it, not at the value's end, which may never come.
-// Pure.
+// Whole JSON values out of a stream's bytes, cut anywhere, whatever the white space between their
+// parts. What can't become a value is found at the byte that shows it, not at the value's end,
+// which may never come. Pure.
 #pragma once
 
 #include <string>
@@ -13,8 +13,8 @@
   public:
     explicit JsonValues(std::size_t mostBytes) : most(mostBytes) {}
 
-    // Values that these bytes complete, in order. Throws std::invalid_argument at a byte that fits no value,
-    // or past the bound; what follows is then out of step.
+    // Values that these bytes complete, in order. Throws std::invalid_argument at a byte that fits
+    // no value, or past the bound; what follows is then out of step.
     std::vector<std::string> feed(std::string_view bytes);
     bool inside() const { return !text.empty(); }  // a value has begun and has not ended
 
--- a/src/platform/limits.hpp
+++ b/src/platform/limits.hpp
@@ -15,7 +15,7 @@
     std::size_t bodyBytes = 0;   // of a client's command at most
     Duration idleFor{};          // a connection to an instance is kept idle
     Duration sweepEvery{};       // idle connections are looked through
-    Duration restFor{};          // and not used again sooner: what comes behind an answer shows itself
+    Duration restFor{};  // and not used again sooner: what comes behind an answer shows itself
 };
 // How a planned end goes, from its signal on.
 struct Ending {
@@ -25,15 +25,16 @@
 };
 // A stream that is to stand always.
 struct StreamTimes {
-    Duration silentFor{};      // of silence that counts as broken
-    Duration firstWord{};      // a new one has so long for its first word; twice that at each in a row, up to
-                               // silentFor
+    Duration silentFor{};  // of silence that counts as broken
+    Duration firstWord{};  // a new one has so long for its first word; twice that at each in a row,
+                           // up to silentFor
     Duration first{}, most{};  // pauses before it is opened anew
 };
 // How a start goes.
 struct Starting {
-    Duration listensWithin{}, listensAgain{};  // while its address is still taken: at most, and a pause
-    Duration firstListWithin{};                // then it serves from the list as last known
+    Duration listensWithin{},
+        listensAgain{};          // while its address is still taken: at most, and a pause
+    Duration firstListWithin{};  // then it serves from the list as last known
 };
 Starting starting();
 Ending ending(Duration longestTimeout);
@@ -42,6 +43,7 @@
 Duration probeWithin(Duration connectWithin);
 resp::ListenerLimits listenerLimits(const Bounds &bounds);
 resp::Limits replyLimits(const Bounds &bounds);
-Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t maxRequests, Duration keptIdle);
+Bounds divide(std::size_t sockets, std::size_t memoryMb, std::size_t maxRequests,
+              Duration keptIdle);
 
 }  // namespace deckcart::platform
--- a/src/platform/request_ids.hpp
+++ b/src/platform/request_ids.hpp
@@ -1,5 +1,6 @@
-// Ids of requests that are open, and of those that ended a short while ago: an id that comes again is another
-// client's. Instances know them too and answer with errors, which would speak against a build. Pure.
+// Ids of requests that are open, and of those that ended a short while ago: an id that comes again
+// is another client's. Instances know them too and answer with errors, which would speak against a
+// build. Pure.
 #pragma once
 
 #include <deque>
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -14,7 +14,8 @@
 
 Start read(const std::string &file) {
     const auto whole = readWhole(file);
-    if (!whole) throw std::invalid_argument("the file can't be read");
+    if (!whole)
+        throw std::invalid_argument("the file can't be read");
     return readStart(*whole);
 }
 
@@ -38,9 +39,11 @@
         transport = std::make_unique<PlatformTransport>(context, clock, start, bounds, log);
         GatewaySettings settings = gatewaySettingsOf(start, bounds);
         settings.requestLogSample = requestLogSample;
-        if (!open(settings)) return 1;
+        if (!open(settings))
+            return 1;
         gateway->remember(listTold(start.known));
-        if (start.news) gateway->tell(*start.news);
+        if (start.news)
+            gateway->tell(*start.news);
         log.info("listening", {{"listen", format(gateway->address())}});
         after(listWithin, platform::starting().firstListWithin, [this] { ready(); });
         gateway->onListed = [this] { ready(); };
@@ -55,21 +58,26 @@
     // A process of before may hold the address for a moment more: it is waited for.
     bool open(const GatewaySettings &settings) {
         const auto until = std::chrono::steady_clock::now() + platform::starting().listensWithin;
-        for (bool said = false; !gateway; said = true) try {
-                gateway = std::make_unique<Gateway>(context, clock, settings, start.seed, log, *transport);
+        for (bool said = false; !gateway; said = true)
+            try {
+                gateway = std::make_unique<Gateway>(context, clock, settings, start.seed, log,
+                                                    *transport);
             } catch (const std::system_error &fault) {
-                const bool waits =
-                    fault.code() == asio::error::address_in_use && std::chrono::steady_clock::now() < until;
+                const bool waits = fault.code() == asio::error::address_in_use &&
+                                   std::chrono::steady_clock::now() < until;
                 if (!said || !waits)
-                    log.warn("listen", {{"address", format(start.listen)}, {"fault", fault.what()}});
-                if (!waits) return false;
+                    log.warn("listen",
+                             {{"address", format(start.listen)}, {"fault", fault.what()}});
+                if (!waits)
+                    return false;
                 std::this_thread::sleep_for(platform::starting().listensAgain);
             }
         return true;
     }
     // Once: with the first list, or without it.
     void ready() {
-        if (std::exchange(serving, true)) return;
+        if (std::exchange(serving, true))
+            return;
         listWithin.cancel();
         transport->respDownstream->open();
         log.info("ready", {{"name", start.name},
@@ -89,7 +97,8 @@
     void report() {
         reporter.expires_after(kReportEvery);
         reporter.async_wait([this](asio::error_code fault) {
-            if (fault) return;
+            if (fault)
+                return;
             log.info("counts", counts());
             report();
         });
@@ -97,11 +106,16 @@
 
     void onSignal() {
         signals.async_wait([this](asio::error_code fault, int number) {
-            if (fault) return;
-            if (number == SIGHUP) reload();
-            else if (!ending) end();
-            else if (number == SIGINT) return context.stop();
-            else log.info("draining-already", {{"inHand", gateway->inHand()}});
+            if (fault)
+                return;
+            if (number == SIGHUP)
+                reload();
+            else if (!ending)
+                end();
+            else if (number == SIGINT)
+                return context.stop();
+            else
+                log.info("draining-already", {{"inHand", gateway->inHand()}});
             onSignal();
         });
     }
@@ -123,14 +137,16 @@
         const auto plan = platform::ending(start.settings.longestTimeout());
         log.info("draining", {{"inHand", gateway->inHand()}});
         // Three waits of their own: none displaces another.
-        after(acceptsUntil, plan.acceptsFor, [this] { gateway->drain([this] { context.stop(); }); });
+        after(acceptsUntil, plan.acceptsFor,
+              [this] { gateway->drain([this] { context.stop(); }); });
         after(answersUntil, plan.answersBy, [this] { gateway->endInHand(); });
         after(stopsAt, plan.answersBy + plan.lastWords, [this] { context.stop(); });
     }
     static void after(asio::steady_timer &timer, Duration span, std::function<void()> what) {
         timer.expires_after(span);
         timer.async_wait([what = std::move(what)](asio::error_code fault) {
-            if (!fault) what();
+            if (!fault)
+                what();
         });
     }
 
--- a/src/platform/transport.hpp
+++ b/src/platform/transport.hpp
@@ -12,7 +12,8 @@
 class PlatformTransport : public Transport {
   public:
     // `start` outlives the gateway.
-    PlatformTransport(asio::io_context &io, const Clock &time, const Start &with, const Bounds &most, Log to)
+    PlatformTransport(asio::io_context &io, const Clock &time, const Start &with,
+                      const Bounds &most, Log to)
         : context(io), clock(time), start(with), bounds(most), log(std::move(to)) {}
 
     std::unique_ptr<Downstream> downstream(const GatewaySettings &settings,
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -6,17 +6,21 @@
 
 class RespCall : public UpstreamCall {
   public:
-    RespCall(RespUpstreamPool &of, std::weak_ptr<bool> here, EndpointId to, RespUpstreamPool::Connection over)
-        : upstreams(of), alive(std::move(here)), endpoint(std::move(to)), connection(std::move(over)) {}
+    RespCall(RespUpstreamPool &of, std::weak_ptr<bool> here, EndpointId to,
+             RespUpstreamPool::Connection over)
+        : upstreams(of), alive(std::move(here)), endpoint(std::move(to)),
+          connection(std::move(over)) {}
     ~RespCall() override { release({}); }
 
-    void start(const DownstreamRequest &request, const std::string &, PreSendCheck preSendCheck, BuildNumber,
-               CallObserver *owner) override {
-        // What the try was decided for is what it goes to: an id may come back elsewhere, or as another
-        // build.
-        const auto bytes = [this, &request, preSendCheck = std::move(preSendCheck)]() -> std::string {
+    void start(const DownstreamRequest &request, const std::string &, PreSendCheck preSendCheck,
+               BuildNumber, CallObserver *owner) override {
+        // What the try was decided for is what it goes to: an id may come back elsewhere, or as
+        // another build.
+        const auto bytes = [this, &request,
+                            preSendCheck = std::move(preSendCheck)]() -> std::string {
             const auto *now = upstreams.directory.find(endpoint);
-            if (!now || !(*now == connection->place)) return {};
+            if (!now || !(*now == connection->place))
+                return {};
             const auto left = preSendCheck();
             return left ? instanceCommand(commandOf(request), *left) : std::string{};
         };
@@ -31,16 +35,20 @@
                                                                     : Outcome::connectFailed);
                              ReplyRead read = readReply(std::move(reply));
                              // What came is no answer of an instance: more may follow.
-                             if (read.outcome == Outcome::malformed) connection->drop();
-                             if (read.outcome == Outcome::ok) owner->onResponse(read.value);
+                             if (read.outcome == Outcome::malformed)
+                                 connection->drop();
+                             if (read.outcome == Outcome::ok)
+                                 owner->onResponse(read.value);
                              owner->onCallEnd(read.outcome);
                          });
     }
     bool startedSending() const override { return connection->startedSending(); }
     void look() override { connection->look(); }
     void release(Duration) override {
-        if (std::exchange(released, true)) return;
-        if (alive.expired()) return connection->drop();
+        if (std::exchange(released, true))
+            return;
+        if (alive.expired())
+            return connection->drop();
         upstreams.give(endpoint, connection);
     }
 
@@ -59,17 +67,24 @@
 RespUpstreamPool::Connection RespUpstreamPool::connect(const EndpointId &endpoint) {
     using Use = IdleConnections<Placed>::Use;
     const auto *place = directory.find(endpoint);
-    if (!place) return nullptr;
+    if (!place)
+        return nullptr;
     const Duration now = clock.now(), rested = now - bounds.restFor;
     auto one = idle.take(endpoint, [&](Placed &kept) {
-        if (!(kept.place == *place)) return Use::none;                 // of a former address, start or build
-        if (now - kept.idleSince >= bounds.idleFor) return Use::none;  // its instance may be closing it
-        if (kept.idleSince > rested) return Use::waits;
+        if (!(kept.place == *place))
+            return Use::none;  // of a former address, start or build
+        if (now - kept.idleSince >= bounds.idleFor)
+            return Use::none;  // its instance may be closing it
+        if (kept.idleSince > rested)
+            return Use::waits;
         return kept.stillQuiet() ? Use::takes : Use::none;
     });
-    if (!one && connections() >= bounds.upstreams) idle.dropOldest();
-    if (!one && connections() >= bounds.upstreams) return nullptr;
-    if (!one) one = std::make_shared<Placed>(context, replyLimits(bounds), *place);
+    if (!one && connections() >= bounds.upstreams)
+        idle.dropOldest();
+    if (!one && connections() >= bounds.upstreams)
+        return nullptr;
+    if (!one)
+        one = std::make_shared<Placed>(context, replyLimits(bounds), *place);
     ++busy;
     return one;
 }
@@ -82,18 +97,22 @@
 void RespUpstreamPool::give(const EndpointId &endpoint, const Connection &connection) {
     --busy;
     const auto *now = directory.find(endpoint);
-    if (!connection->reusable() || !now || !(*now == connection->place)) return connection->drop();
+    if (!connection->reusable() || !now || !(*now == connection->place))
+        return connection->drop();
     idle.keep(endpoint, connection, clock.now());
 }
 
 void RespUpstreamPool::probe(const EndpointId &endpoint, ProbeCallback done) {
     const auto connection = connect(endpoint);
-    if (!connection) return done({});
-    const auto timer = std::make_shared<asio::steady_timer>(context, probeWithin(settings.connectWithin));
+    if (!connection)
+        return done({});
+    const auto timer =
+        std::make_shared<asio::steady_timer>(context, probeWithin(settings.connectWithin));
     const auto finish = [this, endpoint, connection, timer, done,
                          here = std::weak_ptr(alive)](std::vector<double> load) {
         timer->cancel();
-        if (here.expired()) return connection->drop();
+        if (here.expired())
+            return connection->drop();
         give(endpoint, connection);
         done(std::move(load));
     };
@@ -107,7 +126,8 @@
             finish(told ? readLoad(reply.text, settings.loadFields) : std::vector<double>{});
         });
     timer->async_wait([finish, connection, no = connection->callNumber()](asio::error_code fault) {
-        if (fault || connection->callNumber() != no) return;
+        if (fault || connection->callNumber() != no)
+            return;
         connection->drop();
         finish({});
     });
--- a/src/platform/upstream_pool.hpp
+++ b/src/platform/upstream_pool.hpp
@@ -1,5 +1,5 @@
-// Calls to instances over RESP2, one request at a time on a connection, within bounds for all of them
-// together. Whom to call is not decided here.
+// Calls to instances over RESP2, one request at a time on a connection, within bounds for all of
+// them together. Whom to call is not decided here.
 #pragma once
 
 #include "../base/clock.hpp"
@@ -33,7 +33,8 @@
         const Directory::Place place;
     };
     using Connection = std::shared_ptr<Placed>;
-    Connection connect(const EndpointId &endpoint);  // empty: it has no place, or a bound is reached
+    Connection
+    connect(const EndpointId &endpoint);  // empty: it has no place, or a bound is reached
     // Every connection taken is given back once, whatever became of it.
     void give(const EndpointId &endpoint, const Connection &connection);
 
--- a/src/resp/client.hpp
+++ b/src/resp/client.hpp
@@ -1,5 +1,5 @@
-// The calling side of RESP2 on Asio: one connection that carries one command at a time and knows whether the
-// command's last byte was handed to the socket. Sends nothing again.
+// The calling side of RESP2 on Asio: one connection that carries one command at a time and knows
+// whether the command's last byte was handed to the socket. Sends nothing again.
 #pragma once
 
 #include <memory>
@@ -14,9 +14,9 @@
     using Done = std::function<void(CallEnd, Value)>;
     ClientConnection(asio::io_context &context, Limits limits);
 
-    // Connects within the time if it is not connected, then sends what `bytes` gives at that moment; where
-    // that is nothing, the call ends as one that could not be connected. Calls back once, never from within,
-    // unless dropped before.
+    // Connects within the time if it is not connected, then sends what `bytes` gives at that
+    // moment; where that is nothing, the call ends as one that could not be connected. Calls back
+    // once, never from within, unless dropped before.
     using Bytes = std::function<std::string()>;
     void call(const asio::ip::tcp::endpoint &to, Duration connectWithin, Bytes bytes, Done done);
     void drop();  // closes at once; no call back any more
@@ -24,7 +24,9 @@
     // Looks whether the peer has closed or spoken while idle: then it is dropped and false.
     bool stillQuiet();
     void look();  // reads what has come already; may call back
-    bool answerBegun() const { return parser.begun() || parser.faulty(); }  // bytes of a reply have come
+    bool answerBegun() const {
+        return parser.begun() || parser.faulty();
+    }  // bytes of a reply have come
     // The present command's last byte.
     bool startedSending() const { return !outgoing.empty() && written == outgoing.size(); }
     std::uint64_t callNumber() const { return callNo; }
--- a/src/resp/message.hpp
+++ b/src/resp/message.hpp
@@ -1,6 +1,6 @@
-// RESP2 messages out of bytes, at any cut, within stated limits: commands as arrays of bulk strings, replies
-// as simple strings, errors, integers, bulk strings and arrays of bulk strings. Source: the public RESP2
-// specification. What a command means is its owner's business.
+// RESP2 messages out of bytes, at any cut, within stated limits: commands as arrays of bulk
+// strings, replies as simple strings, errors, integers, bulk strings and arrays of bulk strings.
+// Source: the public RESP2 specification. What a command means is its owner's business.
 #pragma once
 
 #include <cstdint>
@@ -58,7 +58,8 @@
 };
 
 std::string bulk(std::string_view text);
-std::string error(std::string_view words);  // with the leading - and the line's end; ends in words are cut
+std::string
+error(std::string_view words);  // with the leading - and the line's end; ends in words are cut
 std::string command(const std::vector<std::string> &args);
 
 }  // namespace deckcart::resp
--- a/src/resp/server.hpp
+++ b/src/resp/server.hpp
@@ -19,8 +19,8 @@
     std::function<void()> onGone;  // the peer has left before the answer
 
     bool open() const { return !answered && !connection.expired(); }
-    // Looks at the socket: false once the peer has ended its sending, though nobody has read that yet; then
-    // onGone follows on a turn of its own.
+    // Looks at the socket: false once the peer has ended its sending, though nobody has read that
+    // yet; then onGone follows on a turn of its own.
     bool peerThere() const;
     void answer(std::string bytes);
     // It can't be served: an error, not at once, and nothing is read from this peer until then.
@@ -38,16 +38,16 @@
   public:
     using Handler = std::function<void(std::shared_ptr<Exchange>)>;
     // Listens at once; accepts from open() on.
-    Listener(asio::io_context &context, const asio::ip::tcp::endpoint &address, const ListenerLimits &limits,
-             Handler handler);
+    Listener(asio::io_context &context, const asio::ip::tcp::endpoint &address,
+             const ListenerLimits &limits, Handler handler);
     void open();  // once
     ~Listener();
     Listener(const Listener &) = delete;
     Listener &operator=(const Listener &) = delete;
 
     asio::ip::tcp::endpoint address() const;
-    // Takes what has connected already, and no more. Each connection ends once nothing of it is in hand, half
-    // read or unread; `empty` is called, on a turn of its own, when all have ended.
+    // Takes what has connected already, and no more. Each connection ends once nothing of it is in
+    // hand, half read or unread; `empty` is called, on a turn of its own, when all have ended.
     void drain(std::function<void()> empty);
     std::size_t connections() const;
 
--- a/src/scenarios/invariant_checker.hpp
+++ b/src/scenarios/invariant_checker.hpp
@@ -1,5 +1,5 @@
-// The auditor: judges the five rules from what clients, instances and the control plane saw at their sockets,
-// never from a gateway's own word. Pure: records in, breaches out.
+// The auditor: judges the five rules from what clients, instances and the control plane saw at
+// their sockets, never from a gateway's own word. Pure: records in, breaches out.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -83,8 +83,8 @@
     double firstCap = 0;
     int idempotentOnlyStages = 0;
     BuildNumber firstBuild = 0;  // builds above it are on trial until told otherwise
-    // Two sockets do not see one moment: events this close are not told apart. Over the way between two
-    // processes of one busy machine; harm: a breach shorter than it goes unseen.
+    // Two sockets do not see one moment: events this close are not told apart. Over the way between
+    // two processes of one busy machine; harm: a breach shorter than it goes unseen.
     Duration slack = std::chrono::milliseconds(100);
 };
 
--- a/src/scenarios/runner.hpp
+++ b/src/scenarios/runner.hpp
@@ -1,5 +1,5 @@
-// Plays a day of trouble through real gateways, processes of their own, with stand-ins for all around them,
-// and judges it by the five rules.
+// Plays a day of trouble through real gateways, processes of their own, with stand-ins for all
+// around them, and judges it by the five rules.
 #pragma once
 
 #include <filesystem>
@@ -10,8 +10,8 @@
 namespace deckcart::scenarios {
 
 struct RehearsalStart {
-    std::filesystem::path program;         // the deckcart binary, run as gateways
-    std::filesystem::path keep;            // folder for the gateways' logs and state; empty: a temporary one
+    std::filesystem::path program;  // the deckcart binary, run as gateways
+    std::filesystem::path keep;  // folder for the gateways' logs and state; empty: a temporary one
     std::vector<std::string> shellFaults;  // handed to every gateway
     bool quiet = false;                    // no progress on standard error
 };
