--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -1,5 +1,5 @@
-// A day of trouble, as a document: a site, its traffic, a release and what goes wrong. The notation is
-// described in docs/operate/rehearsals.md; times in it are milliseconds since the day's start.
+// A day of trouble, as a document: a site, its traffic, a release and what goes wrong. The notation
+// is described in docs/operate/rehearsals.md; times in it are milliseconds since the day's start.
 #pragma once
 
 #include <deckcart/policy.hpp>
--- a/src/settings/gateway_settings.cpp
+++ b/src/settings/gateway_settings.cpp
@@ -1,5 +1,5 @@
-// The settings document to values, and its check against the rules: each rule that two fields can break
-// together is refused here, with the place of the field that has to give way.
+// The settings document to values, and its check against the rules: each rule that two fields can
+// break together is refused here, with the place of the field that has to give way.
 #include "gateway_settings.hpp"
 
 #include <algorithm>
@@ -18,8 +18,10 @@
     const auto it = from.find(name);
     return it == from.end() ? none : *it;
 }
-template <class T> void take(const json &from, const char *name, T &into) {
-    if (const auto it = from.find(name); it != from.end()) into = it->get<T>();
+template <class T>
+void take(const json &from, const char *name, T &into) {
+    if (const auto it = from.find(name); it != from.end())
+        into = it->get<T>();
 }
 void take(const json &from, const char *name, Duration &into) {
     if (const auto it = from.find(name); it != from.end())
@@ -34,18 +36,22 @@
     void refuse(std::string path, std::string reason) {
         refused.push_back({std::move(path), std::move(reason)});
     }
-    template <class T> void word(const json &from, const char *name, T &into,
-                                 std::initializer_list<std::pair<const char *, T>> known) {
+    template <class T>
+    void word(const json &from, const char *name, T &into,
+              std::initializer_list<std::pair<const char *, T>> known) {
         const auto it = from.find(name);
-        if (it == from.end()) return;
+        if (it == from.end())
+            return;
         for (const auto &[text, value] : known)
-            if (*it == text) into = value;
+            if (*it == text)
+                into = value;
     }
     std::optional<asio::ip::tcp::endpoint> address(const json &from, const char *name,
                                                    const std::string &path) {
         const auto text = from.at(name).get<std::string>();
         const auto read = parseAddress(text);
-        if (!read) refuse(path, "'" + text + "' is not HOST:PORT with a numeric host");
+        if (!read)
+            refuse(path, "'" + text + "' is not HOST:PORT with a numeric host");
         return read;
     }
 
@@ -59,7 +65,8 @@
         if (const auto zone = from.find("zone"); zone != from.end()) {
             if (std::ranges::find(out.zones, zone->get<std::string>()) == out.zones.end())
                 refuse("/gateway/zone", "is not one of /zones");
-            else out.module.zone = out.zoneNo(zone->get<std::string>());
+            else
+                out.module.zone = out.zoneNo(zone->get<std::string>());
         }
     }
 
@@ -80,7 +87,8 @@
               {"cell", DeduplicationScope::cell}});
         take(from, "repeatWindowMs", route.deduplicationWindow);
         if (route.latencyObjective > rule.routeTimeout)
-            refuse(at + "/latencyObjectiveMs", "is over the route timeout: no answer would come in time");
+            refuse(at + "/latencyObjectiveMs",
+                   "is over the route timeout: no answer would come in time");
         if (rule.routeTimeout <= 2 * out.answerMargin)
             refuse(at + "/routeTimeoutMs",
                    "is not over twice /limits/answerMarginMs: no time is left for a try");
@@ -89,14 +97,17 @@
                    "is needed for a deduped route: after it a repeat would run twice");
         if (route.idempotency != Idempotency::withKey &&
             (from.contains("repeatWindowMs") || from.contains("group")))
-            refuse(at, "repeatWindowMs and group are for deduped routes only: nothing drops its repeats");
+            refuse(
+                at,
+                "repeatWindowMs and group are for deduped routes only: nothing drops its repeats");
         for (std::size_t before = 0; before < no; ++before) {
             const auto &other = out.routes[before];
             if (other.name == rule.name)
                 refuse(at + "/name", "stands at /routes/" + std::to_string(before) + " too");
             if ((other.method.empty() || other.method == rule.method) &&
                 rule.pathPrefix.starts_with(other.pathPrefix))
-                refuse(at, "is never reached: /routes/" + std::to_string(before) + " takes all of it first");
+                refuse(at, "is never reached: /routes/" + std::to_string(before) +
+                               " takes all of it first");
         }
         out.routes.push_back(rule), out.module.routes.push_back(route);
     }
@@ -109,8 +120,10 @@
         take(from, "headBytes", listener.headBytes), take(from, "bodyBytes", listener.bodyBytes);
         take(from, "pipelinedBytes", listener.pipelinedBytes),
             take(from, "waitingBytes", listener.waitingBytes);
-        take(from, "messageWithinMs", listener.messageWithin), take(from, "clientIdleMs", listener.idleFor);
-        take(from, "slowPeerMs", listener.slowPeerFor), take(from, "answerMarginMs", out.answerMargin);
+        take(from, "messageWithinMs", listener.messageWithin),
+            take(from, "clientIdleMs", listener.idleFor);
+        take(from, "slowPeerMs", listener.slowPeerFor),
+            take(from, "answerMarginMs", out.answerMargin);
         take(from, "standstillMs", out.standstill);
         const json &up = part(doc, "upstream");
         auto &u = out.upstream;
@@ -134,12 +147,14 @@
                 return std::isalnum(static_cast<unsigned char>(c)) ||
                        std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
             };
-            if (!std::ranges::all_of(*all[k].second, token)) refuse(at, "is no field name (RFC 9110, 5.1)");
+            if (!std::ranges::all_of(*all[k].second, token))
+                refuse(at, "is no field name (RFC 9110, 5.1)");
             if (!http::travels({}, *all[k].second))
                 refuse(at, "is a field of one connection and never passed on");
             for (std::size_t before = 0; before < k; ++before)
                 if (http::sameName(*all[before].second, *all[k].second))
-                    refuse(at, std::string("is the name of /headers/") + all[before].first + " too");
+                    refuse(at,
+                           std::string("is the name of /headers/") + all[before].first + " too");
         }
     }
 
@@ -148,7 +163,8 @@
         auto &v = out.module;
         v.cancellationAllowed = true, v.maxAttempts = 4;
         v.maxRetryAfter = std::chrono::seconds(1), v.retryAfterSupported = true;
-        // The module asks for the list and asks again after a failure: the shell makes no such choice.
+        // The module asks for the list and asks again after a failure: the shell makes no such
+        // choice.
         v.subscriptionRequired = true;
         v.subscribeWithin = std::chrono::seconds(10);
         take(from, "copies", v.hedgingAllowed), take(from, "cancel", v.cancellationAllowed);
@@ -158,7 +174,8 @@
         v.initialCapacity = 0.3, v.warmUpTime = std::chrono::seconds(5), v.overloadMultiple = 2;
         v.overloadWindow = std::chrono::seconds(3);
         take(rules, "coldFrom", v.initialCapacity), take(rules, "warmWithinMs", v.warmUpTime);
-        take(rules, "tipMultiple", v.overloadMultiple), take(rules, "overloadForMs", v.overloadWindow);
+        take(rules, "tipMultiple", v.overloadMultiple),
+            take(rules, "overloadForMs", v.overloadWindow);
         if (v.initialCapacity <= 0)
             refuse("/rules/coldFrom", "is not over 0: a cold instance would never be sent a req");
         double sum = 0;
@@ -171,7 +188,8 @@
             v.tenantQuotas.push_back(tenants[k].at("share").get<double>());
             sum += v.tenantQuotas.back();
         }
-        if (sum > 1.0001) refuse("/accounts", "the shares add up to more than 1");
+        if (sum > 1.0001)
+            refuse("/accounts", "the shares add up to more than 1");
     }
 
     void release() {
@@ -188,10 +206,12 @@
         take(from, "replacedInPlace", v.inPlaceReplacement),
             take(from, "exposurePerRoute", v.exposurePerRoute);
         take(from, "keysStay", v.stickyKeys), take(from, "guardedStages", v.idempotentOnlyStages);
-        take(from, "spareTries", v.exposureAllowance), take(from, "exposureSpanMs", v.exposureWindow);
+        take(from, "spareTries", v.exposureAllowance),
+            take(from, "exposureSpanMs", v.exposureWindow);
         take(from, "caps", v.exposureLimits), take(from, "shares", v.stageShares);
         take(from, "voteLifeMs", v.voteLifetime), take(from, "voteAnswerWithinMs", v.voteTimeout);
-        take(from, "votesToGoBack", v.votesToRollBack), take(from, "wrongReported", v.incorrectReportRate);
+        take(from, "votesToGoBack", v.votesToRollBack),
+            take(from, "wrongReported", v.incorrectReportRate);
         if (v.exposureLimits.size() != v.stageShares.size())
             refuse("/release/caps", "has another number of stages than /release/shares");
         if (!std::ranges::is_sorted(v.exposureLimits))
@@ -202,12 +222,14 @@
             refuse("/release/voteAnswerWithinMs",
                    "is not below /release/voteLifeMs: votes would lapse unseen");
         if (v.votesToRollBack > v.gateways)
-            refuse("/release/votesToGoBack", "is over /gateway/count: a bad build could never be sent back");
+            refuse("/release/votesToGoBack",
+                   "is over /gateway/count: a bad build could never be sent back");
     }
 
     int zone(const json &from, const std::string &at) {
         const auto it = from.find("zone");
-        if (it == from.end()) return 0;
+        if (it == from.end())
+            return 0;
         if (std::ranges::find(out.zones, it->get<std::string>()) == out.zones.end())
             refuse(at + "/zone", "is not one of /zones");
         return out.zoneNo(it->get<std::string>());
@@ -215,11 +237,13 @@
 
     void sources() {
         const auto it = doc.find("sources");
-        if (it == doc.end()) return;
+        if (it == doc.end())
+            return;
         const json &from = *it;
         SourceSettings settings;
         auto &merge = settings.merge;
-        take(from, "longestStalenessMs", merge.longestStale), take(from, "confirmShare", merge.confirmShare);
+        take(from, "longestStalenessMs", merge.longestStale),
+            take(from, "confirmShare", merge.confirmShare);
         take(from, "confirmAfterMs", merge.confirmAfter), take(from, "graceMs", merge.grace);
         take(from, "reserveBelow", merge.reserveBelow);
         merge.reserveUntil = std::max(merge.reserveUntil, merge.reserveBelow);
@@ -229,17 +253,20 @@
                    "is below /sources/reserveBelow: a class would open and close for ever");
         bool deskList = doc.contains("desk");
         take(from, "deskList", deskList);
-        if (deskList && !doc.contains("desk")) refuse("/sources/deskList", "is set, but there is no /desk");
+        if (deskList && !doc.contains("desk"))
+            refuse("/sources/deskList", "is set, but there is no /desk");
         const json nodes = from.value("nodes", json::array());
         for (std::size_t k = 0; k < nodes.size(); ++k) {
             const std::string at = "/sources/nodes/" + std::to_string(k);
             membership::Claim c;
-            if (const auto to = address(nodes[k], "address", at + "/address")) c.entry.id = format(*to);
+            if (const auto to = address(nodes[k], "address", at + "/address"))
+                c.entry.id = format(*to);
             take(nodes[k], "build", c.entry.build), take(nodes[k], "cell", c.entry.cell);
             take(nodes[k], "weight", c.entry.weight);
             c.entry.zone = zone(nodes[k], at), c.as = c.entry.id;
             for (const auto &other : settings.nodes)
-                if (other.entry.id == c.entry.id) refuse(at + "/address", "stands twice");
+                if (other.entry.id == c.entry.id)
+                    refuse(at + "/address", "stands twice");
             settings.nodes.push_back(std::move(c));
         }
         if (const auto srv = from.find("srv"); srv != from.end()) {
@@ -248,11 +275,13 @@
                 const std::string at = "/sources/srv/names/" + std::to_string(k);
                 membership::SrvName name;
                 name.name = dns::canonicalName(names[k].at("name").get<std::string>());
-                if (name.name.empty()) refuse(at + "/name", "is no DNS name");
+                if (name.name.empty())
+                    refuse(at + "/name", "is no DNS name");
                 take(names[k], "build", name.build), take(names[k], "cell", name.cell);
                 name.zone = zone(names[k], at);
                 for (const auto &other : settings.names)
-                    if (other.name == name.name) refuse(at + "/name", "stands twice");
+                    if (other.name == name.name)
+                        refuse(at + "/name", "stands twice");
                 settings.names.push_back(std::move(name));
             }
             const auto &servers = srv->at("servers");
@@ -263,38 +292,45 @@
                 if (!to || to->port() == 0)
                     refuse("/sources/srv/servers/" + std::to_string(k),
                            "'" + text + "' is not HOST:PORT with a numeric host and a port");
-                else r.servers.emplace_back(to->address(), to->port());
+                else
+                    r.servers.emplace_back(to->address(), to->port());
             }
             take(*srv, "lifetimeFloorMs", r.refresh.floor),
                 take(*srv, "lifetimeCeilingMs", r.refresh.ceiling);
             take(*srv, "negativeCeilingMs", r.refresh.negativeCeiling);
-            take(*srv, "questionsASecond", r.questionsASecond), take(*srv, "questionsInFlight", r.inFlight);
+            take(*srv, "questionsASecond", r.questionsASecond),
+                take(*srv, "questionsInFlight", r.inFlight);
             if (r.refresh.floor > r.refresh.ceiling)
                 refuse("/sources/srv/lifetimeFloorMs", "is over /sources/srv/lifetimeCeilingMs");
         }
-        // As asked for; kinds that are not named come behind, in the order control plane, nodes, srv.
+        // As asked for; kinds that are not named come behind, in the order control plane, nodes,
+        // srv.
         std::vector<std::string> kinds = from.value("precedence", std::vector<std::string>{});
         if (std::set<std::string>(kinds.begin(), kinds.end()).size() != kinds.size())
             refuse("/sources/precedence", "a kind stands twice");
         for (const char *kind : {"desk", "nodes", "srv"})
-            if (std::ranges::find(kinds, kind) == kinds.end()) kinds.emplace_back(kind);
+            if (std::ranges::find(kinds, kind) == kinds.end())
+                kinds.emplace_back(kind);
         using membership::SourceKind;
         for (const auto &kind : kinds) {
-            if (kind == "desk" && deskList) merge.sources.push_back({"desk", SourceKind::controlPlane});
+            if (kind == "desk" && deskList)
+                merge.sources.push_back({"desk", SourceKind::controlPlane});
             if (kind == "nodes" && !settings.nodes.empty())
                 merge.sources.push_back({"nodes", SourceKind::nodes});
             if (kind == "srv")
-                for (const auto &name : settings.names) merge.sources.push_back({name.name, SourceKind::srv});
+                for (const auto &name : settings.names)
+                    merge.sources.push_back({name.name, SourceKind::srv});
         }
-        if (merge.sources.empty()) refuse("/sources", "names no source: no instance could ever be listed");
+        if (merge.sources.empty())
+            refuse("/sources", "names no source: no instance could ever be listed");
         out.sources = std::move(settings);
     }
 
     void outside() {
         if (const auto controlPlane = doc.find("desk"); controlPlane != doc.end()) {
             const auto at = address(*controlPlane, "address", "/desk/address");
-            ControlPlaneSettings calls{at.value_or(asio::ip::tcp::endpoint{}), std::chrono::seconds(1),
-                                       std::chrono::seconds(3)};
+            ControlPlaneSettings calls{at.value_or(asio::ip::tcp::endpoint{}),
+                                       std::chrono::seconds(1), std::chrono::seconds(3)};
             take(*controlPlane, "answerWithinMs", calls.answerWithin),
                 take(*controlPlane, "silentForMs", calls.silentFor);
             out.controlPlane = calls;
@@ -317,27 +353,31 @@
 ParsedSettings parseSettings(const json &document) {
     ParsedSettings read;
     read.refused = checkSchema(settingsSchema(), document);
-    if (!read.refused.empty()) return read;
+    if (!read.refused.empty())
+        return read;
     Reader reader{document, {}, {}};
     reader.gateway();
     reader.limits();
     const auto &routes = document.at("routes");
-    for (std::size_t k = 0; k < routes.size(); ++k) reader.route(k, routes[k]);
+    for (std::size_t k = 0; k < routes.size(); ++k)
+        reader.route(k, routes[k]);
     reader.headers();
     reader.allowed();
     reader.release();
     reader.outside();
     reader.sources();
     read.refused = std::move(reader.refused);
-    if (read.refused.empty()) read.settings = std::move(reader.out);
+    if (read.refused.empty())
+        read.settings = std::move(reader.out);
     return read;
 }
 
 bool sameModule(const json &a, const json &b) {
-    for (const char *place : {"/gateway", "/zones", "/routes", "/accounts", "/allowed", "/rules", "/release",
-                              "/upstream/connectWithinMs"}) {
+    for (const char *place : {"/gateway", "/zones", "/routes", "/accounts", "/allowed", "/rules",
+                              "/release", "/upstream/connectWithinMs"}) {
         const json::json_pointer at(place);
-        if (a.value(at, json{}) != b.value(at, json{})) return false;
+        if (a.value(at, json{}) != b.value(at, json{}))
+            return false;
     }
     return true;
 }
--- a/src/simulator/codec.hpp
+++ b/src/simulator/codec.hpp
@@ -22,8 +22,8 @@
     std::vector<Happened> instances;  // in the order of each one's first event
 };
 
-// The settings that an instance is born with, as a real gateway finds them as well: what the module starts
-// with, and what a data path needs beside that.
+// The settings that an instance is born with, as a real gateway finds them as well: what the module
+// starts with, and what a data path needs beside that.
 struct DeploymentSettings {
     PolicySettings start;
     std::vector<std::string> routes, tenants, zones;  // names, in the order of the module's numbers
@@ -43,7 +43,8 @@
     Batch read(const std::string &line);
 
   private:
-    std::map<std::int64_t, std::vector<EndpointEntry>> lists;  // by number; a new one supersedes the old
+    std::map<std::int64_t, std::vector<EndpointEntry>>
+        lists;  // by number; a new one supersedes the old
 };
 
 nlohmann::json write(GatewayId who, const Action &action);
