--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -71,7 +71,7 @@
     EXPECT_EQ(s.sockets, 256u);
     EXPECT_EQ(s.known.members.at(0).entry.zone, 1);
     EXPECT_EQ(s.news->build, 42);
-    EXPECT_EQ(s.news->since, Duration{310ms});
+    EXPECT_EQ(s.news->age, Duration{310ms});
     EXPECT_EQ(s.settings.start.minStageDuration, Duration{900ms});
     EXPECT_EQ(s.settings.routeTimeouts.at(1), Duration{2500ms});
 }
