--- a/src/platform/documents.hpp
+++ b/src/platform/documents.hpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <nlohmann/json.hpp>
 
-#include "../simulator/codec.hpp"
+#include "../simulator/settings_codec.hpp"
 
 namespace deckcart::platform {
 
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,7 +1,8 @@
-// The host of the simulator's wire: batches on standard input, replies on standard output.
+// deckcart_wirehost: the simulator's adapter, batches on standard input, replies on standard
+// output.
 #include <iostream>
 
-#include "../simulator/codec.hpp"
+#include "host.hpp"
 
 int main() {
     std::ios::sync_with_stdio(false);
