--- /dev/null
+++ b/tests/policy_script_runner/simulated_gateway.cpp
@@ -0,0 +1,316 @@
+#include "simulated_gateway.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace deckcart::test {
+namespace {
+
+constexpr GatewayId kGateway = 1;
+constexpr Duration kCancelDelay = std::chrono::milliseconds(10);
+constexpr Duration kProbeDelay = std::chrono::milliseconds(1);
+// What a warm endpoint bears at the least, in requests a second.
+constexpr double kLeastCapacity = 10;
+// Attempts over the allowed number before an endpoint counts as overloaded.
+constexpr double kOverloadSlack = 2;
+
+double inSeconds(Duration duration) {
+    return std::chrono::duration<double>(duration).count();
+}
+
+// Whether the n-th of a series is one of an evenly spread share.
+bool isOfShare(int n, double share) {
+    return std::floor(n * share) > std::floor((n - 1) * share);
+}
+
+const char *nameOf(Verdict verdict) {
+    switch (verdict) {
+    case Verdict::none:
+        return "none";
+    case Verdict::promote:
+        return "promote";
+    case Verdict::hold:
+        return "hold";
+    case Verdict::rollBack:
+        return "roll-back";
+    }
+    return "unknown";
+}
+
+}  // namespace
+
+SimulatedGateway::SimulatedGateway() {
+    settings.seed = 7;
+    settings.gateways = 3;
+    settings.maxAttempts = 4;
+    settings.cancellationAllowed = true;
+    settings.routes = {
+        {seconds(0.8), Idempotency::idempotent, DeduplicationScope::all, seconds(5)},
+        {seconds(1.2), Idempotency::withKey, DeduplicationScope::all, seconds(5)},
+        {seconds(1.2), Idempotency::nonIdempotent, DeduplicationScope::all, seconds(5)}};
+    settings.retryAfterSupported = true;
+    settings.maxRetryAfter = seconds(1);
+    settings.initialCapacity = 0.4;
+    settings.warmUpTime = seconds(4);
+    settings.overloadMultiple = 2;
+    settings.overloadWindow = seconds(3);
+    settings.promotionRule = PromotionRule::quorum;
+    settings.exposureAllowance = 2;
+    settings.exposureWindow = seconds(4);
+    settings.exposureLimits = {0.2, 0.5, 1};
+    settings.stageShares = {0.1, 0.5, 1};
+    settings.voteLifetime = seconds(6);
+    settings.voteTimeout = seconds(0.8);
+}
+
+// ---- what happens ----
+
+void SimulatedGateway::deliver(const Event &event) {
+    carryOut(policy.decide(kGateway, now, {event}));
+}
+
+void SimulatedGateway::stop() {
+    const auto actions = policy.decide(kGateway, now, {PolicyStopped{}});
+    scheduled.clear();
+    ++incarnation;
+    carryOut(actions);
+    records.halts.push_back({0, scenarios::Halt::killed, now, now});
+}
+
+void SimulatedGateway::restart() {
+    ++settings.seed;
+    const auto actions = policy.decide(kGateway, now, {PolicyStopped{}, PolicyStarted{settings}});
+    scheduled.clear();
+    ++incarnation;
+    carryOut(actions);
+    records.halts.push_back({0, scenarios::Halt::killed, now, now});
+    deliverEndpointList();
+    if (!records.releases.empty())
+        deliverRollout(rollout);
+}
+
+void SimulatedGateway::stall(Duration length) {
+    records.halts.push_back({0, scenarios::Halt::stopped, now, now + length});
+    now += length;
+    std::vector<std::function<void()>> found;
+    while (!scheduled.empty() && scheduled.begin()->first <= now) {
+        found.push_back(scheduled.begin()->second);
+        scheduled.erase(scheduled.begin());
+    }
+    for (const auto &happening : found)
+        happening();
+}
+
+void SimulatedGateway::advanceTo(TimePoint until) {
+    while (!scheduled.empty() && scheduled.begin()->first <= until) {
+        const auto [at, happening] = *scheduled.begin();
+        scheduled.erase(scheduled.begin());
+        now = at;
+        happening();
+    }
+    now = until;
+}
+
+EndpointEntry &SimulatedGateway::endpoint(const EndpointId &id) {
+    EndpointEntry &entry = endpoints[id];
+    entry.id = id;
+    return entry;
+}
+
+void SimulatedGateway::deliverEndpointList() {
+    EndpointListUpdate update{true, {}};
+    for (const auto &[id, entry] : endpoints) {
+        update.entries.push_back(entry);
+        const bool startedNow = entry.startedAt && now - *entry.startedAt < settings.warmUpTime;
+        records.endpoints.push_back({0, now, id, entry.build, entry.state, startedNow});
+    }
+    deliver(update);
+}
+
+void SimulatedGateway::deliverRollout(const RolloutUpdate &update) {
+    if (update.outcome == Outcome::ok) {
+        records.releases.push_back(
+            {0, now, update.build, update.step, update.phase, update.exposureLimit});
+        rollout = update;
+    }
+    deliver(update);
+}
+
+void SimulatedGateway::request(RequestId id, const RequestOptions &options) {
+    const TimePoint deadline = now + options.timeout;
+    Request &request = requests[id];
+    request.route = options.route;
+    request.finalResponses = 0;
+    request.record = records.clients.size();
+    scenarios::ClientRecord record;
+    record.requestId = std::to_string(incarnation) + "/" + std::to_string(id);
+    record.route = options.route;
+    record.key = options.key;
+    record.sent = now;
+    record.givesUp = deadline;
+    records.clients.push_back(record);
+    deliver(RequestArrived{id, options.key, options.route, 0, deadline});
+    // As a gateway does: what is in flight at the deadline has timed out.
+    scheduled.emplace(deadline, [this, id] {
+        for (int number = 0; number < requests[id].attempts; ++number)
+            endAttempt({id, number}, Outcome::timeout, Duration{0});
+    });
+}
+
+void SimulatedGateway::crash(const EndpointId &id) {
+    behaviors[id] = EndpointBehavior{};
+    behaviors[id].outcome = Outcome::connectFailed;
+    for (const auto &[attempt, target] : sentTo) {
+        if (target == id && !ended.contains(attempt))
+            endAttempt(attempt, Outcome::reset, Duration{0});
+    }
+}
+
+// ---- what the policy does ----
+
+void SimulatedGateway::carryOut(const std::vector<Action> &actions) {
+    for (const auto &action : actions)
+        std::visit([this](const auto &one) { carryOut(one); }, action);
+}
+
+void SimulatedGateway::carryOut(const SendAttempt &action) {
+    Request &request = requests[action.requestId];
+    check(request.finalResponses == 0,
+          "request " + std::to_string(action.requestId) + ": an attempt after its final response");
+    const Attempt attempt{action.requestId, request.attempts++};
+    const EndpointEntry &target = endpoints.at(action.endpoint);
+    sentTo[attempt] = action.endpoint;
+    endpointRecord[attempt] = records.instances.size();
+    records.instances.push_back({records.clients.at(request.record).requestId, action.endpoint,
+                                 target.zone, target.cell, target.build, now, true});
+    recordOverload(target);
+    note("send request=" + std::to_string(action.requestId) + " endpoint=" + action.endpoint +
+         " build=" + std::to_string(target.build) + " attempt=" + std::to_string(attempt.number));
+
+    EndpointBehavior &behavior = behaviors[action.endpoint];
+    if (behavior.silent)
+        return;
+    const int number = ++behavior.attemptsSeen;
+    const bool mayFail = behavior.failingRoute < 0 || behavior.failingRoute == request.route;
+    Outcome outcome = behavior.outcome;
+    if (mayFail && isOfShare(number, behavior.failureShare))
+        outcome = Outcome::error;
+    if (isOfShare(number, behavior.droppedShare))
+        return;
+    const double variation = 0.7 + 0.06 * (number * 7 % 10);
+    endAttempt(attempt, outcome, seconds(behavior.responseSeconds * variation));
+}
+
+void SimulatedGateway::carryOut(const CancelAttempt &action) {
+    const Attempt attempt{action.requestId, action.attemptNumber};
+    note("cancel request=" + std::to_string(action.requestId));
+    if (!ended.contains(attempt))
+        endAttempt(attempt, Outcome::cancelled, kCancelDelay);
+}
+
+void SimulatedGateway::carryOut(const SetTimer &action) {
+    scheduled.emplace(now + action.delay, [this] { deliver(TimerFired{}); });
+}
+
+void SimulatedGateway::carryOut(const ProbeEndpoint &action) {
+    note("probe endpoint=" + action.endpoint);
+    const ProbeEnded result{action.endpoint, {behaviors[action.endpoint].load}};
+    scheduled.emplace(now + kProbeDelay, [this, result] { deliver(result); });
+}
+
+void SimulatedGateway::carryOut(const Vote &action) {
+    note(std::string("vote ") + nameOf(action.verdict) + " build=" + std::to_string(action.build) +
+         " step=" + std::to_string(action.step));
+}
+
+void SimulatedGateway::respond(RequestId id, const std::string &word) {
+    Request &request = requests[id];
+    auto &record = records.clients[request.record];
+    record.answered = now;
+    ++record.answers;
+    record.end = word == "completed" ? scenarios::ClientEnd::completed
+                 : word == "shed"    ? scenarios::ClientEnd::shed
+                                     : scenarios::ClientEnd::errored;
+    check(++request.finalResponses == 1,
+          "request " + std::to_string(id) + ": a second final response, " + word);
+    note(word + " request=" + std::to_string(id));
+}
+
+void SimulatedGateway::endAttempt(const Attempt &attempt, Outcome outcome, Duration after) {
+    scheduled.emplace(now + after, [this, attempt, outcome, startedIn = incarnation] {
+        if (startedIn == incarnation)
+            attemptEnded(attempt, outcome);
+    });
+}
+
+void SimulatedGateway::attemptEnded(const Attempt &attempt, Outcome outcome) {
+    auto &received = records.instances[endpointRecord.at(attempt)];
+    if (outcome == Outcome::overloaded || outcome == Outcome::connectFailed)
+        received.mayHaveRun = false;
+    if (!ended.insert(attempt).second)
+        return;  // cancelled before it responded
+    Request &request = requests[attempt.requestId];
+    if (outcome == Outcome::ok && request.finalResponses == 0) {
+        respond(attempt.requestId, "completed");
+        records.clients[request.record].build = received.build;
+    }
+    const AttemptEnded event{attempt.requestId, attempt.number, request.finalResponses > 0,
+                             outcome};
+    deliver(event);
+    if (behaviors[sentTo.at(attempt)].reportsTwice)
+        deliver(event);
+}
+
+// ---- the five rules ----
+
+bool SimulatedGateway::isWarm(const EndpointEntry &entry) const {
+    return !entry.startedAt || now - *entry.startedAt > settings.warmUpTime;
+}
+
+// Within the overload window.
+double SimulatedGateway::recentAttempts(const EndpointId &id) const {
+    const auto found = attemptTimes.find(id);
+    if (found == attemptTimes.end())
+        return 0;
+    const auto &times = found->second;
+    return double(times.end() - std::ranges::upper_bound(times, now - settings.overloadWindow));
+}
+
+// An endpoint that warms up is overloaded by more than the stated multiple of what it bears by its
+// warm-up fraction. A warm one bears the most that any has got of late.
+void SimulatedGateway::recordOverload(const EndpointEntry &target) {
+    attemptTimes[target.id].push_back(now);
+    double capacity = kLeastCapacity * inSeconds(settings.overloadWindow);
+    for (const auto &[id, entry] : endpoints) {
+        if (isWarm(entry))
+            capacity = std::max(capacity, recentAttempts(id));
+    }
+    if (isWarm(target))
+        return;
+    const double age = inSeconds(now - *target.startedAt) / inSeconds(settings.warmUpTime);
+    const double warmUpFraction = settings.initialCapacity + (1 - settings.initialCapacity) * age;
+    const double allowed = settings.overloadMultiple * warmUpFraction * capacity + kOverloadSlack;
+    if (recentAttempts(target.id) > allowed)
+        records.fallen.push_back({target.id, now - settings.overloadWindow, now});
+}
+
+void SimulatedGateway::checkInvariants() const {
+    scenarios::RuleFigures figures;
+    figures.routes = settings.routes;
+    figures.drainGrace = Duration{0};
+    figures.exposureAllowance = settings.exposureAllowance;
+    figures.exposureWindow = settings.exposureWindow;
+    figures.exposurePerRoute = settings.exposurePerRoute;
+    figures.stickyKeys = settings.stickyKeys;
+    figures.firstCap = settings.exposureLimits.front();
+    figures.idempotentOnlyStages = settings.idempotentOnlyStages;
+    figures.firstBuild = 1;
+    figures.slack = Duration{0};  // one clock: to the microsecond
+    std::string violations;
+    for (const auto &violation : scenarios::audit(records, figures))
+        violations += std::string("\n  ") + scenarios::nameOf(violation.rule) + ": request " +
+                      violation.requestId + ": " + violation.words;
+    check(violations.empty(), "rules are broken:" + violations);
+}
+
+}  // namespace deckcart::test
