--- a/Makefile
+++ b/Makefile
@@ -1,17 +1,19 @@
-# The two things to do on a fresh machine. `make rehearse` sets up and plays one day of trouble through real gateways;
-# `make test` sets up and passes all tests.
+# The two things to do on a fresh machine. `make scenario` sets up and plays one fault scenario through real gateways
+# (`make rehearse` is its former name); `make test` sets up and passes all tests.
 BUILD ?= build-make
 DAY ?= days/bad-build-and-crash.json
 
-.PHONY: rehearse test setup
+.PHONY: scenario rehearse test setup
 
 setup:
 	deploy/install-packages
 	cmake -S . -B $(BUILD) -G Ninja -DCMAKE_BUILD_TYPE=Release
 
-rehearse: setup
+scenario: setup
 	cmake --build $(BUILD) --target deckcart_program
-	$(BUILD)/src/deckcart rehearse $(DAY)
+	$(BUILD)/src/deckcart scenario $(DAY)
+
+rehearse: scenario
 
 test: setup
 	cmake --build $(BUILD)
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -45,7 +45,7 @@
     double requestLogSample = 0;
     gateway
         ->add_option("--req-sample", requestLogSample,
-                     "under --platform: part of the reqs that are logged")
+                     "under --platform: part of the requests that are logged")
         ->check(CLI::Range(0.0, 1.0));
     gateway->add_option("--listen", listen, "where clients connect; port 0 picks one")
         ->excludes(onPlatform)
@@ -64,7 +64,7 @@
         ->transform(CLI::CheckedTransformer(kLogForms));
     gateway
         ->add_option("--shell-fault", faults,
-                     "for rehearsals of the auditor: a fault of the data path")
+                     "to test the invariant checker: a fault of the data path")
         ->check(CLI::IsMember(kShellFaults));
 
     std::string file;
@@ -81,31 +81,32 @@
     settingsCheck->add_option("file", file, "a JSON document, - for standard input")->required();
     auto *status = atApi(app.add_subcommand("status", "a gateway's counts"));
     auto *members =
-        atApi(app.add_subcommand("members", "the instances that a gateway routes to, and why"));
+        atApi(app.add_subcommand("members", "the endpoints that a gateway routes to, and why"));
     bool asJson = false;
     members->add_flag("--json", asJson, "all that the gateway tells, as JSON");
 
     deckcart::cli::RehearseWords words;
-    auto *rehearse = app.add_subcommand(
-        "rehearse", "play days of trouble through real gateways and judge the rules");
-    rehearse->add_option("days", words.days, "documents of days, see docs/operate/rehearsals.md")
+    auto *scenario = app.add_subcommand(
+        "scenario", "play fault scenarios through real gateways and check the rules");
+    scenario->alias("rehearse");  // the former name, for scripts
+    scenario->add_option("scenarios", words.days, "their documents, see docs/operate/scenarios.md")
         ->required();
-    rehearse->add_option("--seed", words.seed, "instead of the day's own");
-    rehearse->add_option("--seeds", words.seeds, "plays each day so many times, seed after seed")
+    scenario->add_option("--seed", words.seed, "instead of the scenario's own");
+    scenario->add_option("--seeds", words.seeds, "plays each so many times, seed after seed")
         ->check(CLI::Range(1, 1000));
-    rehearse->add_option("--keep", words.keep,
+    scenario->add_option("--keep", words.keep,
                          "folder for the gateways' logs and state; else they are thrown away");
-    rehearse->add_option("--records", words.records,
+    scenario->add_option("--records", words.records,
                          "file for what was seen at the sockets, for deckcart audit");
-    rehearse->add_flag("--json", words.json, "the report as JSON");
+    scenario->add_flag("--json", words.json, "the report as JSON");
     rehearse
         ->add_option("--shell-fault", words.shellFaults,
-                     "a fault of the data path, which the auditor must find")
+                     "a fault of the data path, which the invariant checker must find")
         ->check(CLI::IsMember(kShellFaults));
     std::string day, records;
-    auto *audit = app.add_subcommand("audit", "judge records of a rehearsal by the rules");
-    audit->add_option("day", day, "the day's document")->required();
-    audit->add_option("records", records, "what rehearse --records wrote")->required();
+    auto *audit = app.add_subcommand("audit", "check the records of a scenario run by the rules");
+    audit->add_option("day", day, "the scenario's document")->required();
+    audit->add_option("records", records, "what scenario --records wrote")->required();
 
     try {
         app.parse(argc, argv);
@@ -144,7 +145,7 @@
         return deckcart::cli::get(api, "/v1/status");
     if (members->parsed())
         return deckcart::cli::members(api, asJson);
-    if (rehearse->parsed())
+    if (scenario->parsed())
         return deckcart::cli::rehearse(words);
     if (audit->parsed())
         return deckcart::cli::audit(day, records);
--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -1,5 +1,5 @@
 // A day of trouble, as a document: a site, its traffic, a release and what goes wrong. The notation
-// is described in docs/operate/rehearsals.md; times in it are milliseconds since the day's start.
+// is described in docs/operate/scenarios.md; times in it are milliseconds since the day's start.
 #pragma once
 
 #include <deckcart/policy.hpp>
--- a/tests/policy_script_runner/simulated_gateway.hpp
+++ b/tests/policy_script_runner/simulated_gateway.hpp
@@ -7,6 +7,7 @@
 #include <map>
 #include <set>
 #include <string>
+#include <tuple>
 #include <vector>
 
 #include "../../src/scenarios/invariant_checker.hpp"
@@ -72,7 +73,9 @@
     struct Attempt {
         RequestId requestId = 0;
         int number = 0;
-        auto operator<=>(const Attempt &) const = default;
+        bool operator<(const Attempt &other) const {
+            return std::tie(requestId, number) < std::tie(other.requestId, other.number);
+        }
     };
     struct Request {
         int route = 0;
