--- a/src/cli/scenario_command.hpp
+++ b/src/cli/scenario_command.hpp
@@ -1,21 +1,11 @@
-// The subcommands around rehearsals: reads files, prints, turns verdicts into exit statuses.
+// deckcart scenario and deckcart audit: play fault scenarios through real gateways, check records
+// by the rules.
 #pragma once
 
-#include <optional>
-#include <string>
-#include <vector>
+#include "command.hpp"
 
 namespace deckcart::cli {
 
-struct RehearseWords {
-    std::vector<std::string> days, shellFaults;
-    std::optional<std::uint64_t> seed;
-    int seeds = 1;
-    std::string keep, records;
-    bool json = false;
-};
-
-int rehearse(const RehearseWords &words);
-int audit(const std::string &day, const std::string &records);
+[[nodiscard]] std::vector<Command> addScenarioCommands(CLI::App &program);
 
 }  // namespace deckcart::cli
