--- a/include/deckcart/policy.hpp
+++ b/include/deckcart/policy.hpp
@@ -200,8 +200,8 @@
     std::vector<Action> decide(GatewayId who, Duration now, const std::vector<Event> &happened);
 
   private:
-    struct Record;
-    std::map<GatewayId, std::unique_ptr<Record>> records;
+    struct Instance;
+    std::map<GatewayId, std::unique_ptr<Instance>> instances;
 };
 
 }  // namespace deckcart
--- /dev/null
+++ b/src/policy/exposure_limiter.cpp
@@ -0,0 +1,40 @@
+// Windows of accepted requests and of attempts at limited builds.
+#include "exposure_limiter.hpp"
+
+namespace deckcart::policy {
+
+ExposureLimiter::Times &ExposureLimiter::attemptsAt(BuildNumber build, int route) {
+    return attempts.try_emplace(build, groups()).first->second[group(route)];
+}
+
+void ExposureLimiter::requestAccepted(int route, TimePoint now) {
+    accepted[group(route)].push_back(now);
+}
+
+void ExposureLimiter::attemptSent(BuildNumber build, int route, TimePoint now) {
+    attemptsAt(build, route).push_back(now);
+}
+
+bool ExposureLimiter::withinLimit(BuildNumber build, int route, double share, TimePoint now) {
+    if (share <= 0)
+        return false;
+    Times &sent = attemptsAt(build, route);
+    Times &taken = accepted[group(route)];
+    dropUntil(sent, now - settings.exposureWindow - kHousekeepingInterval);
+    dropUntil(taken, now - settings.exposureWindow + kHousekeepingInterval);
+    return double(sent.size()) + 1 <= settings.exposureAllowance + share * double(taken.size());
+}
+
+bool ExposureLimiter::usesLessThan(double share, BuildNumber build, int route) const {
+    const auto at = attempts.find(build);
+    if (at == attempts.end())
+        return true;
+    return double(at->second[group(route)].size()) < share * double(accepted[group(route)].size());
+}
+
+void ExposureLimiter::expire(TimePoint now) {
+    for (Times &times : accepted)
+        dropUntil(times, now - settings.exposureWindow + kHousekeepingInterval);
+}
+
+}  // namespace deckcart::policy
--- /dev/null
+++ b/src/policy/request_table.hpp
@@ -0,0 +1,76 @@
+// The requests that a gateway has accepted and not yet finished, with their attempts.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+#include <deckcart/policy.hpp>
+#include <map>
+#include <vector>
+
+#include "endpoint_table.hpp"
+
+namespace deckcart::policy {
+
+/// Whether the outcome proves that the request was not run.
+inline bool provesNotRun(Outcome outcome) {
+    return outcome == Outcome::overloaded || outcome == Outcome::connectFailed ||
+           outcome == Outcome::obsolete;
+}
+
+struct Attempt {
+    Endpoint *endpoint = nullptr;
+    BuildNumber build = 0;
+    int zone = 0;
+    int cell = 0;
+    TimePoint sentAt{};
+    bool warmingUp = false;  // the endpoint was too young for evidence
+    bool inFlight = true;
+    bool abandoned = false;  // cancelled, or hedged, since the endpoint was silent
+    Outcome outcome = Outcome::ok;
+
+    bool mayHaveRun() const { return inFlight || !provesNotRun(outcome); }
+};
+
+struct Request {
+    RequestArrived arrival;
+    TimePoint arrivedAt{};
+    std::vector<Attempt> attempts;
+    bool finished = false;
+    std::vector<Endpoint *> candidates;  // the two choices while their load is queried
+    std::size_t awaitedLoadReports = 0;  // of these
+
+    bool outstanding() const { return std::ranges::any_of(attempts, &Attempt::inFlight); }
+    /// The first attempt that may have run; null if there is none.
+    const Attempt *firstThatMayHaveRun() const {
+        const auto at = std::ranges::find_if(attempts, &Attempt::mayHaveRun);
+        return at == attempts.end() ? nullptr : &*at;
+    }
+    bool triedAt(const Endpoint &endpoint) const {
+        return std::ranges::count(attempts, &endpoint, &Attempt::endpoint) > 0;
+    }
+    bool awaitsLoadOf(const Endpoint &endpoint) const {
+        return std::ranges::count(candidates, &endpoint) > 0;
+    }
+};
+
+using RequestTable = std::map<RequestId, Request>;
+
+struct InFlightLoad {
+    double attempts = 0;
+    double usualSeconds = 0;  // sum of what they usually take
+};
+
+/// The attempts in flight, those at ejected endpoints left out.
+inline InFlightLoad inFlightLoad(const RequestTable &requests, const RouteLatencies &latencies,
+                                 TimePoint now) {
+    InFlightLoad load;
+    for (const auto &[id, request] : requests)
+        for (const Attempt &attempt : request.attempts)
+            if (attempt.inFlight && !attempt.endpoint->health.ejected(now)) {
+                ++load.attempts;
+                load.usualSeconds += latencies.usual(request.arrival.route);
+            }
+    return load;
+}
+
+}  // namespace deckcart::policy
--- /dev/null
+++ b/src/policy/session_affinity.cpp
@@ -0,0 +1,60 @@
+// Session affinity of keys to the newest build that may have answered them.
+#include "session_affinity.hpp"
+
+#include <algorithm>
+
+#include "request_table.hpp"
+
+namespace deckcart::policy {
+
+void SessionAffinity::attemptSent(const std::string &key, BuildNumber build) {
+    if (settings.stickyKeys && !key.empty())
+        ++inFlight[{key, build}];
+}
+
+void SessionAffinity::attemptEnded(const std::string &key, BuildNumber build) {
+    const auto at = inFlight.find({key, build});
+    if (at != inFlight.end() && --at->second == 0)
+        inFlight.erase(at);
+}
+
+void SessionAffinity::bind(const std::string &key, BuildNumber build, Outcome outcome) {
+    if (!settings.stickyKeys || key.empty() || build <= allBound)
+        return;
+    if (provesNotRun(outcome) || outcome == Outcome::error)
+        return;
+    BuildNumber &boundTo = bound[key];
+    boundTo = std::max(boundTo, build);
+}
+
+void SessionAffinity::bindAll(BuildNumber build) {
+    allBound = build;
+    bound.clear();
+}
+
+void SessionAffinity::release(BuildNumber build) {
+    std::erase_if(bound, [&](const auto &item) { return item.second >= build; });
+    if (allBound >= build)
+        allBound = 0;
+}
+
+bool SessionAffinity::allows(const std::string &key, BuildNumber build,
+                             BuildNumber rolledBack) const {
+    if (build < allBound)
+        return false;
+    const auto boundTo = bound.find(key);
+    if (boundTo != bound.end() && build < boundTo->second)
+        return false;
+    // Nor while an attempt is at a newer build: its answer may be written and not read. Guards
+    // against answers that are late, or lost on a connection that fell silent. Harm: such requests
+    // wait for the newer build's exposure limit.
+    for (auto at = inFlight.upper_bound({key, build}); at != inFlight.end(); ++at) {
+        if (at->first.key != key)
+            break;
+        if (at->first.build != rolledBack)
+            return false;
+    }
+    return true;
+}
+
+}  // namespace deckcart::policy
--- /dev/null
+++ b/src/policy/traffic_splitter.cpp
@@ -0,0 +1,52 @@
+// Sticky hash, canary share and the order of builds.
+#include "traffic_splitter.hpp"
+
+#include <algorithm>
+#include <ranges>
+
+namespace deckcart::policy {
+
+// FNV-1a with a salt, then mixed so that short keys spread; the upper 53 bits make the fraction.
+double stickyHash(const std::string &key, std::uint64_t salt) {
+    std::uint64_t hash = 0xcbf29ce484222325u ^ (salt * 0x9e3779b97f4a7c15u);
+    for (const char letter : key)
+        hash = (hash ^ static_cast<unsigned char>(letter)) * 0x100000001b3u;
+    hash ^= hash >> 31;
+    hash *= 0xbf58476d1ce4e5b9u;
+    hash ^= hash >> 29;
+    return double(hash >> 11) / 9007199254740992.0;
+}
+
+double canaryShare(const RolloutTracker &rollout, const FleetSummary &fleet, bool evenShare) {
+    const double stageEndpoints = std::max(1.0, rollout.stageShare() * fleet.places);
+    const double share = kFirstAttemptShare * rollout.current().exposureLimit *
+                         std::min(1.0, fleet.newestCapacity / stageEndpoints);
+    if (!evenShare)
+        return share;
+    const double capacity = std::max(1.0, fleet.newestCapacity + fleet.otherCapacity);
+    return std::min(share, fleet.newestCapacity / capacity);
+}
+
+BuildNumber baselineBuild(const EndpointsByBuild &builds, const RolloutTracker &rollout) {
+    const auto at = std::find_if(builds.rbegin(), builds.rend(),
+                                 [&](const auto &item) { return !rollout.isCanary(item.first); });
+    return at == builds.rend() ? 0 : at->first;
+}
+
+std::vector<BuildNumber> buildOrder(const EndpointsByBuild &builds, const RolloutTracker &rollout,
+                                    bool canaryFirst) {
+    const BuildNumber baseline = baselineBuild(builds, rollout);
+    std::vector<BuildNumber> order;
+    if (canaryFirst)
+        order.push_back(rollout.current().build);
+    if (baseline)
+        order.push_back(baseline);
+    if (!canaryFirst && rollout.known() && rollout.current().phase != RolloutPhase::rolledBack)
+        order.push_back(rollout.current().build);
+    for (const auto &[build, endpoints] : std::views::reverse(builds))
+        if (build < baseline)
+            order.push_back(build);
+    return order;
+}
+
+}  // namespace deckcart::policy
