--- a/tests/path/service.sh
+++ b/tests/path/service.sh
@@ -1,8 +1,9 @@
 #!/bin/sh
 # The gateway as a process: settings kept over SIGKILL, a refused document changes nothing, a damaged snapshot is set aside,
-# SIGTERM ends it with 0. Usage: service.sh PROGRAM
+# SIGTERM ends it with 0, the state of an earlier version is taken up. Usage: service.sh PROGRAM STORED-DATA
 set -eu
 program=$1
+stored=$2
 state=$(mktemp -d)
 pid=""
 trap '[ -z "$pid" ] || kill -9 "$pid" 2>/dev/null; rm -rf "$state"' EXIT
@@ -51,3 +52,22 @@
 
 kill "$pid"; wait "$pid" || fail "SIGTERM did not end it with 0"
 pid=""
+
+# What commit a119355 has written is in force after the start; neither file is refused.
+for kind in list sources; do
+    rm -rf "$state"/*
+    cp "$stored/$kind"/*.json "$state"
+    start
+    "$program" settings get --api "$api" > "$state/got"
+    # The file holds the document below its second line, two columns in.
+    sed -e '1,2d' -e '$d' -e 's/^  //' -e 's/^"settings": //' "$stored/$kind/settings.json" |
+        cmp -s - "$state/got" || fail "stored settings ($kind) were not taken as they are"
+    grep -q '"event":"set-aside"' "$state/log" && fail "stored state ($kind) was refused"
+    grep -q '"event":"recalled"' "$state/log" || fail "stored state ($kind) was not recalled"
+    curl -s "http://$api/v1/members" > "$state/members"
+    for port in 9001 9002 9005 9006 9007; do
+        grep -q "127.0.0.1:$port" "$state/members" || fail "an instance of the stored state ($kind) is not listed"
+    done
+    kill "$pid"; wait "$pid" || fail "SIGTERM did not end it with 0"
+    pid=""
+done
