--- a/src/gateway/transport.hpp
+++ b/src/gateway/transport.hpp
@@ -12,6 +12,8 @@
 #include <string>
 #include <string_view>
 
+#include "../control_plane/control_plane_client.hpp"
+
 namespace deckcart {
 
 class UpstreamCall;
@@ -106,22 +108,6 @@
     std::function<void()> unrouted;  // one came that no route takes; it is answered
 };
 
-class ControlPlaneClient {
-  public:
-    virtual ~ControlPlaneClient() = default;
-    virtual void follow(bool active) = 0;
-    virtual void vote(const Vote &vote, Duration within) = 0;
-};
-struct ControlPlaneObserver {
-    std::function<Duration()> now;
-    std::function<void(Event)> tell;
-};
-
-// A vote that did not count, or may have.
-inline RolloutUpdate voteFailed(Outcome outcome) {
-    return {true, outcome, 0, 0, RolloutPhase::canary, 0, {}};
-}
-
 struct GatewaySettings;
 
 // Makes the four for a gateway whose settings outlive them.
