--- a/src/membership/claims.cpp
+++ b/src/membership/claims.cpp
@@ -2,38 +2,63 @@
 
 #include <algorithm>
 #include <asio/ip/tcp.hpp>
+#include <map>
+#include <optional>
 
 #include "../base/address.hpp"
 
 namespace deckcart::membership {
+namespace {
 
-Reading readingOf(const SrvName &name, const dns::Found &found, Duration at, Duration lifetime,
+// Of a target with weight 0, relative to the least one above it.
+constexpr double kZeroWeightShare = 0.01;
+// The module takes no weight of 0; this is little enough beside 1.
+constexpr double kLeastWeight = 0.001;
+
+// The weights of the targets of one priority class.
+struct ClassWeights {
+    std::optional<int> leastAboveZero;
+    int greatest = 0;
+
+    void add(int weight) {
+        if (weight > 0)
+            leastAboveZero = std::min(leastAboveZero.value_or(weight), weight);
+        greatest = std::max(greatest, weight);
+    }
+    double relative(int weight) const {
+        if (!leastAboveZero)
+            return 1;
+        if (weight == 0)
+            return kZeroWeightShare * *leastAboveZero / greatest;
+        return double(weight) / greatest;
+    }
+};
+
+}  // namespace
+
+Reading readingOf(const SrvName &name, const dns::Found &found, TimePoint at, Duration lifetime,
                   std::string from) {
     Reading reading{at, lifetime, std::move(from), {}, false, {}};
-    std::map<int, std::pair<int, int>> ofClass;  // the least weight over 0, and the greatest
-    for (const auto &t : found.targets) {
-        auto &[least, most] = ofClass.try_emplace(t.srv.priority, 65536, 0).first->second;
-        if (t.srv.weight > 0)
-            least = std::min<int>(least, t.srv.weight);
-        most = std::max<int>(most, t.srv.weight);
-    }
-    std::set<EndpointId> taken;
-    for (const auto &t : found.targets) {
-        const auto &[least, most] = ofClass.at(t.srv.priority);
-        const double share = most == 0           ? 1
-                             : t.srv.weight == 0 ? 0.01 * least / most
-                                                 : double(t.srv.weight) / most;
-        for (const auto &address : t.addresses) {
-            Claim c;
-            c.entry.id = format(asio::ip::tcp::endpoint(address, t.srv.port));
-            // Two targets with one address and port are one instance, of the better class: they are
-            // sorted.
-            if (!taken.insert(c.entry.id).second)
+    std::map<int, ClassWeights> classes;
+    for (const auto &target : found.targets)
+        classes[target.srv.priority].add(target.srv.weight);
+    std::set<EndpointId> seen;
+    for (const auto &target : found.targets) {
+        const double weight = classes.at(target.srv.priority).relative(target.srv.weight);
+        for (const auto &address : target.addresses) {
+            Claim claim;
+            claim.entry.id = format(asio::ip::tcp::endpoint(address, target.srv.port));
+            // Two targets with one address and port are one endpoint, of the better class: they
+            // are sorted.
+            if (!seen.insert(claim.entry.id).second)
                 continue;
-            c.entry.build = name.build, c.entry.zone = name.zone, c.entry.cell = name.cell;
-            c.entry.weight = std::max(0.001, share / double(t.addresses.size()));
-            c.priority = t.srv.priority, c.as = t.srv.target;
-            reading.claims.push_back(std::move(c));
+            claim.entry.build = name.build;
+            claim.entry.zone = name.zone;
+            claim.entry.cell = name.cell;
+            claim.entry.weight = std::max(kLeastWeight, weight / double(target.addresses.size()));
+            claim.priority = target.srv.priority;
+            claim.as = target.srv.target;
+            reading.claims.push_back(std::move(claim));
         }
     }
     reading.unknown.insert(found.unresolved.begin(), found.unresolved.end());
--- a/src/membership/restart.cpp
+++ b/src/membership/restart.cpp
@@ -6,9 +6,9 @@
 
 bool mayStartAnew(const std::vector<EndpointEntry> &listed, std::optional<RolloutPhase> phase) {
     std::set<BuildNumber> builds;
-    for (const auto &e : listed)
-        if (e.state == EndpointState::active)
-            builds.insert(e.build);
+    for (const auto &entry : listed)
+        if (entry.state == EndpointState::active)
+            builds.insert(entry.build);
     return builds.size() <= 1 && phase != RolloutPhase::canary;
 }
 
--- a/src/membership/restart.hpp
+++ b/src/membership/restart.hpp
@@ -1,4 +1,5 @@
-// Whether the decision module may start anew while a gateway runs. Pure.
+// Whether the decision module may start anew while a gateway runs. Called by the gateway when its
+// settings change. Pure.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -6,10 +7,11 @@
 
 namespace deckcart::membership {
 
-// A module that starts anew knows no key that stays and no attempts of the exposure span: with two
-// builds live, or one on trial, it could send more than the cap to the one on trial. It guards
-// against that and could harm where settings have to change in the middle of a trial: the trial
-// then has to end first.
-bool mayStartAnew(const std::vector<EndpointEntry> &listed, std::optional<RolloutPhase> phase);
+/// A module that starts anew knows no sticky key and no attempts of the exposure window: with two
+/// builds live, or a canary, it could send more than the exposure limit to the canary. It guards
+/// against that and could harm where settings have to change in the middle of a canary: that has to
+/// end first.
+[[nodiscard]] bool mayStartAnew(const std::vector<EndpointEntry> &listed,
+                                std::optional<RolloutPhase> phase);
 
 }  // namespace deckcart::membership
--- /dev/null
+++ b/src/membership/source_record.cpp
@@ -0,0 +1,202 @@
+#include "source_record.hpp"
+
+#include <algorithm>
+
+namespace deckcart::membership {
+namespace {
+
+TimePoint endOf(TimePoint from, Duration lifetime) {
+    return from + std::min(lifetime, kForever);
+}
+
+}  // namespace
+
+const char *nameOf(SourceState state) {
+    switch (state) {
+    case SourceState::never:
+        return "never-read";
+    case SourceState::fresh:
+        return "fresh";
+    case SourceState::stale:
+        return "stale";
+    case SourceState::failed:
+        return "failed";
+    }
+    return "failed";
+}
+
+SourceState SourceRecord::stateAt(TimePoint now, Duration longestStale) const {
+    if (!read)
+        return SourceState::never;
+    if (now < lifetimeEnd)
+        return SourceState::fresh;
+    return now < failsAt(longestStale) ? SourceState::stale : SourceState::failed;
+}
+
+TimePoint SourceRecord::failsAt(Duration longestStale) const {
+    return endOf(lifetimeEnd, longestStale);
+}
+
+void SourceRecord::apply(const Reading &reading, const MergeRules &rules) {
+    // Row 14: readings that come late or twice.
+    if (read && reading.at < lastReadAt)
+        return;
+    const auto missing = missingFrom(reading);
+    const bool confirm = needsConfirmation(reading, missing.size(), rules.confirmShare);
+    bool holdsAny = false;
+    for (const auto &id : missing) {
+        if (confirm && holdLoss(id, reading.at, rules.confirmAfter))
+            holdsAny = true;
+        else
+            withdraw(id, reading.at);
+    }
+    for (const auto &claim : reading.claims)
+        applyClaim(reading.at, claim, !read);
+    // As long as losses are held, the reporter before counts as the last that was believed.
+    if (!holdsAny)
+        believedReporter = reading.from;
+    read = true;
+    lastReadAt = reading.at;
+    lifetimeEnd = endOf(reading.at, reading.lifetime);
+    lastFault.clear();
+}
+
+void SourceRecord::applyChanges(TimePoint at, const std::vector<Claim> &claims) {
+    if (!read || at < lastReadAt)
+        return;
+    for (const auto &claim : claims)
+        applyClaim(at, claim, false);
+    lastReadAt = at;
+}
+
+void SourceRecord::markLost(TimePoint at, const std::string &why) {
+    lifetimeEnd = std::min(lifetimeEnd, at);
+    lastFault = why;
+}
+
+// What the reading leaves out. Row 12: a target whose address is unknown is not missing.
+std::vector<EndpointId> SourceRecord::missingFrom(const Reading &reading) const {
+    std::set<EndpointId> reported;
+    for (const auto &claim : reading.claims)
+        reported.insert(claim.entry.id);
+    std::vector<EndpointId> missing;
+    for (const auto &[id, listing] : listed)
+        if (!reported.contains(id) && !reading.unknown.contains(listing.claim.as))
+            missing.push_back(id);
+    return missing;
+}
+
+// Row 10: a large loss. Row 11: another reporter than the last believed one. Row 13: a list that
+// was set by hand is taken as it is.
+bool SourceRecord::needsConfirmation(const Reading &reading, std::size_t missing,
+                                     double confirmShare) const {
+    if (reading.certain)
+        return false;
+    const bool largeLoss = double(missing) > confirmShare * double(listed.size());
+    const bool otherReporter = !believedReporter.empty() && believedReporter != reading.from;
+    return largeLoss || otherReporter;
+}
+
+// Row 10: whether the loss still waits; false once it was reported again late enough.
+bool SourceRecord::holdLoss(const EndpointId &id, TimePoint at, Duration confirmAfter) {
+    const TimePoint since = heldLosses.try_emplace(id, at).first->second;
+    return at - since < confirmAfter;
+}
+
+void SourceRecord::withdraw(const EndpointId &id, TimePoint at) {
+    listed.erase(id);
+    heldLosses.erase(id);
+    withdrawn[id] = at;
+}
+
+void SourceRecord::applyClaim(TimePoint at, const Claim &claim, bool firstReading) {
+    heldLosses.erase(claim.entry.id);
+    withdrawn.erase(claim.entry.id);
+    if (claim.entry.state == EndpointState::active)
+        applyActive(at, claim, firstReading);
+    else
+        applyStop(at, claim);
+}
+
+// Rows 3 and 4: the notice counts from when this state was first reported.
+void SourceRecord::applyStop(TimePoint at, const Claim &claim) {
+    const EndpointId &id = claim.entry.id;
+    const EndpointState state = claim.entry.state;
+    auto &stop = stops.try_emplace(id, StopNotice{state, at}).first->second;
+    if (stop.state != state)
+        stop = {state, at};
+    if (state == EndpointState::removed)
+        listed.erase(id);
+    else
+        listed[id] = {claim, at};
+}
+
+void SourceRecord::applyActive(TimePoint at, const Claim &claim, bool firstReading) {
+    const EndpointId &id = claim.entry.id;
+    stops.erase(id);
+    const auto *before = claimOn(id);
+    const bool goesOn = before && before->active();
+    ListedClaim listing{claim, goesOn ? before->since : at};
+    // Row 7. A source that reports no start: one that turns up later has started then, as far as
+    // anyone knows.
+    auto &startedAt = listing.claim.entry.startedAt;
+    if (!startedAt) {
+        if (goesOn)
+            startedAt = before->claim.entry.startedAt;
+        else if (!firstReading)
+            startedAt = at;
+    }
+    listed[id] = std::move(listing);
+}
+
+const ListedClaim *SourceRecord::claimOn(const EndpointId &id) const {
+    const auto found = listed.find(id);
+    return found == listed.end() ? nullptr : &found->second;
+}
+
+const StopNotice *SourceRecord::stopOf(const EndpointId &id) const {
+    const auto found = stops.find(id);
+    return found == stops.end() ? nullptr : &found->second;
+}
+
+std::optional<TimePoint> SourceRecord::oldestHeldLoss() const {
+    std::optional<TimePoint> oldest;
+    for (const auto &[id, since] : heldLosses)
+        oldest = std::min(oldest.value_or(since), since);
+    return oldest;
+}
+
+void SourceRecord::forgetAllBut(const std::set<EndpointId> &keep) {
+    const auto isUnknown = [&](const auto &item) { return !keep.contains(item.first); };
+    std::erase_if(stops, isUnknown);
+    std::erase_if(withdrawn, isUnknown);
+}
+
+SavedSource SourceRecord::save(const std::string &name) const {
+    SavedSource saved;
+    saved.name = name;
+    saved.from = believedReporter;
+    saved.at = lastReadAt;
+    saved.lifetime = lifetimeEnd - lastReadAt;
+    for (const auto &[id, listing] : listed)
+        saved.listed.emplace_back(listing.claim, listing.since);
+    for (const auto &[id, stop] : stops)
+        saved.stops[id] = {stop.state, stop.since};
+    saved.withdrawn = withdrawn;
+    return saved;
+}
+
+void SourceRecord::restore(const SavedSource &saved) {
+    read = true;
+    lastReadAt = saved.at;
+    lifetimeEnd = saved.at;
+    believedReporter = saved.from;
+    lastFault = "of before this start";
+    for (const auto &[claim, since] : saved.listed)
+        listed[claim.entry.id] = {claim, since};
+    for (const auto &[id, stop] : saved.stops)
+        stops[id] = {stop.first, stop.second};
+    withdrawn = saved.withdrawn;
+}
+
+}  // namespace deckcart::membership
--- a/tests/unit/merge_test.cpp
+++ b/tests/unit/merge_test.cpp
@@ -151,7 +151,7 @@
     b.took(1, reading(seconds(2), {}));
     EXPECT_EQ(b.at(seconds(2)), "1 live b1; 2 live b1; 3 live b1; 4 live b1; ");
     ASSERT_EQ(b.view.confirm.size(), 1u);
-    EXPECT_EQ(b.view.confirm[0].second, seconds(7));
+    EXPECT_EQ(b.view.confirm[0].at, seconds(7));
     b.took(1, reading(seconds(4), {}));  // too soon to confirm
     b.at(seconds(4));
     EXPECT_EQ(b.live(), 4u);
