--- a/src/fakes/control_plane.hpp
+++ b/src/fakes/control_plane.hpp
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "../base/address.hpp"
-#include "../control_plane/http_client.hpp"
+#include "../control_plane/documents.hpp"
 #include "endpoint.hpp"
 #include "fleet_names.hpp"
 
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "../base/address.hpp"
-#include "../control_plane/http_client.hpp"
+#include "../control_plane/documents.hpp"
 #include "../membership/claims.hpp"
 
 namespace deckcart {
--- a/src/gateway/http_transport.cpp
+++ b/src/gateway/http_transport.cpp
@@ -6,7 +6,7 @@
 
 #include "../base/address.hpp"
 #include "../base/number.hpp"
-#include "../control_plane/http_client.hpp"
+#include "../control_plane/http_control_plane_client.hpp"
 #include "../http/fetch.hpp"
 #include "pool.hpp"
 
--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -1,5 +1,6 @@
 // The whole path on loopback sockets: real gateway, scripted instances and control plane, faults
 // byte by byte.
+#include "../../src/http/client.hpp"
 #include "gateway_fixture.hpp"
 
 namespace deckcart::test {
