--- a/src/base/parse_error.hpp
+++ b/src/base/parse_error.hpp
@@ -12,12 +12,12 @@
     /// @param where  the field, JSON pointer or line at fault; empty: the whole document
     /// @param message  what is wrong, with the place, as it is shown to operators
     ParseError(std::string where, const std::string &message)
-        : std::invalid_argument(message), where(std::move(where)) {}
+        : std::invalid_argument(message), location(std::move(where)) {}
 
-    [[nodiscard]] const std::string &place() const { return where; }
+    [[nodiscard]] const std::string &place() const { return location; }
 
   private:
-    std::string where;
+    std::string location;
 };
 
 }  // namespace deckcart
