--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -14,50 +14,11 @@
 namespace deckcart::test {
 namespace {
 
-// A listener whose queue is full: a connection to it comes up when somebody accepts, a second
-// later.
-class SlowToConnect {
-  public:
-    explicit SlowToConnect(asio::io_context &io)
-        : acceptor(io, {asio::ip::address_v4::loopback(), 0}) {
-        acceptor.listen(0);
-        for (int k = 0; k < 4; ++k) {
-            fillers.push_back(std::make_unique<tcp::socket>(io));
-            fillers.back()->async_connect(acceptor.local_endpoint(), [](asio::error_code) {});
-        }
-        io.restart();
-        io.run_for(20ms);
-    }
-    std::string address() const { return format(acceptor.local_endpoint()); }
-    void acceptAll() {
-        acceptor.async_accept([this](asio::error_code fault, tcp::socket socket) {
-            if (fault)
-                return;
-            const auto peer = std::make_shared<tcp::socket>(std::move(socket));
-            const auto buffer = std::make_shared<std::array<char, 4096>>();
-            peer->async_read_some(asio::buffer(*buffer),
-                                  [this, peer, buffer](asio::error_code, std::size_t n) {
-                                      got.append(buffer->data(), n);
-                                  });
-            acceptAll();
-        });
-    }
-    std::string got;
-
-  private:
-    tcp::acceptor acceptor;
-    std::vector<std::unique_ptr<tcp::socket>> fillers;
-};
-
-Reply silent(std::size_t, const std::vector<std::string> &) {
-    return {""};
-}
-
 class Crossing : public Platform {
   protected:
-    // A watch in the middle of which discovery falls silent.
-    void fallSilent() {
-        fakes.watchers.clear();  // kept open by the listener, told nothing
+    // A watch in the middle of which discovery falls neverAnswer.
+    void silenceListWatches() {
+        fakePlatform.listWatches.clear();  // kept open by the listener, sent nothing
         silentSince = std::chrono::steady_clock::now();
     }
     auto silentFor() const { return std::chrono::steady_clock::now() - silentSince; }
@@ -68,10 +29,10 @@
         return std::ranges::any_of(
             gateway->listed(), [](const auto &s) { return s.state == EndpointState::draining; });
     }
-    // To the instance with its first command, in ms.
-    static int timeTold(const ScriptedRespEndpoint &one) {
-        const std::string &told = one.commands.at(0).at(3);
-        return std::atoi(told.c_str() + told.find("d=") + 2);
+    // In the first command that has reached the endpoint.
+    static int forwardedWaitMs(const ScriptedRespEndpoint &one) {
+        const std::string &list = one.commands.at(0).at(3);
+        return std::atoi(list.c_str() + list.find("d=") + 2);
     }
     std::string change(const std::string &id, const std::string &state, int indent,
                        std::int64_t generation) {
@@ -87,7 +48,7 @@
     }
     SlowToConnect &slowToConnect(const EndpointId &id) {
         auto &made = slows.emplace_back(io);
-        fakes.list(id, made.address());
+        fakePlatform.listEndpoint(id, made.address());
         return made;
     }
     std::chrono::steady_clock::time_point silentSince{};
@@ -97,58 +58,58 @@
 // ---- lists ----
 
 TEST_F(Crossing, IndentedListsAreReadWholeWhereverTheyAreCut) {
-    fakes.indent = 2;
-    instance(echo);
-    begin();
+    fakePlatform.listIndent = 2;
+    endpoint(echo);
+    startGateway();
     const std::string text =
         change("late", "Ready", 2, 100) + "\n\n" + change("later", "Ready", 1, 101);
     for (const char c : text) {
         io.restart();
         io.run_for(1ms);
-        fakes.watchers.back()->write(std::string(1, c));
+        fakePlatform.listWatches.back()->write(std::string(1, c));
     }
     EXPECT_TRUE(until([&] { return listed("late") && listed("later"); }));
-    EXPECT_EQ(fakes.asked.size(), 2u) << "no stream was opened anew";
+    EXPECT_EQ(fakePlatform.requestedTargets.size(), 2u) << "no stream was opened anew";
 }
 
 TEST_F(Crossing, AWatchThatFellSilentIsOpenedAnewAndHeardWithinSixSeconds) {
-    auto &one = instance(echo);
-    begin();
+    auto &one = endpoint(echo);
+    startGateway();
     // The first new one is mute, the second says half a list, the third tells.
-    fakes.oddWatches = {[](http::Exchange &) {},
-                        [&](http::Exchange &e) {
-                            FakePlatform::beginWatch(e);
-                            e.write("{\"generation\":50,");
-                        }};
-    fallSilent();
-    fakes.list("s1", one.address(), 1, "Terminating");
+    fakePlatform.scriptedListWatches = {[](http::Exchange &) {},
+                                        [&](http::Exchange &e) {
+                                            FakePlatform::beginWatch(e);
+                                            e.write("{\"generation\":50,");
+                                        }};
+    silenceListWatches();
+    fakePlatform.listEndpoint("s1", one.address(), 1, "Terminating");
     EXPECT_TRUE(until([&] { return drains(); }));
     EXPECT_LT(silentFor(), 6s);
 }
 
 TEST_F(Crossing, AfterASignalTheNewAddressIsHeardWithinFourSecondsThoughMuteAtFirst) {
-    auto &one = instance(echo);
-    begin();
+    auto &one = endpoint(echo);
+    startGateway();
     FakePlatform second(io);
     for (int k = 0; k < 5; ++k)
-        second.list("s1", one.address());
-    second.list("s1", one.address(), 1, "Terminating");
-    second.oddWatches = {[](http::Exchange &) {},
-                         [](http::Exchange &e) { FakePlatform::beginWatch(e); }};
+        second.listEndpoint("s1", one.address());
+    second.listEndpoint("s1", one.address(), 1, "Terminating");
+    second.scriptedListWatches = {[](http::Exchange &) {},
+                                  [](http::Exchange &e) { FakePlatform::beginWatch(e); }};
     const auto at = *parseAddress(second.address());
     const auto from = std::chrono::steady_clock::now();
-    transport->controlPlaneClient->setAddresses({at, *parseAddress(fakes.address())});
+    transport->controlPlaneClient->setAddresses({at, *parseAddress(fakePlatform.address())});
     EXPECT_TRUE(until([&] { return drains(); }));
     EXPECT_LT(std::chrono::steady_clock::now() - from, 4s);
 }
 
 TEST_F(Crossing, LateLinesOfTheOldWatchChangeNothingOnceTheNewOneHasSpoken) {
-    auto &one = instance(echo);
-    begin();
-    const auto old = fakes.watchers.back();
-    fallSilent();
-    ASSERT_TRUE(until([&] { return !fakes.watchers.empty(); })) << "opened anew";
-    fakes.list("s1", one.address(), 1, "Terminating");
+    auto &one = endpoint(echo);
+    startGateway();
+    const auto old = fakePlatform.listWatches.back();
+    silenceListWatches();
+    ASSERT_TRUE(until([&] { return !fakePlatform.listWatches.empty(); })) << "opened anew";
+    fakePlatform.listEndpoint("s1", one.address(), 1, "Terminating");
     ASSERT_TRUE(until([&] { return gateway->listed()[0].state == EndpointState::draining; }));
     old->write(change("s1", "Ready", -1, 900) + "\n");
     settleDown();
@@ -158,8 +119,8 @@
 // ---- shutdown, at the gateway: what the loop has not come to yet is what crosses ----
 
 TEST_F(Crossing, ADrainServesWhomTheKernelHasAcceptedAndWhatLiesUnread) {
-    instance(echo);
-    begin();
+    endpoint(echo);
+    startGateway();
     auto &known = client();
     known.send(resp::command({"PING"}));
     ASSERT_TRUE(until([&] { return known.in == "+PONG\r\n"; }));
@@ -174,9 +135,9 @@
     EXPECT_EQ(fresh.in, resp::bulk("of fresh"));
 }
 
-TEST_F(Crossing, ADrainWaitsForTheRestOfAReqThatHasBegunToCome) {
-    instance(echo);
-    begin();
+TEST_F(Crossing, ADrainWaitsForTheRestOfARequestThatHasBegunToCome) {
+    endpoint(echo);
+    startGateway();
     const std::string whole = request("a");
     auto &c = client();
     c.send(whole.substr(0, whole.size() / 2));
@@ -191,26 +152,26 @@
     EXPECT_EQ(c.in, resp::bulk("of a"));
 }
 
-TEST_F(Crossing, AReqThatLiesUnreadWhenTheLastAnswerLeavesIsServedBeforeTheEnd) {
-    auto &one = instance([](std::size_t n, const std::vector<std::string> &args) {
+TEST_F(Crossing, ARequestThatLiesUnreadWhenTheLastAnswerLeavesIsServedBeforeTheEnd) {
+    auto &one = endpoint([](std::size_t n, const std::vector<std::string> &args) {
         return n == 0 ? Reply{""} : echo(n, args);
     });
-    begin();
+    startGateway();
     auto &c = client();
     c.send(request("a"));
     ASSERT_TRUE(until([&] { return attempts() == 1; }));
     bool done = false;
     gateway->drain([&] { done = true; });
     settleDown();
-    one.say(served("of a"));  // ready first, so read first
+    one.send(successReply("of a"));  // ready first, so read first
     c.send(request("b"));
     EXPECT_TRUE(until([&] { return done && c.closed; }));
     EXPECT_EQ(c.in, resp::bulk("of a") + resp::bulk("of b"));
 }
 
 TEST_F(Crossing, WhatComesAfterTheLastAnswersIsShedAtOnce) {
-    instance(silent);
-    begin();
+    endpoint(neverAnswer);
+    startGateway();
     auto &c = client();
     c.send(request("a"));
     ASSERT_TRUE(until([&] { return attempts() == 1; }));
@@ -221,7 +182,7 @@
     EXPECT_EQ(attempts(), 1u);
 }
 
-TEST_F(Crossing, AnIdleTimeThatEndsAsAReqComesServesTheReq) {
+TEST_F(Crossing, AnIdleTimeThatEndsAsARequestComesServesTheRequest) {
     // At the listener itself: its times are short, and its loop does not run while they pass.
     resp::ListenerLimits most;
     most.idleFor = 50ms;
@@ -246,14 +207,14 @@
 // ---- requests and attempts ----
 
 TEST_F(Crossing, ACloseThatIsUnreadWhenAnAttemptFailsSendsNothingFurther) {
-    instance(silent);
-    begin();
+    endpoint(neverAnswer);
+    startGateway();
     auto &c = client();
     c.send(request("a"));
     ASSERT_TRUE(until([&] { return attempts() == 1; }));
-    auto &sound = instance(echo);
+    auto &sound = endpoint(echo);
     ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
-    instances[0].say("-ERR failed\r\n");  // ready first, so read first
+    endpoints[0].send("-ERR failed\r\n");  // ready first, so read first
     c.hangUp();
     EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }));
     EXPECT_EQ(gateway->counts().gone, 1u);
@@ -262,8 +223,8 @@
 }
 
 TEST_F(Crossing, ACloseBehindMoreCommandsThanAreTakenUpIsSeenAtOnce) {
-    instance(silent);
-    begin();
+    endpoint(neverAnswer);
+    startGateway();
     auto &c = client();
     std::string many;
     for (int k = 0; k < 100; ++k)
@@ -272,7 +233,8 @@
     ASSERT_TRUE(until([&] { return gateway->counts().taken >= 64; }));
     settleDown();
     c.hangUp();
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 2s)) << "before the reqs' time is up";
+    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 2s))
+        << "before the requests' time is up";
     EXPECT_GT(gateway->counts().gone, 0u);
     EXPECT_EQ(gateway->counts().errored, 0u);
     EXPECT_LT(gateway->counts().taken, 100u) << "the others were not taken up";
@@ -281,7 +243,7 @@
 TEST_F(Crossing, ACloseWhileItsAttemptConnectsEndsItThoughNothingMayBeCancelled) {
     limits = {{"Cancel", false}, {"ConnectTimeoutS", 3}};
     auto &slow = slowToConnect("slow");
-    begin();
+    startGateway();
     auto &c = client();
     c.send(request("a"));
     ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
@@ -290,40 +252,40 @@
         << "not when the connection is up";
     slow.acceptAll();
     settleDown();
-    EXPECT_EQ(slow.got, "");
+    EXPECT_EQ(slow.received, "");
 }
 
 TEST_F(Crossing, AnAttemptThatConnectsToAFormerAddressIsNotSentThere) {
     limits = {{"ConnectTimeoutS", 3}};
     auto &slow = slowToConnect("s");
-    begin();
+    startGateway();
     auto &c = client();
     c.send(request("a", "once"));
     ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
-    auto &now = instances.emplace_back(io, echo);
-    fakes.list("s", now.address());
+    auto &now = endpoints.emplace_back(io, echo);
+    fakePlatform.listEndpoint("s", now.address());
     io.restart();
     io.run_for(20ms);  // the list is read; the connection can't come up before
     slow.acceptAll();
     EXPECT_TRUE(until([&] { return c.in == resp::bulk("of a"); })) << c.in;
-    EXPECT_EQ(slow.got, "");
+    EXPECT_EQ(slow.received, "");
 }
 
-TEST_F(Crossing, TheTimeToldToAnInstanceIsWhatIsLeftWhenTheBytesLeave) {
-    auto &one = instance(echo);
-    begin();
+TEST_F(Crossing, TheWaitForwardedToAnEndpointIsWhatIsLeftWhenTheBytesLeave) {
+    auto &one = endpoint(echo);
+    startGateway();
     auto &c = client();
     c.send(request("a"));
     ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     clock.ahead += 150ms;  // while its connection comes up
     ASSERT_TRUE(until([&] { return !c.in.empty(); }));
-    EXPECT_LE(timeTold(one), 2850);
-    EXPECT_GT(timeTold(one), 2000);
+    EXPECT_LE(forwardedWaitMs(one), 2850);
+    EXPECT_GT(forwardedWaitMs(one), 2000);
 }
 
-TEST_F(Crossing, AReqInPiecesCountsFromItsLastByteAndWhatFollowsIsRead) {
-    auto &one = instance(echo);
-    begin();
+TEST_F(Crossing, ARequestInPiecesCountsFromItsLastByteAndWhatFollowsIsRead) {
+    auto &one = endpoint(echo);
+    startGateway();
     auto &c = client();
     const std::string first = request("a"), second = request("b", "deduped");
     for (std::size_t k = 0; k + 1 < first.size(); ++k) {
@@ -335,22 +297,22 @@
     c.send(first.substr(first.size() - 1) + second.substr(0, 30));
     c.send(second.substr(30));
     ASSERT_TRUE(until([&] { return c.in == resp::bulk("of a") + resp::bulk("of b"); }));
-    EXPECT_GT(timeTold(one), 2900);
+    EXPECT_GT(forwardedWaitMs(one), 2900);
 }
 
-TEST_F(Crossing, WhatAnInstanceSaysBeforeItWasAskedIsNoAnswer) {
+TEST_F(Crossing, WhatAnEndpointSendsBeforeItsRequestIsNoAnswer) {
     limits = {{"MostTries", 100}};
     tcp::acceptor early(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-    fakes.list("early", format(early.local_endpoint()));
-    begin();
+    fakePlatform.listEndpoint("early", format(early.local_endpoint()));
+    startGateway();
     auto &c = client();
     c.send(request("a", "once"));
     ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     // The kernel has connected them; the gateway's loop has not heard of it.
     tcp::socket peer = early.accept();
-    asio::write(peer, asio::buffer(served("of another")));
+    asio::write(peer, asio::buffer(successReply("of another")));
     early.close();
-    instance(echo);
+    endpoint(echo);
     EXPECT_TRUE(until([&] { return c.in == resp::bulk("of a"); })) << c.in;
     EXPECT_EQ(attempts(), 1u);
 }
@@ -358,36 +320,36 @@
 // ---- idle connections ----
 
 TEST_F(Crossing, AConnectionThatHasStoodIdleTooLongIsNotTakenBeforeTheSweep) {
-    auto &one = instance(echo);
-    begin();
+    auto &one = endpoint(echo);
+    startGateway();
     EXPECT_EQ(ask("a"), resp::bulk("of a"));
     const auto before = one.opened;
-    clock.ahead += 8s;  // over half of the time that instances keep one
+    clock.ahead += 8s;  // over half of the time that endpoints keep one
     ask("stale");  // came during what looks like a standstill: it is shed, and nothing is sent for
                    // it
     EXPECT_EQ(ask("b"), resp::bulk("of b"));
     EXPECT_EQ(one.opened, before + 1);
 }
 
-TEST_F(Crossing, ASecondAnswerThatComesLateMeetsNoReq) {
-    instance([&](std::size_t n, const std::vector<std::string> &args) {
+TEST_F(Crossing, ASecondAnswerThatComesLateMeetsNoRequest) {
+    endpoint([&](std::size_t n, const std::vector<std::string> &args) {
         if (n == 1)
-            instances[0].sayOnFirst(served("of a"));  // before this one's own
+            endpoints[0].sendOnFirst(successReply("of a"));  // before this one's own
         return echo(n, args);
     });
-    begin();
+    startGateway();
     clock.held = clock.now();
     EXPECT_EQ(ask("a"), resp::bulk("of a"));
     *clock.held += 9ms;
     EXPECT_EQ(ask("b", "once"), resp::bulk("of b"));
     *clock.held += 10ms;
     EXPECT_EQ(ask("c", "once"), resp::bulk("of c"));
-    EXPECT_EQ(instances[0].opened, 2u) << "one that has rested is used again";
+    EXPECT_EQ(endpoints[0].opened, 2u) << "one that has rested is used again";
 }
 
-TEST_F(Crossing, AnInstancesCloseThatIsUnreadWhenItsConnectionIsTakenCostsNoReq) {
-    auto &one = instance(echo);
-    begin(256, 0s);
+TEST_F(Crossing, AnEndpointsCloseThatIsUnreadWhenItsConnectionIsTakenCostsNoRequest) {
+    auto &one = endpoint(echo);
+    startGateway(256, 0s);
     EXPECT_EQ(ask("a"), resp::bulk("of a"));
     const auto before = one.opened;
     auto &c = client();
@@ -400,8 +362,8 @@
 
 TEST_F(Crossing, PlacesHeldByIdleConnectionsToOthersAreFreed) {
     for (int k = 0; k < 30; ++k)
-        instance(echo);
-    begin(64, 0s);
+        endpoint(echo);
+    startGateway(64, 0s);
     for (int k = 0; k < 120; ++k)
         ASSERT_EQ(ask("r" + std::to_string(k)), resp::bulk("of r" + std::to_string(k)));
     EXPECT_LE(transport->upstreamPool->connections(), 20u);
@@ -412,8 +374,10 @@
 class Program : public Crossing {
   protected:
     void TearDown() override {
-        if (pid > 0)
-            kill(pid, SIGKILL), waitpid(pid, nullptr, 0);
+        if (pid > 0) {
+            kill(pid, SIGKILL);
+            waitpid(pid, nullptr, 0);
+        }
         std::filesystem::remove_all(folder);
         Crossing::TearDown();
     }
@@ -464,8 +428,8 @@
     int status = -1;
 };
 
-TEST_F(Program, ASecondSignalAndANewConfigurationLeaveWhatIsInHandAlone) {
-    auto &one = instance(silent);
+TEST_F(Program, ASecondSignalAndANewConfigurationLeaveWhatIsInFlightAlone) {
+    auto &one = endpoint(neverAnswer);
     launch();
     auto &c = clientOf(listens());
     c.send(request("a"));
@@ -476,15 +440,15 @@
     kill(pid, SIGTERM);
     kill(pid, SIGHUP);
     ASSERT_TRUE(says("draining-already")) << logged();
-    one.say(served("of a"));
+    one.send(successReply("of a"));
     EXPECT_TRUE(until([&] { return c.closed; }));
     EXPECT_EQ(c.in, resp::bulk("of a"));
     EXPECT_TRUE(until([&] { return ended(); }));
     EXPECT_EQ(status, 0) << logged();
 }
 
-TEST_F(Program, AReqThatIsNeverAnsweredIsErroredBeforeTheProcessEnds) {
-    instance(silent);
+TEST_F(Program, ARequestThatIsNeverAnsweredIsErroredBeforeTheProcessEnds) {
+    endpoint(neverAnswer);
     launch();
     auto &c = clientOf(listens());
     c.send(request("a", "once", "3900"));
@@ -510,11 +474,11 @@
     EXPECT_TRUE(until([&] { return c.in == "+PONG\r\n"; }));
 }
 
-TEST_F(Program, AReqThatComesBeforeTheFirstListWaitsForIt) {
-    auto &old = instance(echo);
-    auto &now = instances.emplace_back(io, echo);
+TEST_F(Program, ARequestThatComesBeforeTheFirstListWaitsForIt) {
+    auto &old = endpoint(echo);
+    auto &now = endpoints.emplace_back(io, echo);
     launch();  // knows the old address only
-    fakes.list("s1", now.address());
+    fakePlatform.listEndpoint("s1", now.address());
     std::string log;
     while ((log = logged()).find("\"listening\"") == std::string::npos && !ended())
         std::this_thread::yield();
@@ -526,7 +490,7 @@
 }
 
 TEST_F(Program, ASignalBeforeTheFirstListEndsItInOrder) {
-    fakes.oddWatches = {[](http::Exchange &) {}};
+    fakePlatform.scriptedListWatches = {[](http::Exchange &) {}};
     launch();
     listens();
     kill(pid, SIGTERM);
--- a/tests/path/platform_fixture.hpp
+++ b/tests/path/platform_fixture.hpp
@@ -1,4 +1,4 @@
-// What the path tests of the platform share: scripted instances over RESP2, discovery and control,
+// What the path tests of the platform share: scripted endpoints over RESP2, discovery and control,
 // the gateway between them on loopback.
 #pragma once
 
@@ -9,26 +9,27 @@
 
 using Then = Reply::Then;
 
-inline std::string served(const std::string &value, const std::string &report = "$-1\r\n") {
+inline std::string successReply(const std::string &value, const std::string &report = "$-1\r\n") {
     return "*3\r\n" + resp::bulk(value) + "$-1\r\n" + report;
 }
 
 class ScriptedRespEndpoint {
   public:
-    using Script = std::function<Reply(std::size_t nth, const std::vector<std::string> &args)>;
-    ScriptedRespEndpoint(asio::io_context &io, Script what)
-        : script(std::move(what)),
+    using Script =
+        std::function<Reply(std::size_t commandIndex, const std::vector<std::string> &arguments)>;
+    ScriptedRespEndpoint(asio::io_context &io, Script answers)
+        : script(std::move(answers)),
           acceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {
         accept();
     }
     std::string address() const { return format(acceptor.local_endpoint()); }
     // On the connection of the latest command, outside the script's turn.
-    void say(const std::string &bytes) {
+    void send(const std::string &bytes) {
         asio::error_code ignored;
         asio::write(latest->socket, asio::buffer(bytes), ignored);
     }
     // The same on the connection of the first command.
-    void sayOnFirst(const std::string &bytes) {
+    void sendOnFirst(const std::string &bytes) {
         asio::error_code ignored;
         asio::write(first->socket, asio::buffer(bytes), ignored);
     }
@@ -41,7 +42,7 @@
 
   private:
     struct Peer {
-        explicit Peer(tcp::socket s) : socket(std::move(s)) {}
+        explicit Peer(tcp::socket accepted) : socket(std::move(accepted)) {}
         tcp::socket socket;
         resp::Parser parser{resp::Parser::What::command, {}};
         std::array<char, 4096> buffer;
@@ -66,10 +67,10 @@
                     ASSERT_FALSE(peer->parser.faulty()) << peer->parser.fault();
                     if (!peer->parser.done())
                         break;
-                    std::vector<std::string> args;
+                    std::vector<std::string> arguments;
                     for (auto &item : peer->parser.take().items)
-                        args.push_back(*item);
-                    commands.push_back(std::move(args));
+                        arguments.push_back(*item);
+                    commands.push_back(std::move(arguments));
                     latest = peer;
                     if (!first)
                         first = peer;
@@ -88,99 +89,152 @@
     }
     Script script;
     tcp::acceptor acceptor;
-    std::shared_ptr<Peer> first, latest;
+    std::shared_ptr<Peer> first;
+    std::shared_ptr<Peer> latest;
 };
 
-// Discovery and the control service in one: streams to whoever asks, and takes votes.
+// Discovery and the control service in one: streams to every watch, and takes votes.
 class FakePlatform {
   public:
     explicit FakePlatform(asio::io_context &io)
         : listener(io, *parseAddress("127.0.0.1:0"), {},
-                   [this](std::shared_ptr<http::Exchange> e) { serve(e); }) {}
+                   [this](std::shared_ptr<http::Exchange> exchange) { serve(exchange); }) {}
+
     std::string address() const { return format(listener.address()); }
-    void list(const std::string &id, const std::string &at, int build = 1,
-              const char *state = "Ready") {
+
+    // Adds or changes an endpoint and sends the change to every list watch.
+    void listEndpoint(const std::string &id, const std::string &at, int build = 1,
+                      const char *state = "Ready") {
         entries[id] = {{"instanceId", id},   {"hostPort", at},   {"zone", "a"},
                        {"machineType", "m"}, {"cell", 0},        {"lifecycle", state},
                        {"weight", 1.0},      {"startedAtMs", 0}, {"release", build}};
         const json change{
             {"generation", ++generation}, {"reset", false}, {"instances", {entries[id]}}};
-        for (const auto &w : watchers)
-            w->write(change.dump(indent) + "\n");
+        for (const auto &watch : listWatches)
+            watch->write(change.dump(listIndent) + "\n");
     }
-    json all() const {
-        json instances = json::array();
-        for (const auto &[id, e] : entries)
-            instances.push_back(e);
-        return {{"generation", generation}, {"reset", true}, {"instances", instances}};
+    json completeList() const {
+        json endpoints = json::array();
+        for (const auto &[id, entry] : entries)
+            endpoints.push_back(entry);
+        return {{"generation", generation}, {"reset", true}, {"instances", endpoints}};
     }
-    void say(const std::string &bytes) {
-        for (const auto &r : readers)
-            r->write(bytes);
+    void sendToRolloutWatches(const std::string &bytes) {
+        for (const auto &watch : rolloutWatches)
+            watch->write(bytes);
     }
-    static std::string news(int build, int step, const char *phase, double exposureLimit) {
+    static std::string rolloutEvent(int build, int step, const char *phase, double exposureLimit) {
         return "event: news\ndata: image=" + std::to_string(build) +
                "&ring=" + std::to_string(step) + "&progress=" + phase +
                "&ceiling=" + std::to_string(exposureLimit) + "&lag_ms=10\n\n";
     }
-    std::string first = news(1, 0, "Healthy", 1);
-    std::vector<std::shared_ptr<http::Exchange>> watchers, readers;
-    std::vector<std::string> asked;
-    // The next watches are answered by these instead, one each; they stay unanswered where nothing
-    // is said.
-    std::deque<std::function<void(http::Exchange &)>> oddWatches;
-    int indent = -1;  // of the lists
-    static void beginWatch(http::Exchange &e) {
+    static void beginWatch(http::Exchange &exchange) {
         http::ResponseHead head;
-        head.status = 200, head.chunked = true;
-        e.begin(head);
+        head.status = 200;
+        head.chunked = true;
+        exchange.begin(head);
     }
 
+    std::string firstRolloutEvent = rolloutEvent(1, 0, "Healthy", 1);
+    std::vector<std::shared_ptr<http::Exchange>> listWatches;
+    std::vector<std::shared_ptr<http::Exchange>> rolloutWatches;
+    std::vector<std::string> requestedTargets;
+    // The next list watches are answered by these instead, one each; a watch stays unanswered where
+    // its function does nothing.
+    std::deque<std::function<void(http::Exchange &)>> scriptedListWatches;
+    int listIndent = -1;
+
   private:
-    void serve(const std::shared_ptr<http::Exchange> &e) {
-        asked.push_back(e->head.target);
-        if (e->head.target.starts_with("/discovery/hosts") && !oddWatches.empty()) {
-            oddOnes.push_back(e);
-            const auto answer = oddWatches.front();
-            oddWatches.pop_front();
-            return answer(*e);
+    void serve(const std::shared_ptr<http::Exchange> &exchange) {
+        const std::string &target = exchange->head.target;
+        const bool isListWatch = target.starts_with("/discovery/hosts");
+        requestedTargets.push_back(target);
+        if (isListWatch && !scriptedListWatches.empty()) {
+            keptOpen.push_back(exchange);
+            const auto answer = scriptedListWatches.front();
+            scriptedListWatches.pop_front();
+            return answer(*exchange);
         }
-        beginWatch(*e);
-        if (e->head.target.starts_with("/discovery/hosts")) {
-            watchers.push_back(e);
-            e->write(all().dump(indent) + "\n");
+        beginWatch(*exchange);
+        if (isListWatch) {
+            listWatches.push_back(exchange);
+            exchange->write(completeList().dump(listIndent) + "\n");
         } else {
-            readers.push_back(e);
-            e->write(first);
+            rolloutWatches.push_back(exchange);
+            exchange->write(firstRolloutEvent);
         }
     }
+
     std::map<std::string, json> entries;
     std::int64_t generation = 1;
-    std::vector<std::shared_ptr<http::Exchange>> oddOnes;
+    std::vector<std::shared_ptr<http::Exchange>> keptOpen;
     http::Listener listener;
 };
 
+// A listener whose queue is full: a connection to it comes up when somebody accepts, a second
+// later.
+class SlowToConnect {
+  public:
+    explicit SlowToConnect(asio::io_context &io)
+        : acceptor(io, {asio::ip::address_v4::loopback(), 0}) {
+        acceptor.listen(0);
+        for (int filler = 0; filler < 4; ++filler) {
+            fillers.push_back(std::make_unique<tcp::socket>(io));
+            fillers.back()->async_connect(acceptor.local_endpoint(), [](asio::error_code) {});
+        }
+        io.restart();
+        io.run_for(20ms);
+    }
+    std::string address() const { return format(acceptor.local_endpoint()); }
+    void acceptAll() {
+        acceptor.async_accept([this](asio::error_code fault, tcp::socket socket) {
+            if (fault)
+                return;
+            const auto peer = std::make_shared<tcp::socket>(std::move(socket));
+            const auto buffer = std::make_shared<std::array<char, 4096>>();
+            peer->async_read_some(asio::buffer(*buffer),
+                                  [this, peer, buffer](asio::error_code, std::size_t length) {
+                                      received.append(buffer->data(), length);
+                                  });
+            acceptAll();
+        });
+    }
+    std::string received;
+
+  private:
+    tcp::acceptor acceptor;
+    std::vector<std::unique_ptr<tcp::socket>> fillers;
+};
+
+inline Reply echo(std::size_t, const std::vector<std::string> &arguments) {
+    return {successReply("of " + arguments[2])};
+}
+
+inline Reply neverAnswer(std::size_t, const std::vector<std::string> &) {
+    return {""};
+}
+
 class Platform : public Loop {
   protected:
-    Platform() : fakes(io) {}
+    Platform() : fakePlatform(io) {}
     void TearDown() override {
         clients.clear();
         gateway.reset();
         settleDown();
     }
-    ScriptedRespEndpoint &instance(ScriptedRespEndpoint::Script script, int build = 1) {
-        auto &made = instances.emplace_back(io, std::move(script));
-        fakes.list("s" + std::to_string(instances.size()), made.address(), build);
+    ScriptedRespEndpoint &endpoint(ScriptedRespEndpoint::Script script, int build = 1) {
+        auto &made = endpoints.emplace_back(io, std::move(script));
+        fakePlatform.listEndpoint("s" + std::to_string(endpoints.size()), made.address(), build);
         return made;
     }
     json document(std::size_t sockets) {
         json out{{"name", "n"},
                  {"listen", "127.0.0.1:0"},
-                 {"discovery", fakes.address()},
+                 {"discovery", fakePlatform.address()},
                  {"seed", "1"},
                  {"limits", {{"cores", 1}, {"memory_mb", 32}, {"sockets", sockets}}},
-                 {"platform", {{"address", fakes.address()}}},
-                 {"known", fakes.all()},
+                 {"platform", {{"address", fakePlatform.address()}}},
+                 {"known", fakePlatform.completeList()},
                  {"settings", json::parse(R"({
           "FailureDomains": ["a"], "GroupSize": 3,
           "FamilyInfo": {"GateMode": "by_count", "ReplaceMode": "replace", "ExposureCaps": [0.5, 1.0], "Shares": [0.5, 1.0],
@@ -194,20 +248,23 @@
         out["settings"]["Limits"].update(limits);
         return out;
     }
-    // `rest`: of a connection before it is used again, instead of the bounds' own: a test of many
-    // requests takes no longer than that.
-    void begin(std::size_t sockets = 256, std::optional<Duration> rest = std::nullopt) {
+    // `reuseDelay`: of a connection, instead of the limits' own, so that a test of many requests
+    // takes no longer than that.
+    void startGateway(std::size_t sockets = 256,
+                      std::optional<Duration> reuseDelay = std::nullopt) {
         configuration = platform::parseConfiguration(document(sockets).dump());
-        auto bounds = platform::divideResources(sockets, 32, 1000, configuration.settings.keptIdle);
-        if (rest)
-            bounds.reuseDelay = *rest;
-        transport =
-            std::make_unique<platform::PlatformTransport>(io, clock, configuration, bounds, Log());
+        auto resources =
+            platform::divideResources(sockets, 32, 1000, configuration.settings.keptIdle);
+        if (reuseDelay)
+            resources.reuseDelay = *reuseDelay;
+        transport = std::make_unique<platform::PlatformTransport>(io, clock, configuration,
+                                                                  resources, Log());
         gateway = std::make_unique<Gateway>(
-            io, clock, platform::toGatewaySettings(configuration, bounds), 1, Log(), *transport);
+            io, clock, platform::toGatewaySettings(configuration, resources), 1, Log(), *transport);
         gateway->remember(platform::toEndpointListUpdate(configuration.knownEndpoints));
         transport->respDownstream->open();
-        ASSERT_TRUE(until([&] { return gateway->stage().has_value() && !fakes.watchers.empty(); }));
+        ASSERT_TRUE(until(
+            [&] { return gateway->stage().has_value() && !fakePlatform.listWatches.empty(); }));
     }
     RawClient &client() { return clients.emplace_back(io, gateway->address()); }
     static std::string request(const std::string &id, const std::string &route = "any",
@@ -217,34 +274,31 @@
         return resp::command(
             {"Q.DO", "key-" + id, id, "c=" + route + ",t=x,d=" + wait + ",k=1f", "body"});
     }
-    static bool whole(const std::string &in) {
+    static bool isWholeReply(const std::string &bytes) {
         resp::Parser parser(resp::Parser::What::reply, {4, 4000000, 4000000, 512});
-        parser.feed(in);
+        parser.feed(bytes);
         return parser.done();
     }
     std::string ask(const std::string &id, const std::string &route = "any") {
         auto &c = client();
         c.send(request(id, route));
-        EXPECT_TRUE(until([&] { return whole(c.in) || c.closed; }));
+        EXPECT_TRUE(until([&] { return isWholeReply(c.in) || c.closed; }));
         return c.in;
     }
+    // Commands that have reached an endpoint.
     std::size_t attempts() const {
-        std::size_t n = 0;
-        for (const auto &one : instances)
-            n += one.commands.size();
-        return n;
+        std::size_t count = 0;
+        for (const auto &one : endpoints)
+            count += one.commands.size();
+        return count;
     }
     json limits = json::object();  // of the settings, over those above
-    FakePlatform fakes;
+    FakePlatform fakePlatform;
     platform::PlatformConfiguration configuration;
     std::unique_ptr<platform::PlatformTransport> transport;
-    std::deque<ScriptedRespEndpoint> instances;
+    std::deque<ScriptedRespEndpoint> endpoints;
     std::unique_ptr<Gateway> gateway;
     std::deque<RawClient> clients;
 };
 
-inline Reply echo(std::size_t, const std::vector<std::string> &args) {
-    return {served("of " + args[2])};
-}
-
 }  // namespace deckcart::test
--- a/tests/path/platform_test.cpp
+++ b/tests/path/platform_test.cpp
@@ -1,4 +1,4 @@
-// The platform's protocol through the real gateway on loopback: scripted instances, discovery and
+// The platform's protocol through the real gateway on loopback: scripted endpoints, discovery and
 // control.
 #include "platform_fixture.hpp"
 
@@ -7,8 +7,8 @@
 
 TEST_F(Platform, ManyCommandsOnAConnectionAreAnsweredInTheirOrderEachOnce) {
     for (int k = 0; k < 3; ++k)
-        instance(echo);
-    begin(256, 0s);
+        endpoint(echo);
+    startGateway(256, 0s);
     auto &c = client();
     std::string all = resp::command({"PING"}), wanted = "+PONG\r\n";
     for (int k = 0; k < 200; ++k) {
@@ -20,11 +20,11 @@
     EXPECT_EQ(c.in, wanted);
     EXPECT_EQ(attempts(), 200u);
     EXPECT_EQ(gateway->counts().completed, 200u);
-    EXPECT_LE(instances[0].opened + instances[1].opened + instances[2].opened, 110u)
+    EXPECT_LE(endpoints[0].opened + endpoints[1].opened + endpoints[2].opened, 110u)
         << "connections are used again";
 }
 
-TEST_F(Platform, WhatComesBackOfATryIsToldTruthfully) {
+TEST_F(Platform, TheOutcomeOfAnAttemptIsReportedTruthfully) {
     struct Row {
         Reply reply;
         const char *name;
@@ -43,8 +43,9 @@
     const auto script = [&](std::size_t n, const std::vector<std::string> &args) {
         return std::exchange(fails, false) ? rows[row].reply : echo(n, args);
     };
-    instance(script), instance(script);
-    begin();
+    endpoint(script);
+    endpoint(script);
+    startGateway();
     for (; row < rows.size(); ++row) {
         fails = true;
         EXPECT_EQ(ask("a" + std::to_string(row)), resp::bulk("of a" + std::to_string(row)))
@@ -61,10 +62,11 @@
 }
 
 TEST_F(Platform, LargeValuesArePassedOnWholeAndHugeOnesAreNot) {
-    instance([](std::size_t, const std::vector<std::string> &args) {
-        return Reply{served(args[2] + std::string(args[2] == "huge" ? 3000000 : 194000, 'v'))};
+    endpoint([](std::size_t, const std::vector<std::string> &args) {
+        return Reply{
+            successReply(args[2] + std::string(args[2] == "huge" ? 3000000 : 194000, 'v'))};
     });
-    begin();
+    startGateway();
     EXPECT_EQ(ask("large"), resp::bulk("large" + std::string(194000, 'v')));
     auto &c = client();
     c.send(request("huge", "once"));
@@ -72,30 +74,30 @@
 }
 
 TEST_F(Platform, ConnectionsThatAreRefusedProveThatNothingRan) {
-    auto &sound = instance(echo);
+    auto &sound = endpoint(echo);
     tcp::acceptor taken(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     const std::string nobody = format(taken.local_endpoint());
     taken.close();
-    fakes.list("dead", nobody);
-    begin();
+    fakePlatform.listEndpoint("dead", nobody);
+    startGateway();
     for (int k = 0; k < 12; ++k)
         EXPECT_EQ(ask("o" + std::to_string(k), "once"), resp::bulk("of o" + std::to_string(k)));
     EXPECT_EQ(sound.commands.size(), 12u);
 }
 
 TEST_F(Platform, WhatComesBehindAGoodAnswerReachesNobody) {
-    instance([](std::size_t, const std::vector<std::string> &args) {
-        return Reply{served("of " + args[2]) + served("of " + args[2])};
+    endpoint([](std::size_t, const std::vector<std::string> &args) {
+        return Reply{successReply("of " + args[2]) + successReply("of " + args[2])};
     });
-    begin();
+    startGateway();
     for (int k = 0; k < 10; ++k)
         EXPECT_EQ(ask("r" + std::to_string(k)), resp::bulk("of r" + std::to_string(k)));
-    EXPECT_EQ(instances[0].opened, 10u) << "no such connection is used again";
+    EXPECT_EQ(endpoints[0].opened, 10u) << "no such connection is used again";
 }
 
 TEST_F(Platform, WhatCantBeReadGetsAnErrorOrACloseAndOthersAreServed) {
-    instance(echo);
-    begin();
+    endpoint(echo);
+    startGateway();
     for (const std::string &bad : {std::string("GET / HTTP/1.1\r\n\r\n"),
                                    std::string("*4\r\n$-5\r\n"), std::string("*99999999\r\n"),
                                    std::string("*1\r\n$60000000\r\n") + std::string(200000, 'x'),
@@ -117,8 +119,8 @@
 }
 
 TEST_F(Platform, AnswersOwedComeBeforeTheErrorAndTheEnd) {
-    instance(echo);
-    begin();
+    endpoint(echo);
+    startGateway();
     auto &c = client();
     c.send(request("a") + request("b") + "noise\r\n" + request("c"));
     EXPECT_TRUE(until([&] { return c.closed; }));
@@ -127,16 +129,16 @@
 }
 
 TEST_F(Platform, AnIdThatIsKnownGoesToNoInstance) {
-    instance(echo);
-    begin();
+    endpoint(echo);
+    startGateway();
     EXPECT_EQ(ask("x"), resp::bulk("of x"));
     EXPECT_TRUE(ask("x").starts_with("-ERR "));
     EXPECT_EQ(attempts(), 1u);
 }
 
 TEST_F(Platform, SilentConnectionsMakeRoomForUsualOnes) {
-    instance(echo);
-    begin(64);
+    endpoint(echo);
+    startGateway(64);
     for (int k = 0; k < 100; ++k)
         client();
     for (int k = 0; k < 5; ++k)
@@ -148,9 +150,9 @@
     })) << "who says nothing is closed";
 }
 
-TEST_F(Platform, AClientThatLeavesHasItsTryEnded) {
-    instance([](std::size_t, const std::vector<std::string> &) { return Reply{""}; });
-    begin();
+TEST_F(Platform, AClientThatLeavesHasItsAttemptEnded) {
+    endpoint(neverAnswer);
+    startGateway();
     auto &c = client();
     c.send(request("a"));
     ASSERT_TRUE(until([&] { return attempts() == 1; }));
@@ -158,11 +160,9 @@
     EXPECT_TRUE(until([&] { return gateway->counts().gone == 1 && gateway->inHand() == 0; }));
 }
 
-TEST_F(Platform, ADrainAnswersWhatIsInHandAndEnds) {
-    std::size_t held = 0;
-    instance(
-        [&](std::size_t n, const std::vector<std::string> &args) { return ++held, echo(n, args); });
-    begin();
+TEST_F(Platform, ADrainAnswersWhatIsInFlightAndEnds) {
+    endpoint(echo);
+    startGateway();
     auto &idle = client();
     idle.send(resp::command({"PING"}));
     ASSERT_TRUE(until([&] { return idle.in == "+PONG\r\n"; }));
@@ -175,9 +175,9 @@
     EXPECT_EQ(c.in, resp::bulk("of a"));
 }
 
-TEST_F(Platform, WhatIsStillInHandAtTheEndIsAnswered) {
-    instance([](std::size_t, const std::vector<std::string> &) { return Reply{""}; });
-    begin();
+TEST_F(Platform, WhatIsStillInFlightAtTheEndIsAnswered) {
+    endpoint(neverAnswer);
+    startGateway();
     auto &c = client();
     c.send(request("a") + request("b", "once"));
     ASSERT_TRUE(until([&] { return attempts() == 2; }));
@@ -187,80 +187,76 @@
 }
 
 TEST_F(Platform, NewAddressesAreFollowedAndTheOldStayUntilThenOnTheirOwn) {
-    auto &one = instance(echo);
-    begin();
+    auto &one = endpoint(echo);
+    startGateway();
     EXPECT_EQ(ask("a"), resp::bulk("of a"));
     FakePlatform second(io);
-    auto &two = instances.emplace_back(io, echo);
+    auto &two = endpoints.emplace_back(io, echo);
     for (int k = 0; k < 5; ++k)
-        second.list("s1", one.address());
-    second.list("s1", two.address(), 1);
-    second.first = FakePlatform::news(2, 0, "Progressing", 0.5);
+        second.listEndpoint("s1", one.address());
+    second.listEndpoint("s1", two.address(), 1);
+    second.firstRolloutEvent = FakePlatform::rolloutEvent(2, 0, "Progressing", 0.5);
     const auto at = *parseAddress(second.address());
     transport->controlPlaneClient->setAddresses({at, at});
     transport->controlPlaneClient->setAddresses({at, at});
     EXPECT_TRUE(until([&] { return gateway->stage()->build == 2; })) << "news come from there";
     EXPECT_TRUE(until([&] {
-        return ask("m" + std::to_string(clients.size())), two.commands.size() > 0;
+        ask("m" + std::to_string(clients.size()));
+        return !two.commands.empty();
     })) << "an id's new address is called";
-    EXPECT_EQ(second.readers.size(), 1u);
+    EXPECT_EQ(second.rolloutWatches.size(), 1u);
 }
 
 TEST_F(Platform, StreamsThatBreakOrCantBeReadAreMadeAnewFromWhereTheyWere) {
-    instance(echo);
-    begin();
-    const auto opened = [&] { return fakes.watchers.size() + 100 * fakes.readers.size(); };
+    endpoint(echo);
+    startGateway();
+    const auto opened = [&] {
+        return fakePlatform.listWatches.size() + 100 * fakePlatform.rolloutWatches.size();
+    };
     for (const char *odd :
          {"{\"generation\":9,\"reset\":fal\n", "noise\n", "{\"generation\":\"x\"}\n"}) {
-        const auto before = fakes.watchers.size();
-        fakes.watchers.back()->write(odd);
-        EXPECT_TRUE(until([&] { return fakes.watchers.size() == before + 1; })) << odd;
+        const auto before = fakePlatform.listWatches.size();
+        fakePlatform.listWatches.back()->write(odd);
+        EXPECT_TRUE(until([&] { return fakePlatform.listWatches.size() == before + 1; })) << odd;
     }
     const auto before = opened();
-    fakes.say("event: news\ndata: image=7&ring=no\n\n");
+    fakePlatform.sendToRolloutWatches("event: news\ndata: image=7&ring=no\n\n");
     EXPECT_TRUE(until([&] { return opened() == before + 100; }));
-    fakes.readers.back()->abort();
+    fakePlatform.rolloutWatches.back()->abort();
     EXPECT_TRUE(until([&] { return opened() == before + 200; }));
     EXPECT_EQ(gateway->stage()->build, 1);
-    EXPECT_NE(fakes.asked.back().find("bulletin"), std::string::npos);
-    EXPECT_EQ(ask("a"), resp::bulk("of a")) << "and reqs go on";
+    EXPECT_NE(fakePlatform.requestedTargets.back().find("bulletin"), std::string::npos);
+    EXPECT_EQ(ask("a"), resp::bulk("of a")) << "and requests go on";
 }
 
 TEST_F(Platform, AnOlderGenerationChangesNothing) {
-    auto &one = instance(echo);
-    begin();
-    fakes.watchers.back()->write("{\"generation\":0,\"reset\":true,\"instances\":[]}\n\n");
+    auto &one = endpoint(echo);
+    startGateway();
+    fakePlatform.listWatches.back()->write(
+        "{\"generation\":0,\"reset\":true,\"endpoints\":[]}\n\n");
     EXPECT_EQ(ask("a"), resp::bulk("of a"));
     EXPECT_EQ(one.commands.size(), 1u);
 }
 
-TEST_F(Platform, AReqThatIsGivenUpIsAnsweredAtOnceWithATimeToComeBack) {
-    instance([](std::size_t, const std::vector<std::string> &) { return Reply{"-BUSY\r\n"}; });
-    begin();
+TEST_F(Platform, ARequestThatIsGivenUpIsAnsweredAtOnceWithARetryAfter) {
+    endpoint([](std::size_t, const std::vector<std::string> &) { return Reply{"-BUSY\r\n"}; });
+    startGateway();
     const auto from = std::chrono::steady_clock::now();
     EXPECT_TRUE(ask("a").starts_with("-BUSY ")) << clients.back().in;
     EXPECT_LT(std::chrono::steady_clock::now() - from, 3s) << "not held until the client gives up";
 }
 
-// A try that is still connecting when its instance comes to run another build, or its build gets a
-// lower cap, is not sent: where the handshake hangs because the listener's queue is full.
-TEST_F(Platform, WhatIsStillConnectingIsWithdrawnWhenItsBuildOrCapChanges) {
-    tcp::acceptor full(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-    full.listen(0);
-    std::vector<std::unique_ptr<tcp::socket>> fillers;
-    for (int k = 0; k < 4; ++k) {
-        fillers.push_back(std::make_unique<tcp::socket>(io));
-        fillers.back()->async_connect(full.local_endpoint(), [](asio::error_code) {});
-    }
-    io.restart();
-    io.run_for(20ms);
-    fakes.list("slow", format(full.local_endpoint()));
-    begin();
+// An attempt that is still connecting when its endpoint comes to run another build, or its build
+// gets a lower exposure limit, is not sent.
+TEST_F(Platform, WhatIsStillConnectingIsWithdrawnWhenItsBuildOrExposureLimitChanges) {
+    SlowToConnect slow(io);
+    fakePlatform.listEndpoint("slow", slow.address());
+    startGateway();
     auto &c = client();
     c.send(request("a", "once"));
     ASSERT_TRUE(until([&] { return gateway->counts().attempts >= 1; }));
-    auto &sound = instance(echo);
-    fakes.list("slow", format(full.local_endpoint()), 2);
+    auto &sound = endpoint(echo);
+    fakePlatform.listEndpoint("slow", slow.address(), 2);
     EXPECT_TRUE(until([&] { return c.in == resp::bulk("of a"); }, 2s))
         << "it is sent elsewhere: " << c.in;
     EXPECT_EQ(sound.commands.size(), 1u);
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -68,7 +68,7 @@
     return {};
 }
 
-TEST(PlatformStart, IsReadWhole) {
+TEST(PlatformConfiguration, IsReadWhole) {
     const PlatformConfiguration read = parseConfiguration(configuration());
     EXPECT_EQ(read.seed, 0x8c1f30d27a5be964u);
     EXPECT_EQ(read.sockets, 256u);
@@ -79,7 +79,7 @@
     EXPECT_EQ(read.settings.routeTimeouts.at(1), Duration{2500ms});
 }
 
-TEST(PlatformStart, NamesTheFieldThatIsWrong) {
+TEST(PlatformConfiguration, NamesTheFieldThatIsWrong) {
     const std::string good = configuration();
     const std::vector<std::array<std::string, 3>> cases{
         {"\"name\":\"n3\"", "\"name\":\"n3\",\"name\":\"n4\"", "name"},
@@ -104,7 +104,7 @@
     return simulator::readSettings(json::parse(kSettings), 1);
 }
 
-TEST(PlatformCommands, AReqIsReadAndOnlyItsWaitChangesOnTheWay) {
+TEST(PlatformCommands, ARequestIsReadAndOnlyItsWaitChangesOnTheWay) {
     const auto got =
         parseCommand({"Q.DO", "key", "id1", "c=order,t=acme,d=480,k=5c0f", "BODY"}, settings());
     ASSERT_EQ(got.error, "");
@@ -152,7 +152,7 @@
     return parseReply(parser.take());
 }
 
-TEST(PlatformCommands, RepliesTellWhatCameOfATry) {
+TEST(PlatformCommands, RepliesGiveTheOutcomeOfAnAttempt) {
     EXPECT_EQ(reply("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").outcome, Outcome::ok);
     EXPECT_EQ(reply("*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n").value, "v");
     EXPECT_EQ(reply("*3\r\n$1\r\nv\r\n$-1\r\n$4\r\n?!%&\r\n").outcome, Outcome::ok)
@@ -213,9 +213,9 @@
     const auto event = parser.feedLine("\r");
     ASSERT_TRUE(event);
     EXPECT_EQ(event->type, "counts");
-    const UsageReport told = parseUsageReport(parseForm(event->data), {"lookup", "order"});
-    EXPECT_TRUE(told.build == 42 && told.route == 1 && told.attempts == 57 && told.failures == 2 &&
-                told.age == 900ms);
+    const UsageReport report = parseUsageReport(parseForm(event->data), {"lookup", "order"});
+    EXPECT_TRUE(report.build == 42 && report.route == 1 && report.attempts == 57 &&
+                report.failures == 2 && report.age == 900ms);
     const auto counts = [](const char *text) {
         return parseUsageReport(parseForm(text), {"order"});
     };
@@ -229,14 +229,14 @@
         << "without end";
 }
 
-TEST(PlatformLimits, LeaveRoomForEachUse) {
+TEST(PlatformResourceLimits, LeaveRoomForEachUse) {
     for (const std::size_t sockets : {64u, 256u, 384u, 1024u, 4096u}) {
         const ResourceLimits limits = divideResources(sockets, 32, 20000, 15s);
         EXPECT_LE(limits.clientConnections + limits.upstreamConnections + limits.reservedSockets,
                   sockets);
         EXPECT_GE(limits.clientConnections, sockets / 4);
         EXPECT_GE(limits.upstreamConnections * 4, sockets)
-            << "who may hold a third for reqs can have them all sent";
+            << "who may hold a third for requests can have them all sent";
         EXPECT_LT(limits.upstreamIdleTimeout, Duration{15s})
             << "dropped before the other side would";
     }
@@ -249,7 +249,7 @@
     EXPECT_EQ(shutdownPlan(1s).acceptFor, Duration{500ms}) << "while connections still come";
 }
 
-TEST(PlatformFront, AnIdIsKnownWhileOpenAndForAWhileAfter) {
+TEST(PlatformRequestIds, AnIdIsKnownWhileOpenAndForAWhileAfter) {
     RequestIdRegistry ids(2s);
     EXPECT_TRUE(ids.add("a", 0s));
     EXPECT_FALSE(ids.add("a", 1s)) << "open";
@@ -263,11 +263,12 @@
     EXPECT_LT(ids.size(), 300u) << "it does not grow with ids";
 }
 
-// What a gateway does on one day under some names of classes and tenants.
+// What the decision module does in one run under some names of classes and tenants.
 std::string actionsUnder(const std::string &ask, const std::string &order,
                          const std::string &tenant) {
     json settings = json::parse(kSettings);
-    settings["Grades"][0]["Name"] = ask, settings["Grades"][1]["Name"] = order;
+    settings["Grades"][0]["Name"] = ask;
+    settings["Grades"][1]["Name"] = order;
     settings["Realms"][0]["Name"] = tenant;
     const auto read = simulator::readSettings(settings, 7);
     Policy policy;
@@ -282,10 +283,12 @@
     happen(10s, PolicyStarted{read.start});
     EndpointListUpdate list{true, {}};
     for (int k = 0; k < 6; ++k) {
-        EndpointEntry e;
-        e.id = "s" + std::to_string(k), e.build = k < 4 ? 1 : 2, e.weight = 1,
-        e.state = EndpointState::active;
-        list.entries.push_back(e);
+        EndpointEntry entry;
+        entry.id = "s" + std::to_string(k);
+        entry.build = k < 4 ? 1 : 2;
+        entry.weight = 1;
+        entry.state = EndpointState::active;
+        list.entries.push_back(entry);
     }
     happen(10s, list);
     happen(10s, RolloutUpdate{false, Outcome::ok, 2, 0, RolloutPhase::canary, 0.3, Duration{0}});
@@ -313,13 +316,13 @@
 
 TEST(PlatformSettings, NamesOfClassesAndTenantsChangeNoAction) {
     const auto usual = actionsUnder("lookup", "order", "acme");
-    EXPECT_GT(std::ranges::count(usual, '\n'), 400) << "reqs were sent, some again";
+    EXPECT_GT(std::ranges::count(usual, '\n'), 400) << "requests were sent, some again";
     EXPECT_EQ(usual,
               actionsUnder("read-a-meter_and-its-history-of-the-last-twelve-months", "W", "b-2"));
     EXPECT_EQ(usual, actionsUnder("x", "lookup", "the-utility_of-the-valley"));
 }
 
-TEST(PlatformJsonValues, WholeValuesAreFoundWhateverTheWhiteSpaceAndTheCut) {
+TEST(PlatformJsonObjectSplitter, WholeValuesAreFoundWhateverTheWhiteSpaceAndTheCut) {
     const auto value = nlohmann::json::parse(
         R"({"a":[1,-2.5e+3,true,false,null,"q\"}]{\\",{}],"b":{"c":[[],{"d":"x"}]},"e":""})");
     for (const int indent : {-1, 0, 1, 4})
@@ -337,7 +340,7 @@
         }
 }
 
-TEST(PlatformJsonValues, WhatCantBecomeAValueIsFoundAtOnce) {
+TEST(PlatformJsonObjectSplitter, WhatCantBecomeAValueIsFoundAtOnce) {
     for (const char *odd : {"noise", "[1]", "\"text\"", "{\"a\":fal\n", "{\"a\":tru}", "{\"a\" 1",
                             "{\"a\":1 \"b\"", "{a", "{\"a\":\"x\n", "{\"a\":1,}", "{\"a\":[1,]",
                             "{\"a\":[1}", "{,", "{\"a\":\n{\"b\"}", "{}}", "}"}) {
