--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -406,12 +406,12 @@
     }
     bool says(const std::string &event) {
         return until(
-            [&] { return logged().find("\"event\":\"" + event + "\"") != std::string::npos; });
+            [&] { return logged().find(R"("event":")" + event + "\"") != std::string::npos; });
     }
     tcp::endpoint listens() {
         EXPECT_TRUE(says("listening")) << logged();
         const std::string log = logged();
-        const auto at = log.find("\"listen\":\"") + 10;
+        const auto at = log.find(R"("listen":")") + 10;
         return *parseAddress(log.substr(at, log.find('"', at) - at));
     }
     RawClient &clientOf(const tcp::endpoint &at) { return clients.emplace_back(io, at); }
--- a/tests/path/platform_fixture.hpp
+++ b/tests/path/platform_fixture.hpp
@@ -57,36 +57,45 @@
         });
     }
     void read(const std::shared_ptr<Peer> &peer) {
-        peer->socket.async_read_some(
-            asio::buffer(peer->buffer), [this, peer](asio::error_code fault, std::size_t n) {
-                if (fault)
-                    return;
-                std::string_view bytes(peer->buffer.data(), n);
-                while (!bytes.empty()) {
-                    bytes.remove_prefix(peer->parser.feed(bytes));
-                    ASSERT_FALSE(peer->parser.faulty()) << peer->parser.fault();
-                    if (!peer->parser.done())
-                        break;
-                    std::vector<std::string> arguments;
-                    for (auto &item : peer->parser.take().items)
-                        arguments.push_back(*item);
-                    commands.push_back(std::move(arguments));
-                    latest = peer;
-                    if (!first)
-                        first = peer;
-                    const Reply reply = script(commands.size() - 1, commands.back());
-                    asio::error_code ignored;
-                    asio::write(peer->socket, asio::buffer(reply.bytes), ignored);
-                    if (reply.then == Then::keep)
-                        continue;
-                    if (reply.then == Then::reset)
-                        peer->socket.set_option(asio::socket_base::linger(true, 0), ignored);
-                    peer->socket.close(ignored);
-                    return;
-                }
-                read(peer);
-            });
+        peer->socket.async_read_some(asio::buffer(peer->buffer),
+                                     [this, peer](asio::error_code fault, std::size_t length) {
+                                         if (!fault && answerAll(peer, length))
+                                             read(peer);
+                                     });
     }
+    // Whether the connection goes on.
+    bool answerAll(const std::shared_ptr<Peer> &peer, std::size_t length) {
+        std::string_view bytes(peer->buffer.data(), length);
+        while (!bytes.empty()) {
+            bytes.remove_prefix(peer->parser.feed(bytes));
+            if (peer->parser.faulty()) {
+                ADD_FAILURE() << peer->parser.fault();
+                return false;
+            }
+            if (peer->parser.done() && !answer(peer))
+                return false;
+        }
+        return true;
+    }
+    bool answer(const std::shared_ptr<Peer> &peer) {
+        std::vector<std::string> arguments;
+        for (auto &item : peer->parser.take().items)
+            arguments.push_back(*item);
+        commands.push_back(std::move(arguments));
+        latest = peer;
+        if (!first)
+            first = peer;
+        const Reply reply = script(commands.size() - 1, commands.back());
+        asio::error_code ignored;
+        asio::write(peer->socket, asio::buffer(reply.bytes), ignored);
+        if (reply.then == Then::keep)
+            return true;
+        if (reply.then == Then::reset)
+            peer->socket.set_option(asio::socket_base::linger(true, 0), ignored);
+        peer->socket.close(ignored);
+        return false;
+    }
+
     Script script;
     tcp::acceptor acceptor;
     std::shared_ptr<Peer> first;
@@ -98,7 +107,7 @@
   public:
     explicit FakePlatform(asio::io_context &io)
         : listener(io, *parseAddress("127.0.0.1:0"), {},
-                   [this](std::shared_ptr<http::Exchange> exchange) { serve(exchange); }) {}
+                   [this](const std::shared_ptr<http::Exchange> &exchange) { serve(exchange); }) {}
 
     std::string address() const { return format(listener.address()); }
 
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -254,7 +254,7 @@
     EXPECT_TRUE(ids.add("a", 0s));
     EXPECT_FALSE(ids.add("a", 1s)) << "open";
     ids.markEnded("a", 1s);
-    EXPECT_FALSE(ids.add("a", 2s)) << "ended a moment ago: an instance would answer with an error";
+    EXPECT_FALSE(ids.add("a", 2s)) << "ended a moment ago: an endpoint would answer with an error";
     EXPECT_TRUE(ids.add("a", 4s));
     for (int k = 0; k < 10000; ++k) {
         EXPECT_TRUE(ids.add("n" + std::to_string(k), Duration{k * 10ms}));
@@ -273,7 +273,7 @@
     const auto read = simulator::readSettings(settings, 7);
     Policy policy;
     std::string out;
-    const auto happen = [&](Duration now, Event event) {
+    const auto happen = [&](TimePoint now, const Event &event) {
         for (const auto &action : policy.decide(1, now, {event})) {
             out += std::to_string(action.index());
             if (const auto *send = std::get_if<SendAttempt>(&action))
@@ -295,13 +295,14 @@
     for (int k = 0; k < 400; ++k) {
         const Duration now = 10s + k * 10ms;
         const std::string id = "r" + std::to_string(k);
-        auto command = parseCommand(
-            k % 3
-                ? std::vector<std::string>{"Q.ASK", "k" + id, id,
-                                           "c=" + ask + ",t=" + tenant + ",d=700"}
-                : std::vector<std::string>{"Q.DO", "k" + id, id,
-                                           "c=" + order + ",t=" + tenant + ",d=2000,k=1f", "body"},
-            read);
+        const bool isOrder = k % 3 == 0;
+        std::string names = "c=" + (isOrder ? order : ask);
+        names += ",t=" + tenant;
+        names += isOrder ? ",d=2000,k=1f" : ",d=700";
+        const auto arguments = isOrder
+                                   ? std::vector<std::string>{"Q.DO", "k" + id, id, names, "body"}
+                                   : std::vector<std::string>{"Q.ASK", "k" + id, id, names};
+        const auto command = parseCommand(arguments, read);
         EXPECT_EQ(command.error, "");
         happen(now,
                RequestArrived{RequestId(k), command.attributes.key, int(command.attributes.route),
@@ -341,14 +342,14 @@
 }
 
 TEST(PlatformJsonObjectSplitter, WhatCantBecomeAValueIsFoundAtOnce) {
-    for (const char *odd : {"noise", "[1]", "\"text\"", "{\"a\":fal\n", "{\"a\":tru}", "{\"a\" 1",
-                            "{\"a\":1 \"b\"", "{a", "{\"a\":\"x\n", "{\"a\":1,}", "{\"a\":[1,]",
-                            "{\"a\":[1}", "{,", "{\"a\":\n{\"b\"}", "{}}", "}"}) {
+    for (const char *odd : {"noise", "[1]", R"("text")", "{\"a\":fal\n", R"({"a":tru})",
+                            R"({"a" 1)", R"({"a":1 "b")", "{a", "{\"a\":\"x\n", R"({"a":1,})",
+                            R"({"a":[1,])", R"({"a":[1})", "{,", "{\"a\":\n{\"b\"}", "{}}", "}"}) {
         JsonObjectSplitter splitter(10000);
         EXPECT_THROW((void)splitter.feed(odd), std::invalid_argument) << odd;
     }
     JsonObjectSplitter bounded(8);
-    EXPECT_THROW((void)bounded.feed("{\"long\":\""), std::invalid_argument);
+    EXPECT_THROW((void)bounded.feed(R"({"long":")"), std::invalid_argument);
 }
 
 TEST(PlatformDirectory, AnotherAddressStartOrBuildIsAnotherIncarnation) {
