--- /dev/null
+++ b/src/gateway/http_downstream.cpp
@@ -0,0 +1,81 @@
+#include "http_downstream.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+#include <vector>
+
+#include "../base/number.hpp"
+#include "http_request.hpp"
+#include "response_headers.hpp"
+#include "route_matcher.hpp"
+
+namespace deckcart {
+namespace {
+
+constexpr double kMostRemainingMs = 1e9;  // beyond it the microseconds could overflow
+constexpr double kMicrosecondsAMillisecond = 1000;
+
+// For a request that the gateway is not given: it has no route.
+void refuse(http::Exchange &exchange, int status, const char *end, const char *text,
+            std::vector<http::Header> headers) {
+    http::ResponseHead answer;
+    answer.status = status;
+    answer.headers = std::move(headers);
+    answer.headers.insert(answer.headers.end(),
+                          {{kEndHeader, end}, {"Content-Type", "text/plain"}});
+    exchange.answer(std::move(answer), text);
+}
+
+std::string headerText(const http::RequestHead &head, const std::string &name) {
+    const std::string *found = head.find(name);
+    return found ? *found : std::string{};
+}
+
+}  // namespace
+
+HttpDownstream::HttpDownstream(asio::io_context &context, const asio::ip::tcp::endpoint &listen,
+                               const GatewaySettings &gatewaySettings,
+                               DownstreamHandler downstreamHandler)
+    : settings(gatewaySettings), handler(std::move(downstreamHandler)),
+      listener(
+          context, listen, gatewaySettings.listener,
+          [this](std::shared_ptr<http::Exchange> exchange) { onExchange(std::move(exchange)); }) {}
+
+void HttpDownstream::drain(std::function<void()> ended) {
+    listener.drain();
+    ended();
+}
+
+void HttpDownstream::onExchange(std::shared_ptr<http::Exchange> exchange) {
+    if (settings.routes.empty())
+        return refuse(*exchange, 503, "shed", "no settings yet\n", {{"Retry-After", "1"}});
+    const auto route = matchRoute(settings.routes, exchange->head.method, exchange->head.target);
+    if (!route) {
+        handler.unrouted();
+        return refuse(*exchange, 404, "errored", "no route takes this\n", {});
+    }
+    RequestAttributes attributes = attributesOf(exchange->head, *route);
+    auto request = std::make_shared<HttpRequest>(std::move(exchange), settings);
+    request->attributes = std::move(attributes);
+    handler.arrived(std::move(request));
+}
+
+RequestAttributes HttpDownstream::attributesOf(const http::RequestHead &head,
+                                               std::size_t route) const {
+    RequestAttributes attributes;
+    attributes.route = route;
+    attributes.key = headerText(head, settings.headers.key);
+    attributes.name = headerText(head, settings.headers.requestId);
+    attributes.tenant = tenantIndex(settings.tenants, headerText(head, settings.headers.tenant));
+    attributes.wait = settings.routes[route].routeTimeout;
+    const auto remaining = wholeNumber(headerText(head, settings.headers.remaining));
+    if (remaining && *remaining >= 0) {
+        const double bounded = std::min(*remaining, kMostRemainingMs);
+        const Duration left{std::llround(bounded * kMicrosecondsAMillisecond)};
+        attributes.wait = std::min(attributes.wait, left);
+    }
+    return attributes;
+}
+
+}  // namespace deckcart
--- a/src/gateway/http_transport.hpp
+++ b/src/gateway/http_transport.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 on both sides of a gateway, and the control plane's documents: see ways.hpp.
+// HTTP/1.1 on both sides of a gateway, and the control plane's documents: see transport.hpp.
 #pragma once
 
 #include <asio.hpp>
@@ -9,13 +9,14 @@
 
 class HttpTransport : public Transport {
   public:
-    HttpTransport(asio::io_context &io, const asio::ip::tcp::endpoint &at)
-        : context(io), listen(at) {}
+    /// The context must outlive all that is made here.
+    HttpTransport(asio::io_context &ioContext, const asio::ip::tcp::endpoint &listenAddress)
+        : context(ioContext), listen(listenAddress) {}
     std::unique_ptr<Downstream> downstream(const GatewaySettings &settings,
-                                           DownstreamHandler owner) const override;
+                                           DownstreamHandler handler) const override;
     std::unique_ptr<UpstreamPool> upstreams(const GatewaySettings &settings) const override;
     std::unique_ptr<ControlPlaneClient> controlPlane(const GatewaySettings &settings,
-                                                     ControlPlaneObserver owner) const override;
+                                                     ControlPlaneObserver observer) const override;
 
   private:
     asio::io_context &context;
--- a/src/gateway/idle_connections.hpp
+++ b/src/gateway/idle_connections.hpp
@@ -1,5 +1,5 @@
-// Idle connections to instances, the latest used last: kept until they are taken, too old or closed
-// by the other side. `Connection` has idleSince, onIdleClosed and drop().
+// Idle connections to endpoints, the latest used last: kept until they are taken, too old or closed
+// by the other side. Used by the connection pools of both transports.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -7,96 +7,117 @@
 #include <map>
 #include <memory>
 
+#include "../base/callback_guard.hpp"
+
 namespace deckcart {
 
+/// `Connection` has idleSince, onIdleClosed and drop(). Owns the connections that it keeps and
+/// drops them at its end. One thread.
 template <class Connection>
 class IdleConnections {
   public:
-    using Held = std::shared_ptr<Connection>;
-    enum class Use { takes, waits, none };  // none: it is dropped
+    using ConnectionPtr = std::shared_ptr<Connection>;
+    /// What to do with a kept connection: take it, leave it where it is, or drop it.
+    enum class Use { takes, waits, none };
 
     IdleConnections() = default;
     ~IdleConnections() {
-        for (auto &[endpoint, list] : places)
-            for (const auto &one : list)
-                drop(one);
+        for (auto &[endpoint, connections] : byEndpoint)
+            for (const ConnectionPtr &connection : connections)
+                drop(connection);
     }
     IdleConnections(const IdleConnections &) = delete;
     IdleConnections &operator=(const IdleConnections &) = delete;
 
-    void keep(const EndpointId &endpoint, const Held &connection, Duration now) {
+    /// Keeps a connection that has become idle at `now`; forgets it when the peer closes it.
+    void keep(const EndpointId &endpoint, const ConnectionPtr &connection, TimePoint now) {
         connection->idleSince = now;
-        connection->onIdleClosed = [this, endpoint, weak = std::weak_ptr(connection),
-                                    here = std::weak_ptr(alive)] {
-            const auto one = weak.lock();
-            if (here.expired() || !one)
-                return;
-            if (const auto at = places.find(endpoint); at != places.end())
-                std::erase(at->second, one);
-        };
-        places[endpoint].push_back(connection);
+        connection->onIdleClosed = guard.wrap([this, endpoint, weak = std::weak_ptr(connection)] {
+            const auto closed = weak.lock();
+            const auto found = byEndpoint.find(endpoint);
+            if (closed && found != byEndpoint.end())
+                std::erase(found->second, closed);
+        });
+        byEndpoint[endpoint].push_back(connection);
     }
-    // The one used last that is of use: the others may end by their idle time. Empty: there is
-    // none.
-    template <class Judge>
-    Held take(const EndpointId &endpoint, Judge judge) {
-        const auto at = places.find(endpoint);
-        if (at == places.end())
+
+    /// The connection used last of those that `useOf` says may be taken, so that the others may end
+    /// by their idle time. Null: there is none.
+    template <class UseOf>
+    [[nodiscard]] ConnectionPtr take(const EndpointId &endpoint, UseOf useOf) {
+        const auto found = byEndpoint.find(endpoint);
+        if (found == byEndpoint.end())
             return nullptr;
-        auto &list = at->second;
-        for (std::size_t k = list.size(); k-- > 0;) {
-            const Held one = list[k];
-            const Use use = judge(*one);
+        auto &connections = found->second;
+        for (std::size_t index = connections.size(); index-- > 0;) {
+            const ConnectionPtr connection = connections[index];
+            const Use use = useOf(*connection);
             if (use == Use::waits)
                 continue;
-            list.erase(list.begin() + std::ptrdiff_t(k));
-            one->onIdleClosed = nullptr;
+            connections.erase(connections.begin() + static_cast<std::ptrdiff_t>(index));
+            connection->onIdleClosed = nullptr;
             if (use == Use::takes)
-                return one;
-            one->drop();
+                return connection;
+            connection->drop();
         }
         return nullptr;
     }
+
+    /// Drops all connections to an endpoint.
     void close(const EndpointId &endpoint) {
-        const auto at = places.find(endpoint);
-        if (at == places.end())
+        const auto found = byEndpoint.find(endpoint);
+        if (found == byEndpoint.end())
             return;
-        const auto list = std::move(at->second);
-        places.erase(at);
-        for (const auto &one : list)
-            drop(one);
+        const auto connections = std::move(found->second);
+        byEndpoint.erase(found);
+        for (const ConnectionPtr &connection : connections)
+            drop(connection);
     }
-    void sweep(Duration now, Duration idleFor) {
-        for (auto it = places.begin(); it != places.end();) {
-            auto &list = it->second;
-            while (!list.empty() && now - list.front()->idleSince >= idleFor)
-                dropFirst(list);
-            it = list.empty() ? places.erase(it) : std::next(it);
+
+    /// Drops those that have been idle for `idleFor` or longer.
+    void sweep(TimePoint now, Duration idleFor) {
+        for (auto it = byEndpoint.begin(); it != byEndpoint.end();) {
+            auto &connections = it->second;
+            while (!connections.empty() && now - connections.front()->idleSince >= idleFor)
+                dropFirst(connections);
+            it = connections.empty() ? byEndpoint.erase(it) : std::next(it);
         }
     }
+
+    /// Drops the one that has been idle for longest, of all endpoints.
     void dropOldest() {
-        std::deque<Held> *oldest = nullptr;
-        for (auto &[endpoint, list] : places)
-            if (!list.empty() && (!oldest || list.front()->idleSince < oldest->front()->idleSince))
-                oldest = &list;
+        Connections *oldest = nullptr;
+        for (auto &[endpoint, connections] : byEndpoint) {
+            if (connections.empty())
+                continue;
+            if (!oldest || connections.front()->idleSince < oldest->front()->idleSince)
+                oldest = &connections;
+        }
         if (oldest)
             dropFirst(*oldest);
     }
+
     std::size_t size() const {
-        std::size_t n = 0;
-        for (const auto &[endpoint, list] : places)
-            n += list.size();
-        return n;
+        std::size_t total = 0;
+        for (const auto &[endpoint, connections] : byEndpoint)
+            total += connections.size();
+        return total;
     }
 
   private:
-    static void drop(const Held &one) { one->onIdleClosed = nullptr, one->drop(); }
-    static void dropFirst(std::deque<Held> &list) {
-        drop(list.front());
-        list.pop_front();
+    using Connections = std::deque<ConnectionPtr>;
+
+    static void drop(const ConnectionPtr &connection) {
+        connection->onIdleClosed = nullptr;
+        connection->drop();
     }
-    std::map<EndpointId, std::deque<Held>> places;
-    std::shared_ptr<bool> alive = std::make_shared<bool>(true);
+    static void dropFirst(Connections &connections) {
+        drop(connections.front());
+        connections.pop_front();
+    }
+
+    std::map<EndpointId, Connections> byEndpoint;
+    CallbackGuard guard;
 };
 
 }  // namespace deckcart
