--- a/src/policy/canary_analyzer.cpp
+++ b/src/policy/canary_analyzer.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "deployment_size.hpp"
-#include "request_table.hpp"
+#include "outcomes.hpp"
 #include "statistics.hpp"
 
 namespace deckcart::policy {
@@ -39,12 +39,6 @@
 // The canary's share of first attempts under which the baseline bears about all the requests.
 constexpr double kSmallCanaryShare = 0.25;
 
-// Rejections and failed connects are capacity or endpoint faults; cancelled attempts were our own
-// doing.
-bool isFailure(Outcome outcome) {
-    return outcome == Outcome::error || outcome == Outcome::timeout || outcome == Outcome::reset;
-}
-
 }  // namespace
 
 bool CanaryAnalyzer::baselineFullyLoaded(const AnalysisContext &context) const {
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -8,15 +8,10 @@
 #include <vector>
 
 #include "endpoint_table.hpp"
+#include "outcomes.hpp"
 
 namespace deckcart::policy {
 
-/// Whether the outcome proves that the request was not run.
-inline bool provesNotRun(Outcome outcome) {
-    return outcome == Outcome::overloaded || outcome == Outcome::connectFailed ||
-           outcome == Outcome::obsolete;
-}
-
 struct Attempt {
     Endpoint *endpoint = nullptr;
     BuildNumber build = 0;
--- a/src/policy/session_affinity.cpp
+++ b/src/policy/session_affinity.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "request_table.hpp"
+#include "outcomes.hpp"
 
 namespace deckcart::policy {
 
