--- a/src/gateway/http_transport.cpp
+++ b/src/gateway/http_transport.cpp
@@ -2,17 +2,9 @@
 
 #include <utility>
 
-<<<<<<< HEAD
-#include "../base/address.hpp"
-#include "../base/number.hpp"
-#include "../control_plane/http_control_plane_client.hpp"
-#include "../http/fetch.hpp"
-#include "pool.hpp"
-=======
 #include "../control_plane/http_control_plane_client.hpp"
 #include "http_downstream.hpp"
 #include "http_upstream.hpp"
->>>>>>> part-gateway
 
 namespace deckcart {
 
