--- /dev/null
+++ b/src/gateway/shutdown_signals.cpp
@@ -0,0 +1,22 @@
+#include "shutdown_signals.hpp"
+
+#include <csignal>
+
+namespace deckcart {
+
+ShutdownSignals::ShutdownSignals(asio::io_context &context) : signals(context, SIGTERM, SIGINT) {}
+
+void ShutdownSignals::start(Handler onFirst, Handler onSecond) {
+    signals.async_wait([this, onFirst = std::move(onFirst),
+                        onSecond = std::move(onSecond)](asio::error_code fault, int first) {
+        if (fault)
+            return;
+        onFirst(first);
+        signals.async_wait([onSecond](asio::error_code ended, int second) {
+            if (!ended)
+                onSecond(second);
+        });
+    });
+}
+
+}  // namespace deckcart
--- /dev/null
+++ b/src/gateway/state_store.cpp
@@ -0,0 +1,127 @@
+#include "state_store.hpp"
+
+#include <algorithm>
+
+#include "../base/snapshot.hpp"
+#include "endpoint_documents.hpp"
+
+namespace deckcart {
+namespace {
+
+using nlohmann::json;
+
+constexpr const char *kSettingsFile = "settings.json";
+constexpr const char *kListFile = "list.json";
+constexpr const char *kSourcesFile = "sources.json";
+// A file of another format is not read: raise one where its form changes.
+constexpr int kSettingsFormat = 1;
+constexpr int kListFormat = 1;
+constexpr int kSourcesFormat = 1;
+
+/// The wall clock: the steady one starts anew with the machine.
+std::int64_t wallMilliseconds() {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(
+               std::chrono::system_clock::now().time_since_epoch())
+        .count();
+}
+
+/// A wall clock that went back makes nothing younger than it was.
+std::chrono::milliseconds ageOf(const json &document) {
+    const auto saved = document.at("savedMs").get<std::int64_t>();
+    return std::chrono::milliseconds(std::max<std::int64_t>(0, wallMilliseconds() - saved));
+}
+
+}  // namespace
+
+StateStore::StateStore(std::filesystem::path at, Log to)
+    : folder(std::move(at)), log(std::move(to)) {}
+
+bool StateStore::open() const {
+    if (!keeps())
+        return true;
+    std::error_code fault;
+    std::filesystem::create_directories(folder, fault);
+    if (fault)
+        log.warn("state", {{"folder", folder.string()}, {"fault", fault.message()}});
+    return !fault;
+}
+
+std::optional<json> StateStore::read(const char *name, int format) const {
+    if (!keeps())
+        return std::nullopt;
+    auto snapshot = readSnapshot(folder / name, format);
+    if (!snapshot.fault.empty())
+        log.warn("set-aside", {{"fault", snapshot.fault}});
+    return std::move(snapshot.document);
+}
+
+StoredSettings StateStore::loadSettings() const {
+    StoredSettings stored;
+    const auto snapshot = read(kSettingsFile, kSettingsFormat);
+    if (!snapshot || !snapshot->contains("settings"))
+        return stored;
+    auto parsed = parseSettings(snapshot->at("settings"));
+    if (parsed.settings) {
+        stored.settings = std::move(*parsed.settings);
+        stored.document = snapshot->at("settings");
+    } else {
+        log.warn("settings-refused",
+                 {{"from", kSettingsFile}, {"refused", toJson(parsed.refused)}});
+    }
+    return stored;
+}
+
+std::string StateStore::saveSettings(const json &document) const {
+    if (!keeps())
+        return {};
+    const json snapshot{{"format", kSettingsFormat}, {"settings", document}};
+    return writeWhole(folder / kSettingsFile, snapshot.dump(2) + "\n", Durable::yes);
+}
+
+std::optional<StoredEndpointList> StateStore::loadEndpointList() const {
+    const auto snapshot = read(kListFile, kListFormat);
+    if (!snapshot)
+        return std::nullopt;
+    StoredEndpointList stored;
+    stored.age = ageOf(*snapshot);
+    for (const auto &document : snapshot->at("instances")) {
+        ListedEndpoint endpoint = readListed(document);
+        if (endpoint.age)
+            *endpoint.age += stored.age;
+        stored.endpoints.push_back(std::move(endpoint));
+    }
+    return stored;
+}
+
+std::string StateStore::saveEndpointList(const std::vector<ListedEndpoint> &endpoints) const {
+    const json snapshot{
+        {"format", kListFormat}, {"savedMs", wallMilliseconds()}, {"instances", toJson(endpoints)}};
+    return writeWhole(folder / kListFile, snapshot.dump() + "\n", Durable::atLeisure);
+}
+
+std::optional<StoredSources> StateStore::loadSources(TimePoint now) const {
+    const auto snapshot = read(kSourcesFile, kSourcesFormat);
+    if (!snapshot)
+        return std::nullopt;
+    StoredSources stored;
+    stored.age = ageOf(*snapshot);
+    stored.sources = readSaved(snapshot->at("sources"), now, stored.age);
+    return stored;
+}
+
+std::string StateStore::saveSources(const std::vector<membership::SavedSource> &sources,
+                                    TimePoint now) const {
+    const json snapshot{{"format", kSourcesFormat},
+                        {"savedMs", wallMilliseconds()},
+                        {"sources", toJson(sources, now)}};
+    return writeWhole(folder / kSourcesFile, snapshot.dump() + "\n", Durable::atLeisure);
+}
+
+json toJson(const std::vector<ListedEndpoint> &endpoints) {
+    json documents = json::array();
+    for (const auto &endpoint : endpoints)
+        documents.push_back(toJson(endpoint));
+    return documents;
+}
+
+}  // namespace deckcart
