--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -19,9 +19,9 @@
     const bool bracketed = host.size() > 2 && host.front() == '[' && host.back() == ']';
     if (bracketed)
         host = host.substr(1, host.size() - 2);
-    asio::error_code bad;
-    const auto address = asio::ip::make_address(std::string(host), bad);
-    if (bad || address.is_v6() != bracketed)
+    asio::error_code invalid;
+    const auto address = asio::ip::make_address(std::string(host), invalid);
+    if (invalid || address.is_v6() != bracketed)
         return std::nullopt;
     return asio::ip::tcp::endpoint{address, port};
 }
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,5 +1,5 @@
 // Structured logs on spdlog: an event's name and its fields, as text or as JSON lines, on standard
-// error.
+// error. The events of a gateway are listed in docs/operate/gateway.md.
 #pragma once
 
 #include <memory>
@@ -11,13 +11,16 @@
 
 enum class LogForm { text, json, none };
 
+/// A value: copies write to the same place. One thread. Each line is flushed at once.
 class Log {
   public:
+    /// @param writer  stands in each line, as "writer" in JSON; empty: left out
     explicit Log(LogForm logForm = LogForm::none, std::string writer = {});
-    // Fields are an object; they keep the order of their names.
+    /// @param fields  an object; written in the order of their names
     void info(const char *event, const nlohmann::json &fields = nlohmann::json::object()) const;
     void warn(const char *event, const nlohmann::json &fields = nlohmann::json::object()) const;
-    bool on() const { return form != LogForm::none; }
+    /// Whether anything is written: spares the making of fields.
+    [[nodiscard]] bool on() const { return form != LogForm::none; }
 
   private:
     void write(spdlog::level::level_enum level, const char *event,
--- a/src/base/snapshot.cpp
+++ b/src/base/snapshot.cpp
@@ -1,25 +1,71 @@
 #include "snapshot.hpp"
 
 #include <cerrno>
-#include <cstring>
 #include <fcntl.h>
 #include <fstream>
 #include <sstream>
+#include <string_view>
+#include <system_error>
 #include <unistd.h>
 
 namespace deckcart {
 namespace {
 
-struct Descriptor {
-    int fd;
+constexpr mode_t kOwnerOnly = 0600;  // state holds addresses that are nobody else's business
+
+/// Closes its file at the end.
+class Descriptor {
+  public:
+    Descriptor(const std::filesystem::path &path, int flags)
+        : descriptor(::open(path.c_str(), flags | O_CLOEXEC, kOwnerOnly)) {}
     ~Descriptor() {
-        if (fd >= 0)
-            ::close(fd);
+        if (isOpen())
+            ::close(descriptor);
+    }
+    Descriptor(const Descriptor &) = delete;
+    Descriptor &operator=(const Descriptor &) = delete;
+
+    [[nodiscard]] bool isOpen() const { return descriptor >= 0; }
+    [[nodiscard]] bool sync() const { return ::fsync(descriptor) == 0; }
+    [[nodiscard]] bool write(std::string_view bytes) const {
+        while (!bytes.empty()) {
+            const auto written = ::write(descriptor, bytes.data(), bytes.size());
+            if (written < 0 && errno == EINTR)
+                continue;
+            if (written <= 0)
+                return false;
+            bytes.remove_prefix(std::size_t(written));
+        }
+        return true;
     }
+
+  private:
+    int descriptor;
 };
 
+/// Of the system call that has just failed.
 std::string failed(const char *what, const std::filesystem::path &path) {
-    return std::string(what) + " " + path.string() + ": " + std::strerror(errno);
+    return std::string(what) + " " + path.string() + ": " + std::generic_category().message(errno);
+}
+
+std::string writeFile(const std::filesystem::path &path, const std::string &bytes,
+                      Durable durability) {
+    const Descriptor file(path, O_WRONLY | O_CREAT | O_TRUNC);
+    if (!file.isOpen())
+        return failed("open", path);
+    if (!file.write(bytes))
+        return failed("write", path);
+    if (durability == Durable::yes && !file.sync())
+        return failed("sync", path);
+    return {};
+}
+
+/// A rename is durable once its folder is synced.
+std::string syncFolder(const std::filesystem::path &path) {
+    const Descriptor folder(path, O_RDONLY | O_DIRECTORY);
+    if (!folder.isOpen() || !folder.sync())
+        return failed("sync", path);
+    return {};
 }
 
 }  // namespace
@@ -27,35 +73,15 @@
 std::string writeWhole(const std::filesystem::path &path, const std::string &bytes,
                        Durable durability) {
     const std::filesystem::path beside = path.string() + ".new";
-    {
-        const Descriptor file{
-            ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600)};
-        if (file.fd < 0)
-            return failed("open", beside);
-        for (std::size_t done = 0; done < bytes.size();) {
-            const auto n = ::write(file.fd, bytes.data() + done, bytes.size() - done);
-            if (n < 0 && errno == EINTR)
-                continue;
-            if (n <= 0)
-                return failed("write", beside);
-            done += std::size_t(n);
-        }
-        if (durability == Durable::yes && ::fsync(file.fd) != 0)
-            return failed("sync", beside);
-    }
+    if (auto fault = writeFile(beside, bytes, durability); !fault.empty())
+        return fault;
     if (::rename(beside.c_str(), path.c_str()) != 0)
         return failed("rename", beside);
-    if (durability == Durable::yes) {
-        const Descriptor folder{
-            ::open(path.parent_path().c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC)};
-        if (folder.fd < 0 || ::fsync(folder.fd) != 0)
-            return failed("sync", path.parent_path());
-    }
-    return {};
+    return durability == Durable::yes ? syncFolder(path.parent_path()) : std::string{};
 }
 
 std::optional<std::string> readWhole(const std::filesystem::path &path) {
-    std::ifstream file(path, std::ios::binary);
+    const std::ifstream file(path, std::ios::binary);
     if (!file)
         return std::nullopt;
     std::stringstream bytes;
@@ -64,22 +90,22 @@
 }
 
 SnapshotRead readSnapshot(const std::filesystem::path &path, int format) {
-    SnapshotRead out;
+    SnapshotRead snapshot;
     const auto bytes = readWhole(path);
     if (!bytes)
-        return out;
-    auto read = nlohmann::json::parse(*bytes, nullptr, false);
-    if (read.is_discarded() || !read.is_object())
-        out.fault = path.string() + " is damaged";
-    else if (read.value("format", nlohmann::json{}) != format)
-        out.fault = path.string() + " has another format";
-    if (out.fault.empty()) {
-        out.document = std::move(read);
-        return out;
+        return snapshot;
+    auto document = nlohmann::json::parse(*bytes, nullptr, false);
+    if (document.is_discarded() || !document.is_object())
+        snapshot.fault = path.string() + " is damaged";
+    else if (document.value("format", nlohmann::json{}) != format)
+        snapshot.fault = path.string() + " has another format";
+    if (snapshot.fault.empty()) {
+        snapshot.document = std::move(document);
+        return snapshot;
     }
-    std::error_code ignored;
+    std::error_code ignored;  // where it can't be renamed it is refused all the same
     std::filesystem::rename(path, path.string() + ".bad", ignored);
-    return out;
+    return snapshot;
 }
 
 }  // namespace deckcart
--- a/src/base/snapshot.hpp
+++ b/src/base/snapshot.hpp
@@ -1,5 +1,5 @@
-// A small file that is either the old one or the new one: written beside it, synced, renamed, its
-// folder synced.
+// Small files that are either the old one or the new one: written beside it, synced, renamed, the
+// folder synced. Used for state folders, ready files and records of runs.
 #pragma once
 
 #include <filesystem>
@@ -9,24 +9,27 @@
 
 namespace deckcart {
 
+/// What a written file outlives.
 enum class Durable {
-    yes,
-    atLeisure
-};  // atLeisure: whole after a kill of the process, not after a power loss
+    yes,       ///< a power loss
+    atLeisure  ///< a kill of the process
+};
 
-// Empty if it was written; else what failed, with the path.
-std::string writeWhole(const std::filesystem::path &path, const std::string &bytes,
-                       Durable durability);
+/// Writes the file whole. Returns an empty text, or what failed with the path; the old file stands
+/// then.
+[[nodiscard]] std::string writeWhole(const std::filesystem::path &path, const std::string &bytes,
+                                     Durable durability);
 
-// Empty where it can't be read.
-std::optional<std::string> readWhole(const std::filesystem::path &path);
+/// Empty where the file can't be read.
+[[nodiscard]] std::optional<std::string> readWhole(const std::filesystem::path &path);
 
+/// What stands in a snapshot file.
 struct SnapshotRead {
-    std::optional<nlohmann::json> document;  // empty: there is none, or it was set aside
-    std::string fault;                       // why it was set aside, as PATH.bad
+    std::optional<nlohmann::json> document;  ///< empty: there is no file, or it was renamed
+    std::string fault;                       ///< why it was renamed to PATH.bad; else empty
 };
-// Reads {"format": N, ...}. One that is damaged or of another format is renamed and never read as
-// something else.
-SnapshotRead readSnapshot(const std::filesystem::path &path, int format);
+/// Reads {"format": N, ...}. A file that is damaged or of another format is renamed to PATH.bad, so
+/// that it is never read as something else and can be looked at.
+[[nodiscard]] SnapshotRead readSnapshot(const std::filesystem::path &path, int format);
 
 }  // namespace deckcart
--- a/src/base/socket.cpp
+++ b/src/base/socket.cpp
@@ -4,7 +4,7 @@
 
 using asio::ip::tcp;
 
-constexpr int kBacklog = 1024;
+constexpr int kBacklog = 1024;  // connections of a burst that wait to be accepted
 
 void listenAt(tcp::acceptor &acceptor, const tcp::endpoint &address) {
     acceptor.open(address.protocol());
@@ -24,9 +24,9 @@
     char byte = 0;
     asio::error_code fault;
     socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, fault);
-    return !fault                              ? Unread::bytes
-           : fault == asio::error::would_block ? Unread::nothing
-                                               : Unread::end;
+    if (!fault)
+        return Unread::bytes;
+    return fault == asio::error::would_block ? Unread::nothing : Unread::end;
 }
 
 void connectWithin(tcp::socket &socket, asio::steady_timer &timer, const tcp::endpoint &to,
@@ -37,7 +37,7 @@
             done(false);
     });
     socket.async_connect(to, [&socket, &timer, done = std::move(done)](asio::error_code fault) {
-        // Read after its bound, as after a standstill of this process, it is late as well: what was
+        // Read after its bound, as after a stall of this process, it is late as well: what was
         // decided then is not sent now.
         const bool late = timer.expiry() <= std::chrono::steady_clock::now();
         timer.cancel();
--- a/src/gateway/endpoint_documents.cpp
+++ b/src/gateway/endpoint_documents.cpp
@@ -107,7 +107,7 @@
         source.at = timeAt(document, "toldAgoMs");
         source.lifetime = durationAt(document, "lifetimeMs");
         for (const auto &listed : document.at("listed"))
-            source.listed.push_back({claim(listed), timeAt(listed, "sinceMs")});
+            source.listed.emplace_back(claim(listed), timeAt(listed, "sinceMs"));
         for (const auto &stop : document.at("stops"))
             source.stops[stop.at("id").get<std::string>()] = {
                 stop.at("gone").get<bool>() ? EndpointState::removed : EndpointState::draining,
--- a/src/gateway/service.cpp
+++ b/src/gateway/service.cpp
@@ -17,7 +17,7 @@
 using nlohmann::json;
 
 // The last answers are written when a drain ends; their readers get a moment to take them.
-constexpr auto kLastAnswersTaken = std::chrono::milliseconds(50);
+constexpr auto kDrainGrace = std::chrono::milliseconds(50);
 
 class Service {
   public:
@@ -75,7 +75,7 @@
         log.info("draining", {{"signal", signal}, {"inHand", gateway->inHand()}});
         gateway->drain([this] {
             endpoints->stop();
-            endTimer.expires_after(kLastAnswersTaken);
+            endTimer.expires_after(kDrainGrace);
             endTimer.async_wait([this](asio::error_code) { context.stop(); });
         });
     }
--- a/src/settings/gateway_settings.hpp
+++ b/src/settings/gateway_settings.hpp
@@ -1,6 +1,6 @@
 // What operators set for a gateway, as one JSON document: its types, its schema, its check against
 // the rules. Given by PUT /v1/settings; kept as the same document. Times in the document are whole
-// milliseconds.
+// milliseconds. The fields are documented for operators in docs/operate/gateway.md.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -8,6 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "../base/schema.hpp"
@@ -17,82 +18,96 @@
 
 namespace deckcart {
 
-// A request belongs to the first rule whose method (empty: any) and path prefix fit.
+/// How requests are told apart. One belongs to the first rule whose method and path prefix fit.
 struct RouteRule {
-    std::string name, method, pathPrefix;
-    Duration routeTimeout{};  // when the client gives up
+    std::string name;
+    std::string method;  ///< empty: any
+    std::string pathPrefix;
+    Duration routeTimeout{};  ///< when the client gives up
 };
 
-// The names of the fields that carry what the module wants to know.
+/// The names of the HTTP fields that carry what the decision module wants to know.
 struct HeaderNames {
-    std::string key = "X-Key", tenant = "X-Account", remaining = "X-Remaining-Ms",
-                requestId = "X-Request-Id", full = "X-Instance-Full", load = "X-Load";
+    std::string key = "X-Key";                 ///< affinity and idempotency key
+    std::string tenant = "X-Account";          ///< whose quota it counts against
+    std::string remaining = "X-Remaining-Ms";  ///< what is left until the client gives up
+    std::string requestId = "X-Request-Id";    ///< the client's own id of a request
+    std::string full = "X-Instance-Full";      ///< of an answer: the endpoint is overloaded
+    std::string load = "X-Load";               ///< of a probe's answer: the load report
 };
 
+/// The control plane, over HTTP.
 struct ControlPlaneSettings {
     asio::ip::tcp::endpoint address;
-    Duration answerWithin{};  // a call that lists; votes have the module's own bound
-    Duration silentFor{};     // a watch that has said nothing for so long is broken
+    Duration answerWithin{};  ///< for a call that lists; votes have the module's own bound
+    Duration silentFor{};     ///< a watch without a line for so long has failed
 };
 
+/// Bounds of the calls to endpoints.
 struct UpstreamLimits {
-    std::size_t connections = 256;  // to one instance; beyond it a try counts as a failed connect
+    /// To one endpoint; an attempt beyond it counts as a failed connect.
+    std::size_t connections = 256;
     Duration connectWithin = std::chrono::milliseconds(250);
-    Duration idleFor = std::chrono::seconds(15);
-    std::size_t heldAnswerBytes =
-        64 * 1024;  // a shorter answer is passed on whole, so that it can't be cut
-    Duration stalledFor = std::chrono::seconds(10);  // an answer that has begun and goes no further
+    Duration idleFor = std::chrono::seconds(15);  ///< an idle connection is kept so long
+    /// In bytes; a shorter answer is passed on whole, so that it can't be cut.
+    std::size_t heldAnswerBytes = std::size_t{64} * 1024;
+    Duration stalledFor = std::chrono::seconds(10);  ///< an answer that has begun may pause so long
     Duration probeWithin = std::chrono::milliseconds(500);
     std::string probePath = "/probe";
 };
 
-// Where the list of instances comes from. Without it, it is the control plane's alone, as told.
+/// Where the endpoint list comes from. Without it, it is the control plane's alone, as received.
 struct SourceSettings {
     membership::MergeRules merge;
-    std::vector<membership::Claim> nodes;
-    std::vector<membership::SrvName> names;
-    dns::ResolverSettings resolver;
+    std::vector<membership::Claim> nodes;    ///< fixed in the document
+    std::vector<membership::SrvName> names;  ///< looked up by DNS
+    dns::ResolverSettings resolver;          ///< for those names
 };
 
+/// All values of one gateway.
 struct GatewaySettings {
     std::string id = "gateway";
-    PolicySettings module;  // but for the seed, which is drawn at each start
+    PolicySettings module;  ///< but for the seed, which is drawn at each start
     std::vector<RouteRule> routes;
-    std::vector<std::string> tenants, zones;
+    std::vector<std::string> tenants;  ///< in the order of module.tenantQuotas
+    std::vector<std::string> zones;    ///< their numbers are their places here
     HeaderNames headers;
     http::ListenerLimits listener;
     std::size_t maxRequestsInFlight = 4096;
-    Duration turnedAwayFor =
-        std::chrono::seconds(1);  // a request over that bound is told to come back then
-    Duration answerMargin =
-        std::chrono::milliseconds(30);  // final answers leave so long before the client's end
-    Duration standstill =
-        std::chrono::milliseconds(200);  // a turn of the loop later than that found a stopped clock
+    /// The Retry-After of a request that is refused over that bound.
+    Duration turnedAwayFor = std::chrono::seconds(1);
+    /// Final answers leave so long before the client's deadline.
+    Duration answerMargin = std::chrono::milliseconds(30);
+    /// A turn of the event loop that is late by more is taken for a process stall.
+    Duration standstill = std::chrono::milliseconds(200);
     UpstreamLimits upstream;
     std::optional<ControlPlaneSettings> controlPlane;
     std::optional<SourceSettings> sources;
-    double requestLogSample = 0;  // part of the requests that are logged
-    std::size_t passedKept =
-        16384;  // answers that may be reported wrong: some seconds of a busy gateway
+    double requestLogSample = 0;  ///< 0 to 1: the part of the requests that is logged
+    /// Answers that may still be reported as incorrect: some seconds of a busy gateway.
+    std::size_t passedKept = 16384;
 
-    int zoneNo(const std::string &name) const;  // 0 for one that is not named
+    /// 0 for a zone that is not named.
+    [[nodiscard]] int zoneNo(const std::string &name) const;
 };
 
-// Its place among the shares. One that is not named is past their end: it has none, and no excess
-// either.
-int tenantIndex(const std::vector<std::string> &tenants, std::string_view name);
+/// A tenant's place among the quotas. One that is not named is past their end: it has no quota, and
+/// no excess either.
+[[nodiscard]] int tenantIndex(const std::vector<std::string> &tenants, std::string_view name);
 
+/// What a document was read as.
 struct ParsedSettings {
-    std::optional<GatewaySettings> settings;  // empty where anything is refused
-    std::vector<Refusal> refused;
+    std::optional<GatewaySettings> settings;  ///< empty where anything is refused
+    std::vector<Refusal> refused;             ///< each with its place
 };
 
-const nlohmann::json &settingsSchema();
-// Checks the whole document, by schema and then against the rules, and says all that is wrong with
-// it.
-ParsedSettings parseSettings(const nlohmann::json &document);
-// Whether both give the module the same start, so that one can follow the other without a new
-// record.
-bool sameModule(const nlohmann::json &a, const nlohmann::json &b);
+/// JSON Schema, draft 7.
+[[nodiscard]] const nlohmann::json &settingsSchema();
+/// Checks the whole document, by schema and then against the rules, and reports all that is wrong
+/// with it. Throws nothing for a bad document.
+[[nodiscard]] ParsedSettings parseSettings(const nlohmann::json &document);
+/// Whether both give the decision module the same start, so that one can follow the other without a
+/// new record.
+[[nodiscard]] bool sameModule(const nlohmann::json &left, const nlohmann::json &right);
 
 }  // namespace deckcart
--- /dev/null
+++ b/tests/unit/snapshot_test.cpp
@@ -0,0 +1,76 @@
+// Small files: the old one or the new one, never something else.
+#include <gtest/gtest.h>
+
+#include <filesystem>
+#include <fstream>
+#include <unistd.h>
+
+#include "../../src/base/snapshot.hpp"
+
+namespace deckcart {
+namespace {
+
+TEST(Snapshot, IsTheOldOrTheNewAndNeverSomethingElse) {
+    const auto folder =
+        std::filesystem::path(testing::TempDir()) / ("snapshot-" + std::to_string(::getpid()));
+    std::filesystem::create_directories(folder);
+    const auto path = folder / "one.json";
+    EXPECT_FALSE(readSnapshot(path, 1).document);
+    EXPECT_EQ(writeWhole(path, R"({"format": 1, "n": 1})", Durable::yes), "");
+    EXPECT_EQ(readSnapshot(path, 1).document->at("n"), 1);
+    std::ofstream(path.string() + ".new")
+        << "{\"format\": 1, \"n\"";  // a kill in the middle of the next write
+    EXPECT_EQ(readSnapshot(path, 1).document->at("n"), 1);
+    EXPECT_NE(readSnapshot(path, 2).fault, "");
+    EXPECT_TRUE(std::filesystem::exists(path.string() + ".bad"));
+    std::ofstream(path) << "{\"format\": 1, \"n\"";
+    EXPECT_NE(readSnapshot(path, 1).fault, "");
+    EXPECT_FALSE(readSnapshot(path, 1).document);
+    EXPECT_NE(writeWhole(folder / "no" / "one.json", "x", Durable::yes), "");
+    std::filesystem::remove_all(folder);
+}
+
+class SnapshotFile : public testing::Test {
+  protected:
+    void SetUp() override { std::filesystem::create_directories(folder); }
+    void TearDown() override { std::filesystem::remove_all(folder); }
+
+    const std::filesystem::path folder =
+        std::filesystem::path(testing::TempDir()) / ("snapshot-file-" + std::to_string(::getpid()));
+    const std::filesystem::path path = folder / "one.json";
+};
+
+TEST_F(SnapshotFile, WhatIsRenamedKeepsItsBytes) {
+    const std::string bytes = R"({"format": 7, "n": 1})";
+    ASSERT_EQ(writeWhole(path, bytes, Durable::atLeisure), "");
+    const auto snapshot = readSnapshot(path, 1);
+    EXPECT_FALSE(snapshot.document);
+    EXPECT_EQ(snapshot.fault, path.string() + " has another format");
+    EXPECT_FALSE(std::filesystem::exists(path));
+    EXPECT_EQ(readWhole(path.string() + ".bad"), bytes);
+}
+
+TEST_F(SnapshotFile, OnlyAnObjectIsADocument) {
+    for (const char *bytes : {"", "[]", "1", "{\"format\": 1"}) {
+        std::ofstream(path) << bytes;
+        EXPECT_EQ(readSnapshot(path, 1).fault, path.string() + " is damaged") << bytes;
+    }
+}
+
+TEST_F(SnapshotFile, AFailedWriteNamesTheFileAndLeavesTheOldOne) {
+    ASSERT_EQ(writeWhole(path, "old", Durable::yes), "");
+    std::filesystem::create_directory(path.string() + ".new");
+    EXPECT_EQ(writeWhole(path, "new", Durable::yes),
+              "open " + path.string() + ".new: Is a directory");
+    EXPECT_EQ(readWhole(path), "old");
+}
+
+TEST_F(SnapshotFile, WhatIsNotThereIsNoFault) {
+    EXPECT_FALSE(readWhole(path));
+    const auto snapshot = readSnapshot(path, 1);
+    EXPECT_FALSE(snapshot.document);
+    EXPECT_EQ(snapshot.fault, "");
+}
+
+}  // namespace
+}  // namespace deckcart
