--- a/fuzz/dns_reply.cpp
+++ b/fuzz/dns_reply.cpp
@@ -25,26 +25,27 @@
     demand(again.message && again.message->answers == m.answers &&
            again.message->additional == m.additional);
 
-    dns::Asking asking({0, 1}, 1);
-    for (int k = 0; asking.next(); ++k) {
+    dns::QueryAttempts attempts({0, 1}, 1);
+    for (int k = 0; attempts.next(); ++k) {
         demand(k < 9);
-        if (asking.replied(m) == dns::Asking::Use::answer)
+        if (attempts.onReply(m) == dns::QueryAttempts::ReplyUse::answer)
             break;
         if (k % 2)
-            asking.noReply("none");
+            attempts.onFailure("none");
     }
     const dns::LookupBounds bounds{.targets = 8, .aliases = 4, .addresses = 2};
     dns::Lookup lookup(m.question ? m.question->name : "_relay._tcp.example.org.", {}, bounds);
     std::size_t asked = 0;
-    for (auto questions = lookup.ask(); !questions.empty(); questions = lookup.ask())
+    for (auto questions = lookup.takeQuestions(); !questions.empty();
+         questions = lookup.takeQuestions())
         for (const auto &q : questions) {
             demand(++asked <= bounds.aliases + 1 + 2 * bounds.targets);
-            lookup.replied(q, m);
+            lookup.onReply(q, m);
         }
-    demand(lookup.over());
-    demand(lookup.found().targets.size() <= bounds.targets);
-    const auto reading = membership::readingOf({"n.", 1, 0, 0}, lookup.found(), dns::Duration{1},
-                                               dns::Duration{1}, "ns");
+    demand(lookup.finished());
+    demand(lookup.result().targets.size() <= bounds.targets);
+    const auto reading =
+        membership::readingOf({"n.", 1, 0, 0}, lookup.result(), Duration{1}, Duration{1}, "ns");
     demand(reading.claims.size() <= bounds.targets * bounds.addresses);
     for (const auto &c : reading.claims)
         demand(c.entry.weight >= 0.001 && c.entry.weight <= 1);
--- a/src/dns/lookup.cpp
+++ b/src/dns/lookup.cpp
@@ -7,7 +7,8 @@
 namespace deckcart::dns {
 namespace {
 
-constexpr std::uint32_t kForever = 0x7fffffff;  // the longest lifetime there is (RFC 2181, 8)
+// The longest lifetime there is (RFC 2181, 8).
+constexpr std::uint32_t kLongestSeconds = 0x7fffffff;
 
 const char *codeName(std::uint8_t code) {
     switch (static_cast<Code>(code)) {
@@ -27,27 +28,46 @@
     return "an error";
 }
 
+bool hasCode(const Message &reply, Code code) {
+    return reply.code == std::uint8_t(code);
+}
+
+// Lifetime of a negative answer (RFC 2308, 5).
 std::uint32_t negativeSeconds(const Message &reply) {
-    for (const auto &r : reply.authority)
-        if (const auto *zone = std::get_if<ZoneStart>(&r.data))
-            return std::min(r.seconds, zone->negativeSeconds);
+    for (const auto &record : reply.authority)
+        if (const auto *zone = std::get_if<ZoneStart>(&record.data))
+            return std::min(record.seconds, zone->negativeSeconds);
     return 0;
 }
 
-// Addresses of one version for `name` in a section; the least lifetime of them.
-std::vector<asio::ip::address> addressesOf(const std::vector<Record> &section,
-                                           const std::string &name, bool v4,
-                                           std::uint32_t &seconds) {
-    std::vector<asio::ip::address> out;
-    for (const auto &r : section) {
-        const auto *address = std::get_if<asio::ip::address>(&r.data);
-        if (!address || r.owner != name || address->is_v4() != v4)
+// Addresses of one version for `name` in a section, with the least lifetime of them.
+CachedAddresses addressesOf(const std::vector<Record> &section, const std::string &name,
+                            bool versionFour) {
+    CachedAddresses out{{}, kLongestSeconds};
+    for (const auto &record : section) {
+        const auto *address = std::get_if<asio::ip::address>(&record.data);
+        if (!address || record.owner != name || address->is_v4() != versionFour)
             continue;
-        out.push_back(*address), seconds = std::min(seconds, r.seconds);
+        out.addresses.push_back(*address);
+        out.seconds = std::min(out.seconds, record.seconds);
     }
     return out;
 }
 
+// The alias of `name` among the answers, or null.
+const Record *aliasOf(const Message &reply, const std::string &name) {
+    for (const auto &record : reply.answers)
+        if (std::holds_alternative<Alias>(record.data) && record.owner == name)
+            return &record;
+    return nullptr;
+}
+
+// Of two records for one server.
+bool isBetter(const Srv &one, const Srv &other) {
+    return std::tuple(one.priority, -int(one.weight)) <
+           std::tuple(other.priority, -int(other.weight));
+}
+
 }  // namespace
 
 const char *nameOf(FoundKind kind) {
@@ -77,157 +97,173 @@
     return std::string(rest);
 }
 
-std::map<std::string, KnownAddresses> aged(std::map<std::string, KnownAddresses> known,
-                                           Duration passed) {
-    const auto gone =
+AddressCache aged(AddressCache cache, Duration passed) {
+    const auto seconds =
         std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(passed).count());
-    for (auto &[target, there] : known)
-        there.seconds = there.seconds > gone ? there.seconds - gone : 0;
-    return known;
+    for (auto &[target, of] : cache)
+        of.seconds = of.seconds > seconds ? of.seconds - seconds : 0;
+    return cache;
 }
 
-Lookup::Lookup(std::string serviceName, std::map<std::string, KnownAddresses> before,
-               LookupBounds with)
-    : name(std::move(serviceName)), at(name), known(std::move(before)), bounds(with) {
-    result.seconds = kForever;
-    passed.insert(name);
-    toAsk.push_back({name, Type::srv});
+Lookup::Lookup(std::string serviceName, AddressCache before, LookupBounds with)
+    : aliasEnd(std::move(serviceName)), cached(std::move(before)), bounds(with) {
+    found.seconds = kLongestSeconds;
+    aliasChain.insert(aliasEnd);
+    pendingQuestions.push_back({aliasEnd, Type::srv});
 }
 
-std::vector<Question> Lookup::ask() {
-    return std::exchange(toAsk, {});
+std::vector<Question> Lookup::takeQuestions() {
+    return std::exchange(pendingQuestions, {});
 }
 
-void Lookup::failed(const Question &question, const std::string &why) {
+void Lookup::onFailure(const Question &question, const std::string &why) {
     if (done)
         return;
-    if (question.type != Type::srv)
-        return noAddress(question.name, why);
-    result.kind = FoundKind::failed, result.fault = why, done = true;
+    if (question.type == Type::srv)
+        fail(why);
+    else
+        settleWithoutReply(question.name, why);
 }
 
-void Lookup::replied(const Question &question, const Message &reply) {
+void Lookup::onReply(const Question &question, const Message &reply) {
     if (done)
         return;
-    const bool known_ =
-        reply.code == std::uint8_t(Code::noError) || reply.code == std::uint8_t(Code::nxDomain);
-    if (!known_)
-        return failed(question, codeName(reply.code));
-    if (question.type == Type::srv)
-        servers(question, reply);
+    if (!hasCode(reply, Code::noError) && !hasCode(reply, Code::nxDomain))
+        onFailure(question, codeName(reply.code));
+    else if (question.type == Type::srv)
+        onSrvReply(question, reply);
     else
-        addressReply(question, reply);
+        onAddressReply(question, reply);
 }
 
-void Lookup::servers(const Question &question, const Message &reply) {
-    // Aliases may come with their ends in one reply, in any order.
-    for (bool moved = true; moved;) {
-        moved = false;
-        for (const auto &r : reply.answers) {
-            const auto *alias = std::get_if<Alias>(&r.data);
-            if (!alias || r.owner != at)
-                continue;
-            if (!passed.insert(alias->target).second)
-                return failed({at, Type::srv}, "aliases go round in a circle");
-            if (passed.size() > bounds.aliases + 1)
-                return failed({at, Type::srv}, "too many aliases in a row");
-            at = alias->target, least(r.seconds), moved = true;
-            break;
-        }
+void Lookup::onSrvReply(const Question &question, const Message &reply) {
+    if (!followAliases(reply))
+        return;
+    SrvRecords records = collectServers(reply);
+    if (records.count == 0) {
+        onNoServers(question, reply);
+        return;
     }
-    std::map<std::pair<std::string, std::uint16_t>, Srv> byPlace;
-    bool refusedService = false;
-    std::size_t seen = 0;
-    for (const auto &r : reply.answers) {
-        const auto *srv = std::get_if<Srv>(&r.data);
-        if (!srv || r.owner != at)
-            continue;
-        ++seen, least(r.seconds);
-        if (srv->target == ".") {
-            refusedService = true;
-            continue;
-        }
-        if (srv->port == 0) {
-            result.notes.push_back(srv->target + ": port 0");
-            continue;
+    if (records.servers.empty()) {
+        finishWith(records.notOffered ? FoundKind::notOffered : FoundKind::noData);
+        return;
+    }
+    takeServers(std::move(records));
+    const std::string domain = domainOf(aliasEnd);
+    for (const auto &srv : srvs)
+        resolveTarget(srv.target, reply, domain);
+    finishIfResolved();
+}
+
+// Aliases may come with their ends in one reply, in any order. False: the chain is a fault.
+bool Lookup::followAliases(const Message &reply) {
+    while (const Record *record = aliasOf(reply, aliasEnd)) {
+        const std::string &target = std::get<Alias>(record->data).target;
+        if (!aliasChain.insert(target).second) {
+            fail("aliases go round in a circle");
+            return false;
         }
-        const auto [it, fresh] = byPlace.try_emplace({srv->target, srv->port}, *srv);
-        if (!fresh && !(it->second == *srv)) {
-            result.notes.push_back(
-                srv->target + ": listed twice, the better priority and the greater weight stand");
-            if (std::tuple(srv->priority, -int(srv->weight)) <
-                std::tuple(it->second.priority, -int(it->second.weight)))
-                it->second = *srv;
+        if (aliasChain.size() > bounds.aliases + 1) {
+            fail("too many aliases in a row");
+            return false;
         }
+        aliasEnd = target;
+        boundLifetime(record->seconds);
     }
-    if (seen == 0) {
-        const bool nothing = reply.code == std::uint8_t(Code::nxDomain);
-        // The alias's end is another zone's to tell; asked for itself, an empty reply is the
-        // answer.
-        if (!nothing && at != question.name && reply.authority.empty()) {
-            toAsk.push_back({at, Type::srv});
-            return;
-        }
-        result.kind = nothing ? FoundKind::noName : FoundKind::noData;
-        least(negativeSeconds(reply)), done = true;
-        return;
+    return true;
+}
+
+Lookup::SrvRecords Lookup::collectServers(const Message &reply) {
+    SrvRecords records;
+    for (const auto &record : reply.answers) {
+        const auto *srv = std::get_if<Srv>(&record.data);
+        if (!srv || record.owner != aliasEnd)
+            continue;
+        ++records.count;
+        boundLifetime(record.seconds);
+        if (srv->target == ".")
+            records.notOffered = true;
+        else if (srv->port == 0)
+            found.notes.push_back(srv->target + ": port 0");
+        else
+            addServer(*srv, records.servers);
     }
-    if (byPlace.empty()) {
-        result.kind = refusedService ? FoundKind::notOffered : FoundKind::noData, done = true;
+    return records;
+}
+
+void Lookup::addServer(const Srv &srv, std::map<HostPort, Srv> &servers) {
+    const auto [place, isNew] = servers.try_emplace({srv.target, srv.port}, srv);
+    if (isNew || place->second == srv)
+        return;
+    found.notes.push_back(srv.target +
+                          ": listed twice, the better priority and the greater weight stand");
+    if (isBetter(srv, place->second))
+        place->second = srv;
+}
+
+void Lookup::onNoServers(const Question &question, const Message &reply) {
+    const bool noName = hasCode(reply, Code::nxDomain);
+    // The alias's end is another zone's to answer for; asked for itself, an empty reply is the
+    // answer.
+    if (!noName && aliasEnd != question.name && reply.authority.empty()) {
+        pendingQuestions.push_back({aliasEnd, Type::srv});
         return;
     }
-    if (refusedService)
-        result.notes.push_back("target \".\" among others: passed over");
-    for (auto &[place, srv] : byPlace)
+    boundLifetime(negativeSeconds(reply));
+    finishWith(noName ? FoundKind::noName : FoundKind::noData);
+}
+
+void Lookup::takeServers(SrvRecords records) {
+    if (records.notOffered)
+        found.notes.emplace_back("target \".\" among others: passed over");
+    for (auto &[place, srv] : records.servers)
         srvs.push_back(std::move(srv));
     std::ranges::sort(srvs, {},
-                      [](const Srv &s) { return std::tie(s.priority, s.target, s.port); });
+                      [](const Srv &srv) { return std::tie(srv.priority, srv.target, srv.port); });
     if (srvs.size() > bounds.targets) {
-        result.notes.push_back(std::to_string(srvs.size() - bounds.targets) +
-                               " targets over the bound left out");
+        found.notes.push_back(std::to_string(srvs.size() - bounds.targets) +
+                              " targets over the bound left out");
         srvs.resize(bounds.targets);
     }
-    const std::string domain = domainOf(at);
-    for (const auto &srv : srvs) {
-        if (settled.contains(srv.target) || open.contains(srv.target))
-            continue;
-        std::uint32_t seconds = kForever;
-        std::vector<asio::ip::address> came;
-        if (within(srv.target, domain)) {
-            came = addressesOf(reply.additional, srv.target, true, seconds);
-            if (came.empty())
-                came = addressesOf(reply.additional, srv.target, false, seconds);
-        }
-        const auto before = known.find(srv.target);
-        if (!came.empty())
-            settle(srv.target, std::move(came), seconds);
-        else if (before != known.end() && before->second.seconds > 0)
-            settle(srv.target, before->second.addresses, before->second.seconds);
-        else
-            open.insert(srv.target), toAsk.push_back({srv.target, Type::a});
+}
+
+// Takes the target's addresses from the reply or the cache, or has them asked for.
+void Lookup::resolveTarget(const std::string &target, const Message &reply,
+                           const std::string &domain) {
+    if (settled.contains(target) || unsettled.contains(target))
+        return;
+    CachedAddresses additional;
+    if (within(target, domain)) {
+        additional = addressesOf(reply.additional, target, true);
+        if (additional.addresses.empty())
+            additional = addressesOf(reply.additional, target, false);
+    }
+    const auto before = cached.find(target);
+    if (!additional.addresses.empty()) {
+        settle(target, std::move(additional.addresses), additional.seconds);
+    } else if (before != cached.end() && before->second.seconds > 0) {
+        settle(target, before->second.addresses, before->second.seconds);
+    } else {
+        unsettled.insert(target);
+        pendingQuestions.push_back({target, Type::a});
     }
-    finish();
 }
 
-void Lookup::addressReply(const Question &question, const Message &reply) {
-    for (const auto &r : reply.answers)
-        if (std::holds_alternative<Alias>(r.data) && r.owner == question.name) {
-            result.notes.push_back(question.name +
-                                   ": is an alias, which a target must not be (RFC 2782)");
-            settle(question.name, {}, r.seconds);
-            return finish();
-        }
-    std::uint32_t seconds = kForever;
-    auto got = addressesOf(reply.answers, question.name, question.type == Type::a, seconds);
-    if (!got.empty())
-        settle(question.name, std::move(got), seconds);
-    else if (question.type == Type::a && reply.code == std::uint8_t(Code::noError))
-        toAsk.push_back({question.name, Type::aaaa});
-    else {
-        result.notes.push_back(question.name + ": has no address");
+void Lookup::onAddressReply(const Question &question, const Message &reply) {
+    auto got = addressesOf(reply.answers, question.name, question.type == Type::a);
+    if (const Record *alias = aliasOf(reply, question.name)) {
+        found.notes.push_back(question.name +
+                              ": is an alias, which a target must not be (RFC 2782)");
+        settle(question.name, {}, alias->seconds);
+    } else if (!got.addresses.empty()) {
+        settle(question.name, std::move(got.addresses), got.seconds);
+    } else if (question.type == Type::a && hasCode(reply, Code::noError)) {
+        pendingQuestions.push_back({question.name, Type::aaaa});
+    } else {
+        found.notes.push_back(question.name + ": has no address");
         settle(question.name, {}, negativeSeconds(reply));
     }
-    finish();
+    finishIfResolved();
 }
 
 void Lookup::settle(const std::string &target, std::vector<asio::ip::address> addresses,
@@ -235,47 +271,62 @@
     std::ranges::sort(addresses);
     addresses.erase(std::unique(addresses.begin(), addresses.end()), addresses.end());
     if (addresses.size() > bounds.addresses) {
-        result.notes.push_back(target + ": addresses over the bound left out");
+        found.notes.push_back(target + ": addresses over the bound left out");
         addresses.resize(bounds.addresses);
     }
-    open.erase(target), settled[target] = {std::move(addresses), seconds};
+    unsettled.erase(target);
+    settled[target] = {std::move(addresses), seconds};
 }
 
-void Lookup::noAddress(const std::string &target, const std::string &why) {
-    const auto before = known.find(target);
-    if (before != known.end() && !before->second.addresses.empty()) {
-        result.notes.push_back(target + ": " + why + "; address of before");
+void Lookup::settleWithoutReply(const std::string &target, const std::string &why) {
+    const auto before = cached.find(target);
+    if (before != cached.end() && !before->second.addresses.empty()) {
+        found.notes.push_back(target + ": " + why + "; address of before");
         settle(target, before->second.addresses, 0);
     } else {
         // Not the same as a target without an address: what it stands for is not known.
-        result.unresolved.push_back(target);
-        result.notes.push_back(target + ": " + why);
+        found.unresolved.push_back(target);
+        found.notes.push_back(target + ": " + why);
         settle(target, {}, 0);
     }
-    finish();
+    finishIfResolved();
+}
+
+void Lookup::fail(const std::string &why) {
+    found.fault = why;
+    finishWith(FoundKind::failed);
+}
+
+void Lookup::finishWith(FoundKind kind) {
+    found.kind = kind;
+    done = true;
 }
 
-void Lookup::finish() {
-    if (done || !open.empty())
+void Lookup::finishIfResolved() {
+    if (done || !unsettled.empty())
         return;
     for (const auto &srv : srvs) {
-        const auto &there = settled.at(srv.target);
-        least(there.seconds);
-        if (!there.addresses.empty())
-            result.targets.push_back({srv, there.addresses});
+        const auto &of = settled.at(srv.target);
+        boundLifetime(of.seconds);
+        if (!of.addresses.empty())
+            found.targets.push_back({srv, of.addresses});
     }
-    done = true, result.kind = FoundKind::servers;
-    if (result.targets.empty() && !result.unresolved.empty())
-        result.kind = FoundKind::failed,
-        result.fault = "no target has an address that could be asked for";
-    std::ranges::sort(result.unresolved);
+    std::ranges::sort(found.unresolved);
+    if (found.targets.empty() && !found.unresolved.empty())
+        fail("no target has an address that could be asked for");
+    else
+        finishWith(FoundKind::servers);
+}
+
+void Lookup::boundLifetime(std::uint32_t seconds) {
+    found.seconds = std::min(found.seconds, seconds);
 }
 
-std::map<std::string, KnownAddresses> Lookup::addresses() const {
-    std::map<std::string, KnownAddresses> out;
-    for (const auto &[target, there] : settled)
-        if (!there.addresses.empty())
-            out.emplace(target, there);
+AddressCache Lookup::addresses() const {
+    AddressCache out;
+    for (const auto &[target, of] : settled)
+        if (!of.addresses.empty())
+            out.emplace(target, of);
     return out;
 }
 
--- a/src/dns/lookup.hpp
+++ b/src/dns/lookup.hpp
@@ -1,20 +1,24 @@
-// From one SRV name to its servers: which questions to ask and what the replies mean (RFC 2782, RFC
-// 2308, aliases by RFC 1034, 3.6.2). Pure: no socket, no clock.
+// From one SRV name to its servers: which questions to send and what the replies mean (RFC 2782,
+// RFC 2308, aliases by RFC 1034, 3.6.2). Driven by the resolver. Pure: no socket, no clock.
 #pragma once
 
+#include <compare>
 #include <map>
 #include <set>
 
+#include "../base/clock.hpp"
 #include "message.hpp"
 
 namespace deckcart::dns {
 
-using Duration = std::chrono::microseconds;
-
+/// Bounds of one lookup, against names that grow without end.
 struct LookupBounds {
-    std::size_t targets = 1024;  // servers of a name; further ones are left out, with a note
-    std::size_t aliases = 8;     // of the name, one after the other; a longer chain is a fault
-    std::size_t addresses = 8;   // of one target; further ones are left out, with a note
+    /// Servers of a name; further ones are left out, with a note.
+    std::size_t targets = 1024;
+    /// Of the name, one after the other; a longer chain is a fault.
+    std::size_t aliases = 8;
+    /// Of one target; further ones are left out, with a note.
+    std::size_t addresses = 8;
 };
 
 struct Target {
@@ -29,69 +33,98 @@
     notOffered,  // the one target "." : decidedly no such service (RFC 2782)
     failed       // nothing was learned
 };
-const char *nameOf(FoundKind kind);
+/// As logs write it.
+[[nodiscard]] const char *nameOf(FoundKind kind);
 
+/// The result of a lookup.
 struct Found {
     FoundKind kind = FoundKind::failed;
     std::vector<Target> targets;  // by priority, name, port
-    // The least of all records that led here; of a negative answer the lesser of SOA's lifetime and
-    // MINIMUM (RFC 2308, 5), 0 where there is no SOA. Not clamped.
+    /// The least lifetime of all records that led here; of a negative answer the lesser of SOA's
+    /// lifetime and MINIMUM (RFC 2308, 5), 0 where there is no SOA. Not clamped.
     std::uint32_t seconds = 0;
-    std::vector<std::string>
-        unresolved;  // targets whose address no server told: nothing is known of them
-    std::vector<std::string> notes;  // what was left out, and why
-    std::string fault;               // of failed
+    /// Targets whose address no server gave: nothing is known of them.
+    std::vector<std::string> unresolved;
+    /// What was left out, and why.
+    std::vector<std::string> notes;
+    /// Of FoundKind::failed.
+    std::string fault;
 };
 
-// Addresses that an earlier lookup found, with what is left of their lifetime; used instead of
-// asking, and where asking fails.
-struct KnownAddresses {
+/// Addresses that an earlier lookup found; used instead of a question, and where one fails.
+struct CachedAddresses {
     std::vector<asio::ip::address> addresses;
-    std::uint32_t seconds = 0;  // 0: out of date, for failures only (RFC 8767)
+    /// What is left of their lifetime. 0: out of date, for failures only (RFC 8767).
+    std::uint32_t seconds = 0;
 };
+/// By the target's name.
+using AddressCache = std::map<std::string, CachedAddresses>;
 
-// What is left of their lifetimes: asking for each target at each turn would be 300 questions.
-std::map<std::string, KnownAddresses> aged(std::map<std::string, KnownAddresses> known,
-                                           Duration passed);
+/// The cache as it is after this time: a question for each target at each turn would be 300.
+[[nodiscard]] AddressCache aged(AddressCache cache, Duration passed);
 
+/// One lookup of an SRV name. Alternate takeQuestions() with a call of onReply() or onFailure()
+/// for each question, until finished().
 class Lookup {
   public:
-    Lookup(std::string name, std::map<std::string, KnownAddresses> known = {},
-           LookupBounds bounds = {});
-
-    // Questions to be asked now, each given out once. Empty and not over: replies are still out.
-    std::vector<Question> ask();
-    // The reply to one of them: its id and question are already found to match.
-    void replied(const Question &question, const Message &reply);
-    void failed(const Question &question, const std::string &why);
-    bool over() const { return done; }
-    const Found &found() const { return result; }
-    // Addresses by target, for the next lookup.
-    std::map<std::string, KnownAddresses> addresses() const;
+    explicit Lookup(std::string name, AddressCache cached = {}, LookupBounds bounds = {});
+
+    /// Questions to be sent now, each given out once. Empty and not finished: replies are still
+    /// awaited.
+    std::vector<Question> takeQuestions();
+    /// The reply to one of them: its id and question are already found to match.
+    void onReply(const Question &question, const Message &reply);
+    /// No server gave a reply of use.
+    void onFailure(const Question &question, const std::string &why);
+    [[nodiscard]] bool finished() const { return done; }
+    /// Once finished.
+    [[nodiscard]] const Found &result() const { return found; }
+    /// The addresses of this lookup, for the next one.
+    [[nodiscard]] AddressCache addresses() const;
 
   private:
-    void servers(const Question &question, const Message &reply);
-    void addressReply(const Question &question, const Message &reply);
+    // A server has its place by these: two records with the same are one server.
+    struct HostPort {
+        std::string target;
+        std::uint16_t port = 0;
+        auto operator<=>(const HostPort &) const = default;
+    };
+    struct SrvRecords {
+        std::map<HostPort, Srv> servers;
+        bool notOffered = false;  // target "."
+        std::size_t count = 0;
+    };
+
+    void onSrvReply(const Question &question, const Message &reply);
+    [[nodiscard]] bool followAliases(const Message &reply);
+    SrvRecords collectServers(const Message &reply);
+    void addServer(const Srv &srv, std::map<HostPort, Srv> &servers);
+    void onNoServers(const Question &question, const Message &reply);
+    void takeServers(SrvRecords records);
+    void resolveTarget(const std::string &target, const Message &reply, const std::string &domain);
+    void onAddressReply(const Question &question, const Message &reply);
     void settle(const std::string &target, std::vector<asio::ip::address> addresses,
                 std::uint32_t seconds);
-    void noAddress(const std::string &target, const std::string &why);
-    void finish();
-    void least(std::uint32_t seconds) { result.seconds = std::min(result.seconds, seconds); }
-
-    std::string name, at;  // as asked for, and where aliases have led
-    std::map<std::string, KnownAddresses> known;
+    void settleWithoutReply(const std::string &target, const std::string &why);
+    void fail(const std::string &why);
+    void finishWith(FoundKind kind);
+    void finishIfResolved();
+    void boundLifetime(std::uint32_t seconds);
+
+    std::string aliasEnd;  // the name asked for, or where its aliases have led
+    AddressCache cached;
     LookupBounds bounds;
-    std::set<std::string> passed;  // names of the chain
-    std::vector<Question> toAsk;
+    std::set<std::string> aliasChain;  // with the name asked for
+    std::vector<Question> pendingQuestions;
     std::vector<Srv> srvs;
-    std::set<std::string> open;  // targets whose addresses are asked for
-    std::map<std::string, KnownAddresses> settled;
+    std::set<std::string> unsettled;  // targets whose addresses are asked for
+    AddressCache settled;
     bool done = false;
-    Found result;
+    Found found;
 };
 
-// The domain of a service name: what stands behind its labels with an underscore. Addresses that
-// come along with a reply are believed for names within it only; others are asked for.
-std::string domainOf(const std::string &serviceName);
+/// The domain of a service name: what stands behind its labels with an underscore. Addresses that
+/// come along with a reply are believed for names within it only; others are asked for.
+[[nodiscard]] std::string domainOf(const std::string &serviceName);
 
 }  // namespace deckcart::dns
--- a/src/dns/query_schedule.hpp
+++ b/src/dns/query_schedule.hpp
@@ -1,5 +1,5 @@
-// How one question is put to several name servers, and when a name is asked for again. Pure: the
-// time is passed in, chance is a seed. src/dns/resolver.cpp carries it out.
+// How one question is put to several name servers, and when a name is looked up again. Pure: the
+// time is passed in, chance is a seed. Carried out by the resolver.
 #pragma once
 
 #include <random>
@@ -8,94 +8,118 @@
 
 namespace deckcart::dns {
 
-// What is remembered of each name server: which answer, and how fast.
-class ServerMemory {
+/// In which order to try the name servers, by how they answered so far. Servers are given by their
+/// index in the settings.
+class ServerRanking {
   public:
-    explicit ServerMemory(std::size_t servers) : known(servers) {}
-    void answered(std::size_t server, Duration took);
-    void silent(std::size_t server, Duration now);  // no answer, or none that is of use
-    // All of them, best first: those that are not to be left alone, in the order given by the
-    // operator as long as they answer about as fast; then the others, the one that failed longest
-    // ago first.
-    std::vector<std::size_t> order(Duration now) const;
-    struct Known {
-        Duration
-            smoothed{};    // of the answers' times, RFC 6298 (2): 7/8 old, 1/8 new; zero: none yet
-        int failures = 0;  // in a row
-        Duration aloneUntil{}, failedAt{};
-    };
-    const Known &of(std::size_t server) const { return known.at(server); }
+    explicit ServerRanking(std::size_t servers) : records(servers) {}
+    void onAnswer(std::size_t server, Duration roundTrip);
+    /// No reply, or none that is of use.
+    void onFailure(std::size_t server, TimePoint now);
+    /// All of them, best first: those that are not backed off, in the order given by the operator
+    /// as long as they answer about as fast; then the others, the one that failed longest ago
+    /// first.
+    [[nodiscard]] std::vector<std::size_t> order(TimePoint now) const;
 
   private:
-    std::vector<Known> known;
+    struct ServerRecord {
+        /// Of the answers' times, RFC 6298 (2): 7/8 old, 1/8 new; zero: none yet.
+        Duration smoothedRoundTrip{};
+        int failuresInRow = 0;
+        TimePoint backedOffUntil{};
+        TimePoint failedAt{};
+    };
+    using Order = std::vector<std::size_t>;
+    void moveMuchFasterFirst(Order &servers, std::size_t available) const;
+
+    std::vector<ServerRecord> records;
 };
 
-struct Attempt {
+/// One message of a query.
+struct QueryAttempt {
+    /// Index in the settings.
     std::size_t server = 0;
-    bool tcp = false, edns = true;
-    Duration within{};  // no answer by then: the next one
+    bool tcp = false;
+    bool edns = true;
+    /// Without a reply by then, the next attempt follows.
+    Duration timeout{};
 };
 
-// Whether such a reply is held against its server, as silence is: it knows the question and won't
-// answer.
-bool ofNoUse(const Message &reply);
+/// Whether such a reply counts as a failure of its server, as silence does: it knows the question
+/// and won't answer.
+[[nodiscard]] bool isServerFailure(const Message &reply);
 
-// One question until it is answered or given up. At most kMostAttempts messages are sent for it.
-class Asking {
+/// The attempts of one question until it is answered or given up: a bounded number of messages.
+class QueryAttempts {
   public:
-    Asking(std::vector<std::size_t> order, std::uint32_t seed);
-    // What to send now; empty: given up, see fault().
-    std::optional<Attempt> next();
-    enum class Use { answer, again };
-    // What a matching reply to the attempt in hand is good for.
-    Use replied(const Message &reply);
-    void noReply(const std::string &why);
-    const std::string &fault() const { return lastFault; }
+    /// @param order  the servers, best first
+    QueryAttempts(std::vector<std::size_t> order, std::uint32_t seed);
+    /// What to send now; empty: given up, see fault().
+    [[nodiscard]] std::optional<QueryAttempt> next();
+    enum class ReplyUse { answer, tryAgain };
+    /// What a matching reply to the last attempt is good for.
+    [[nodiscard]] ReplyUse onReply(const Message &reply);
+    /// The last attempt had no reply.
+    void onFailure(const std::string &why);
+    /// Why the last attempt did not succeed.
+    [[nodiscard]] const std::string &fault() const { return lastFault; }
 
   private:
     std::vector<std::size_t> order;
     std::minstd_rand chance;
-    std::size_t at = 0, attempts = 0, lap = 0;
-    bool overTcp = false, withEdns = true;
+    std::size_t position = 0;  // in the order
+    std::size_t attempts = 0;
+    std::size_t lap = 0;
+    bool overTcp = false;
+    bool withEdns = true;
     std::string lastFault = "no name server is given";
 };
 
+/// Bounds of the lifetimes that a lookup found.
 struct RefreshRules {
-    Duration floor = std::chrono::seconds(5), ceiling = std::chrono::hours(1);  // of lifetimes
-    Duration negativeCeiling =
-        std::chrono::minutes(5);  // of negative answers, as RFC 2308 (5) advises: below 3 h
+    Duration floor = std::chrono::seconds(5);
+    Duration ceiling = std::chrono::hours(1);
+    /// Of negative answers, as RFC 2308 (5) advises: below 3 h.
+    Duration negativeCeiling = std::chrono::minutes(5);
 };
 
-// When one name is asked for again.
+/// When one name is looked up again. All results but lifetime() are times from now, drawn anew for
+/// each call.
 class Refresh {
   public:
     Refresh(RefreshRules with, std::uint32_t seed) : rules(with), chance(seed) {}
-    Duration lifetime(const Found &found) const;  // clamped
-    // Spans from now.
-    Duration
-    first(bool haveView);  // of a start, so that gateways started together don't ask in step
-    Duration afterAnswer(Duration lifetime);  // ahead of the end, at a moment drawn anew each time
-    Duration afterFailure();                  // doubling from one to the next, drawn anew each time
-    Duration sooner(Duration wanted);         // when a reading is to be confirmed
+    /// Of a result, within the bounds.
+    [[nodiscard]] Duration lifetime(const Found &found) const;
+    /// After the start, so that gateways started together don't ask in step.
+    /// @param haveView  there is something to go by until the first answer
+    [[nodiscard]] Duration first(bool haveView);
+    /// Ahead of the lifetime's end.
+    [[nodiscard]] Duration afterAnswer(Duration lifetime);
+    /// With backoff from one failure to the next.
+    [[nodiscard]] Duration afterFailure();
+    /// When a reading is to be confirmed: not before `wanted`, by little more.
+    [[nodiscard]] Duration sooner(Duration wanted);
 
   private:
-    double part(double from, double to);
+    double drawBetween(double from, double to);
+
     RefreshRules rules;
     std::minstd_rand chance;
-    int failures = 0;
+    int failures = 0;  // in a row
 };
 
-// At most so many questions a second, a burst of one second's worth: for the name servers' sake
-// when many names are due at once.
-class QuestionCap {
+/// At most so many questions a second, a burst of one second's worth: for the name servers' sake
+/// when many names are due at once. A token bucket.
+class QueryRateLimiter {
   public:
-    explicit QuestionCap(double aSecond) : rate(aSecond), left(aSecond) {}
-    // Zero: it may go now and is counted; else how long to wait before asking here again.
-    Duration take(Duration now);
+    explicit QueryRateLimiter(double perSecond) : rate(perSecond), tokens(perSecond) {}
+    /// Zero: it may go now and is counted; else how long to wait before the next call.
+    [[nodiscard]] Duration take(TimePoint now);
 
   private:
-    double rate, left;
-    Duration last{};
+    double rate;
+    double tokens;
+    TimePoint lastTake{};
 };
 
 }  // namespace deckcart::dns
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -1,6 +1,7 @@
 #include "resolver.hpp"
 
 #include <algorithm>
+#include <array>
 #include <random>
 
 namespace deckcart::dns {
@@ -9,7 +10,10 @@
 using asio::ip::tcp;
 using asio::ip::udp;
 
-// Ids must not be guessed from outside, so they don't come from the seed.
+// A datagram has no more (RFC 768).
+constexpr std::size_t kMostDatagramBytes = 65535;
+
+// Ids must not be guessed from outside, so they don't come from the seed (RFC 5452, 9.2).
 std::uint16_t freshId() {
     static thread_local std::random_device device;
     return std::uint16_t(device());
@@ -17,119 +21,141 @@
 
 }  // namespace
 
-struct Resolver::Followed {
-    Followed(asio::io_context &io, std::string of, RefreshRules rules, std::uint32_t seed)
+struct Resolver::WatchedName {
+    WatchedName(asio::io_context &io, std::string of, RefreshRules rules, std::uint32_t seed)
         : name(std::move(of)), refresh(rules, seed), timer(io) {}
+
     std::string name;
     Refresh refresh;
     asio::steady_timer timer;
-    std::optional<Lookup> lookup;
-    std::size_t server = 0;  // that answered the SRV question
-    std::map<std::string, KnownAddresses> addresses;
-    Duration addressesAt{};
-    Duration due{};  // of the timer
+    std::optional<Lookup> lookup;  // one that is under way
+    std::size_t server = 0;        // that answered the SRV question
+    AddressCache addresses;
+    TimePoint addressesAt{};
+    TimePoint due{};  // of the timer
 };
 
 struct Resolver::Query {
-    Query(asio::io_context &io, Question q, std::vector<std::size_t> order, std::uint32_t seed)
-        : question(std::move(q)), asking(std::move(order), seed), timer(io), datagrams(io),
+    Query(asio::io_context &io, Question of, std::vector<std::size_t> order, std::uint32_t seed)
+        : question(std::move(of)), attempts(std::move(order), seed), timer(io), datagrams(io),
           stream(io) {}
-    std::vector<std::string> forNames;  // followed names that wait for it
+
+    void close() {
+        asio::error_code ignored;
+        timer.cancel();
+        datagrams.close(ignored);
+        stream.close(ignored);
+    }
+
+    std::vector<std::string> forNames;  // watched names that wait for it
     Question question;
-    Asking asking;
-    Attempt now;
+    QueryAttempts attempts;
+    QueryAttempt current;
+    std::uint64_t attemptNumber = 0;  // what comes for an earlier one is late
     std::uint16_t id = 0;
-    Duration sentAt{};
+    TimePoint sentAt{};
     asio::steady_timer timer;
     udp::socket datagrams;
     tcp::socket stream;
-    std::vector<std::uint8_t> bytes, received;
-    std::array<std::uint8_t, 2> length{};
-    std::uint64_t no = 0;  // of the attempt: what comes for an earlier one is late
+    std::vector<std::uint8_t> sent;
+    std::vector<std::uint8_t> received;
+    std::array<std::uint8_t, 2> receivedLength{};  // of a message over TCP (RFC 1035, 4.2.2)
     bool over = false;
-    void close() {
-        asio::error_code ignored;
-        timer.cancel(), datagrams.close(ignored), stream.close(ignored);
-    }
 };
 
+template <class Callback>
+auto Resolver::forAttempt(const QueryPointer &query, Callback callback) const {
+    return guard.wrap([query, attempt = query->attemptNumber,
+                       callback = std::move(callback)](const auto &...arguments) {
+        if (!query->over && attempt == query->attemptNumber)
+            callback(arguments...);
+    });
+}
+
 Resolver::Resolver(asio::io_context &io, const Clock &with, ResolverSettings given,
-                   std::uint64_t seed, Tell to)
-    : context(io), clock(with), settings(std::move(given)), chance(seed), tell(std::move(to)),
-      servers(settings.servers.size()), cap(settings.questionsASecond), capTimer(io) {}
+                   std::uint64_t seed, OnResult observer)
+    : context(io), clock(with), settings(std::move(given)), chance(seed),
+      onResult(std::move(observer)), servers(settings.servers.size()),
+      rateLimiter(settings.questionsASecond), rateTimer(io) {}
 
 Resolver::~Resolver() {
-    *alive = false;
-    for (const auto &query : out)
-        query->over = true, query->close();
+    for (const auto &query : inFlight) {
+        query->over = true;
+        query->close();
+    }
 }
 
 void Resolver::follow(const std::string &name, bool haveView) {
-    if (followed.contains(name))
+    if (watchedNames.contains(name))
         return;
-    auto &of = *followed
-                    .emplace(name, std::make_unique<Followed>(context, name, settings.refresh,
-                                                              std::uint32_t(chance())))
-                    .first->second;
-    wait(of, of.refresh.first(haveView));
+    auto &watched = watchedNames[name];
+    watched =
+        std::make_unique<WatchedName>(context, name, settings.refresh, std::uint32_t(chance()));
+    scheduleLookup(*watched, watched->refresh.first(haveView));
 }
 
 void Resolver::askAgainIn(const std::string &name, Duration wanted) {
-    const auto it = followed.find(name);
-    if (it == followed.end() || it->second->lookup)
+    const auto found = watchedNames.find(name);
+    if (found == watchedNames.end() || found->second->lookup)
         return;
-    const Duration in = it->second->refresh.sooner(wanted);
-    if (clock.now() + in < it->second->due)
-        wait(*it->second, in);
+    WatchedName &watched = *found->second;
+    const Duration delay = watched.refresh.sooner(wanted);
+    if (clock.now() + delay < watched.due)
+        scheduleLookup(watched, delay);
 }
 
-void Resolver::wait(Followed &of, Duration span) {
-    of.due = clock.now() + span;
-    of.timer.expires_after(span);
-    of.timer.async_wait([this, &of, here = alive](asio::error_code fault) {
-        if (!fault && *here)
-            startLookup(of);
-    });
+void Resolver::scheduleLookup(WatchedName &watched, Duration delay) {
+    watched.due = clock.now() + delay;
+    watched.timer.expires_after(delay);
+    watched.timer.async_wait(guard.wrap([this, &watched](asio::error_code fault) {
+        if (!fault)
+            startLookup(watched);
+    }));
 }
 
-void Resolver::startLookup(Followed &of) {
-    if (of.lookup)
+void Resolver::startLookup(WatchedName &watched) {
+    if (watched.lookup)
         return;
-    of.lookup.emplace(of.name, aged(of.addresses, clock.now() - of.addressesAt));
-    goOn(of);
+    watched.lookup.emplace(watched.name,
+                           aged(watched.addresses, clock.now() - watched.addressesAt));
+    continueLookup(watched);
 }
 
-void Resolver::goOn(Followed &of) {
-    for (auto &question : of.lookup->ask()) {
+void Resolver::continueLookup(WatchedName &watched) {
+    for (auto &question : watched.lookup->takeQuestions()) {
         auto query = std::make_shared<Query>(context, std::move(question),
                                              servers.order(clock.now()), std::uint32_t(chance()));
-        query->forNames.push_back(of.name);
-        put(std::move(query));
+        query->forNames.push_back(watched.name);
+        enqueue(std::move(query));
     }
-    if (of.lookup && of.lookup->over())
-        over(of);
+    if (watched.lookup && watched.lookup->finished())
+        finishLookup(watched);
 }
 
-void Resolver::over(Followed &of) {
-    const Found found = of.lookup->found();
-    if (found.kind != FoundKind::failed)
-        of.addresses = of.lookup->addresses(), of.addressesAt = clock.now();
-    of.lookup.reset();
-    const Duration lifetime = of.refresh.lifetime(found);
-    wait(of, found.kind == FoundKind::failed ? of.refresh.afterFailure()
-                                             : of.refresh.afterAnswer(lifetime));
-    tell(of.name, found, lifetime, of.server);
+void Resolver::finishLookup(WatchedName &watched) {
+    const Found found = watched.lookup->result();
+    const bool failed = found.kind == FoundKind::failed;
+    if (!failed) {
+        watched.addresses = watched.lookup->addresses();
+        watched.addressesAt = clock.now();
+    }
+    watched.lookup.reset();
+    const Duration lifetime = watched.refresh.lifetime(found);
+    scheduleLookup(watched,
+                   failed ? watched.refresh.afterFailure() : watched.refresh.afterAnswer(lifetime));
+    onResult(watched.name, found, lifetime, watched.server);
 }
 
-void Resolver::put(std::shared_ptr<Query> query) {
+void Resolver::enqueue(QueryPointer query) {
     // One question in flight a name: names that lead to the same target share the answer.
-    const auto same = [&](const std::shared_ptr<Query> &other) {
+    const auto isSame = [&](const QueryPointer &other) {
         return !other->over && other->question == query->question;
     };
-    auto it = std::ranges::find_if(out, same);
-    const auto queued = std::ranges::find_if(waiting, same);
-    if (it != out.end() || queued != waiting.end()) {
-        (it != out.end() ? *it : *queued)->forNames.push_back(query->forNames.front());
+    const auto sent = std::ranges::find_if(inFlight, isSame);
+    const auto queued = std::ranges::find_if(waiting, isSame);
+    if (sent != inFlight.end() || queued != waiting.end()) {
+        const QueryPointer &shared = sent != inFlight.end() ? *sent : *queued;
+        shared->forNames.push_back(query->forNames.front());
         return;
     }
     ++counted.questions;
@@ -138,177 +164,182 @@
 }
 
 void Resolver::sendWaiting() {
-    while (!waiting.empty() && out.size() < settings.inFlight && !capWaits) {
-        if (const Duration in = cap.take(clock.now()); in > Duration{0}) {
-            capWaits = true;
-            capTimer.expires_after(in);
-            capTimer.async_wait([this, here = alive](asio::error_code fault) {
-                if (fault || !*here)
+    while (!waiting.empty() && inFlight.size() < settings.inFlight && !rateLimited) {
+        const Duration delay = rateLimiter.take(clock.now());
+        if (delay > Duration{0}) {
+            rateLimited = true;
+            rateTimer.expires_after(delay);
+            rateTimer.async_wait(guard.wrap([this](asio::error_code fault) {
+                if (fault)
                     return;
-                capWaits = false;
+                rateLimited = false;
                 sendWaiting();
-            });
+            }));
             return;
         }
         auto query = std::move(waiting.front());
         waiting.pop_front();
-        out.insert(query);
-        attempt(query);
+        inFlight.insert(query);
+        sendNextAttempt(query);
     }
 }
 
-void Resolver::attempt(const std::shared_ptr<Query> &query) {
+void Resolver::sendNextAttempt(const QueryPointer &query) {
     query->close();
-    const auto what = query->asking.next();
-    if (!what) {
+    const auto attempt = query->attempts.next();
+    if (!attempt) {
         // On a turn of its own: this may be a call from within the lookup's own.
-        asio::post(context, [this, query, here = alive] {
-            if (*here)
-                ended(query, nullptr, query->asking.fault());
-        });
+        asio::post(context, guard.wrap([this, query] {
+            finishQuery(query, nullptr, query->attempts.fault());
+        }));
         return;
     }
-    query->now = *what, query->id = freshId(), query->sentAt = clock.now(), ++query->no;
-    Message m;
-    m.id = query->id, m.question = query->question;
-    query->bytes = encode(m, what->edns);
-    query->timer.expires_after(what->within);
-    query->timer.async_wait([this, query, no = query->no, here = alive](asio::error_code fault) {
-        if (!fault && *here && no == query->no)
-            noReply(query, "no answer in time");
-    });
-    what->tcp ? overTcp(query) : overUdp(query);
+    query->current = *attempt;
+    query->id = freshId();
+    query->sentAt = clock.now();
+    ++query->attemptNumber;
+    Message message;
+    message.id = query->id;
+    message.question = query->question;
+    query->sent = encode(message, attempt->edns);
+    query->timer.expires_after(attempt->timeout);
+    query->timer.async_wait(forAttempt(query, [this, query](asio::error_code fault) {
+        if (!fault)
+            onAttemptFailed(query, "no answer in time");
+    }));
+    if (attempt->tcp)
+        sendTcp(query);
+    else
+        sendUdp(query);
 }
 
-void Resolver::overUdp(const std::shared_ptr<Query> &query) {
+void Resolver::sendUdp(const QueryPointer &query) {
     ++counted.udp;
-    const auto to = settings.servers[query->now.server];
+    const auto server = settings.servers[query->current.server];
     asio::error_code fault;
     // A socket for each attempt has a port of its own, drawn by the system; connected, it takes
     // datagrams from the server's address and port only (RFC 5452, 9).
-    query->datagrams.open(to.protocol(), fault);
+    query->datagrams.open(server.protocol(), fault);
     if (!fault)
-        query->datagrams.connect(to, fault);
+        query->datagrams.connect(server, fault);
     if (!fault)
-        query->datagrams.send(asio::buffer(query->bytes), 0, fault);
-    if (fault) {
-        asio::post(context, [this, query, no = query->no, why = fault.message(), here = alive] {
-            if (*here && no == query->no)
-                noReply(query, why);
-        });
+        query->datagrams.send(asio::buffer(query->sent), 0, fault);
+    if (!fault) {
+        receiveUdp(query);
         return;
     }
-    readUdp(query);
+    asio::post(context, forAttempt(query, [this, query, why = fault.message()] {
+                   onAttemptFailed(query, why);
+               }));
 }
 
-void Resolver::readUdp(const std::shared_ptr<Query> &query) {
-    query->received.resize(65535);
+void Resolver::receiveUdp(const QueryPointer &query) {
+    query->received.resize(kMostDatagramBytes);
     query->datagrams.async_receive(
         asio::buffer(query->received),
-        [this, query, no = query->no, here = alive](asio::error_code fault, std::size_t size) {
-            if (!*here || query->over || no != query->no)
-                return;
-            if (fault)
-                return noReply(query,
-                               fault.message());  // refused by the host: at once, not at the end
-            if (!took(query, query->received.data(), size))
-                readUdp(query);
-        });
+        forAttempt(query, [this, query](asio::error_code fault, std::size_t size) {
+            if (fault)  // refused by the host: at once, not at the end of the wait
+                onAttemptFailed(query, fault.message());
+            else if (!onMessage(query, query->received.data(), size))
+                receiveUdp(query);
+        }));
 }
 
-void Resolver::overTcp(const std::shared_ptr<Query> &query) {
+void Resolver::sendTcp(const QueryPointer &query) {
     ++counted.tcp;
-    const auto at = settings.servers[query->now.server];
-    query->bytes.insert(query->bytes.begin(), {std::uint8_t(query->bytes.size() >> 8),
-                                               std::uint8_t(query->bytes.size())});
-    query->stream.async_connect(
-        tcp::endpoint(at.address(), at.port()),
-        [this, query, no = query->no, here = alive](asio::error_code fault) {
-            if (!*here || query->over || no != query->no)
-                return;
-            if (fault)
-                return noReply(query, "TCP: " + fault.message());
-            asio::async_write(query->stream, asio::buffer(query->bytes),
-                              [this, query, no, here](asio::error_code failed, std::size_t) {
-                                  if (!*here || query->over || no != query->no)
-                                      return;
-                                  if (failed)
-                                      return noReply(query, "TCP: " + failed.message());
-                                  readTcp(query);
-                              });
-        });
+    const auto server = settings.servers[query->current.server];
+    const std::size_t size = query->sent.size();
+    query->sent.insert(query->sent.begin(), {std::uint8_t(size >> 8), std::uint8_t(size)});
+    query->stream.async_connect(tcp::endpoint(server.address(), server.port()),
+                                forAttempt(query, [this, query](asio::error_code fault) {
+                                    if (fault)
+                                        onAttemptFailed(query, "TCP: " + fault.message());
+                                    else
+                                        writeTcp(query);
+                                }));
 }
 
-void Resolver::readTcp(const std::shared_ptr<Query> &query) {
-    const auto failed = [this, query, no = query->no, here = alive](asio::error_code fault) {
-        if (!*here || query->over || no != query->no)
-            return true;
-        if (fault)
-            noReply(query, "TCP: " + fault.message());
-        return bool(fault);
-    };
-    asio::async_read(
-        query->stream, asio::buffer(query->length),
-        [this, query, failed](asio::error_code fault, std::size_t) {
-            if (failed(fault))
-                return;
-            query->received.resize(std::size_t(query->length[0]) << 8 | query->length[1]);
-            asio::async_read(query->stream, asio::buffer(query->received),
-                             [this, query, failed](asio::error_code cut, std::size_t size) {
-                                 if (failed(cut))
-                                     return;
-                                 if (!took(query, query->received.data(), size))
-                                     readTcp(query);
-                             });
-        });
+void Resolver::writeTcp(const QueryPointer &query) {
+    asio::async_write(query->stream, asio::buffer(query->sent),
+                      forAttempt(query, [this, query](asio::error_code fault, std::size_t) {
+                          if (fault)
+                              onAttemptFailed(query, "TCP: " + fault.message());
+                          else
+                              receiveTcp(query);
+                      }));
 }
 
-bool Resolver::took(const std::shared_ptr<Query> &query, const std::uint8_t *bytes,
-                    std::size_t size) {
-    const auto got = decode(bytes, size);
-    const bool ours =
-        got.message && got.message->reply && got.message->id == query->id &&
-        (got.message->question == query->question ||
-         // A server that could not read the question may leave it out (RFC 6891, 7).
-         (!got.message->question && got.message->code == std::uint8_t(Code::formErr)));
-    if (!ours)
-        return ++counted.dropped, false;
-    if (query->asking.replied(*got.message) == Asking::Use::answer) {
-        servers.answered(query->now.server, clock.now() - query->sentAt);
-        ended(query, &*got.message, {});
+void Resolver::receiveTcp(const QueryPointer &query) {
+    asio::async_read(query->stream, asio::buffer(query->receivedLength),
+                     forAttempt(query, [this, query](asio::error_code fault, std::size_t) {
+                         if (fault)
+                             onAttemptFailed(query, "TCP: " + fault.message());
+                         else
+                             receiveTcpMessage(query);
+                     }));
+}
+
+void Resolver::receiveTcpMessage(const QueryPointer &query) {
+    const auto &length = query->receivedLength;
+    query->received.resize(std::size_t(length[0]) << 8 | length[1]);
+    asio::async_read(query->stream, asio::buffer(query->received),
+                     forAttempt(query, [this, query](asio::error_code fault, std::size_t size) {
+                         if (fault)
+                             onAttemptFailed(query, "TCP: " + fault.message());
+                         else if (!onMessage(query, query->received.data(), size))
+                             receiveTcp(query);
+                     }));
+}
+
+bool Resolver::onMessage(const QueryPointer &query, const std::uint8_t *bytes, std::size_t size) {
+    const auto decoded = decode(bytes, size);
+    const auto &message = decoded.message;
+    const bool ours = message && message->reply && message->id == query->id &&
+                      (message->question == query->question ||
+                       // A server that could not read the question may leave it out (RFC 6891, 7).
+                       (!message->question && message->code == std::uint8_t(Code::formErr)));
+    if (!ours) {
+        ++counted.dropped;
+        return false;
+    }
+    if (query->attempts.onReply(*message) == QueryAttempts::ReplyUse::answer) {
+        servers.onAnswer(query->current.server, clock.now() - query->sentAt);
+        finishQuery(query, &*message, {});
         return true;
     }
-    if (ofNoUse(*got.message))
-        servers.silent(query->now.server, clock.now());
-    attempt(query);
+    if (isServerFailure(*message))
+        servers.onFailure(query->current.server, clock.now());
+    sendNextAttempt(query);
     return true;
 }
 
-void Resolver::noReply(const std::shared_ptr<Query> &query, const std::string &why) {
-    servers.silent(query->now.server, clock.now());
-    query->asking.noReply(why);
-    attempt(query);
+void Resolver::onAttemptFailed(const QueryPointer &query, const std::string &why) {
+    servers.onFailure(query->current.server, clock.now());
+    query->attempts.onFailure(why);
+    sendNextAttempt(query);
 }
 
-void Resolver::ended(const std::shared_ptr<Query> &query, const Message *reply,
-                     const std::string &fault) {
+void Resolver::finishQuery(const QueryPointer &query, const Message *reply,
+                           const std::string &fault) {
     if (query->over)
         return;
-    query->over = true, query->close(), ++query->no;
-    out.erase(query);
+    query->over = true;
+    query->close();
+    ++query->attemptNumber;
+    inFlight.erase(query);
     ++(reply ? counted.answers : counted.failures);
     for (const auto &name : query->forNames) {
-        const auto it = followed.find(name);
-        if (it == followed.end() || !it->second->lookup)
+        const auto found = watchedNames.find(name);
+        if (found == watchedNames.end() || !found->second->lookup)
             continue;
-        auto &of = *it->second;
+        auto &watched = *found->second;
         if (reply && query->question.type == Type::srv)
-            of.server = query->now.server;
+            watched.server = query->current.server;
         if (reply)
-            of.lookup->replied(query->question, *reply);
+            watched.lookup->onReply(query->question, *reply);
         else
-            of.lookup->failed(query->question, fault);
-        goOn(of);
+            watched.lookup->onFailure(query->question, fault);
+        continueLookup(watched);
     }
     sendWaiting();
 }
--- a/tests/unit/dns_test.cpp
+++ b/tests/unit/dns_test.cpp
@@ -86,90 +86,93 @@
 // ---- lookups ----
 
 TEST(DnsLookup, TakesAddressesThatComeAlongWithinTheDomainOnly) {
-    Lookup l(kName);
-    EXPECT_EQ(l.ask(), std::vector{askedFor(kName, Type::srv)});
-    l.replied(askedFor(kName, Type::srv),
-              reply({srv("in.example.org."), srv("out.example.com.")},
-                    {{"in.example.org.", 20, kFour}, {"out.example.com.", 20, kFourB}}));
-    EXPECT_EQ(l.ask(), std::vector{askedFor("out.example.com.", Type::a)});
-    l.replied(askedFor("out.example.com.", Type::a), reply({{"out.example.com.", 10, kFour}}));
-    ASSERT_TRUE(l.over());
-    EXPECT_EQ(l.found().kind, FoundKind::servers);
-    EXPECT_EQ(l.found().targets.size(), 2u);
-    EXPECT_EQ(l.found().seconds, 10u) << "the least of all that led here";
+    Lookup lookup(kName);
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor(kName, Type::srv)});
+    lookup.onReply(askedFor(kName, Type::srv),
+                   reply({srv("in.example.org."), srv("out.example.com.")},
+                         {{"in.example.org.", 20, kFour}, {"out.example.com.", 20, kFourB}}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("out.example.com.", Type::a)});
+    lookup.onReply(askedFor("out.example.com.", Type::a), reply({{"out.example.com.", 10, kFour}}));
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().kind, FoundKind::servers);
+    EXPECT_EQ(lookup.result().targets.size(), 2u);
+    EXPECT_EQ(lookup.result().seconds, 10u) << "the least of all that led here";
 }
 
 TEST(DnsLookup, AsksForVersionSixOnlyWithoutFour) {
-    Lookup l(kName);
-    l.ask(), l.replied(askedFor(kName, Type::srv), reply({srv("r.example.com.")}));
-    EXPECT_EQ(l.ask(), std::vector{askedFor("r.example.com.", Type::a)});
-    l.replied(askedFor("r.example.com.", Type::a), reply({}));
-    EXPECT_EQ(l.ask(), std::vector{askedFor("r.example.com.", Type::aaaa)});
-    l.replied(askedFor("r.example.com.", Type::aaaa), reply({{"r.example.com.", 10, kSix}}));
-    ASSERT_TRUE(l.over());
-    EXPECT_EQ(l.found().targets[0].addresses, std::vector{kSix});
+    Lookup lookup(kName);
+    lookup.takeQuestions();
+    lookup.onReply(askedFor(kName, Type::srv), reply({srv("r.example.com.")}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("r.example.com.", Type::a)});
+    lookup.onReply(askedFor("r.example.com.", Type::a), reply({}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("r.example.com.", Type::aaaa)});
+    lookup.onReply(askedFor("r.example.com.", Type::aaaa), reply({{"r.example.com.", 10, kSix}}));
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().targets[0].addresses, std::vector{kSix});
 }
 
 TEST(DnsLookup, FollowsAliasesOfTheOwnerWithABound) {
-    Lookup l(kName);
-    l.ask();
-    l.replied(askedFor(kName, Type::srv), reply({{kName, 7, Alias{"else.example.org."}}}));
-    EXPECT_EQ(l.ask(), std::vector{askedFor("else.example.org.", Type::srv)});
-    l.replied(askedFor("else.example.org.", Type::srv),
-              reply({{"else.example.org.", 30, Srv{0, 0, 80, "r.else.example.org."}}},
-                    {{"r.else.example.org.", 30, kFour}}));
-    ASSERT_TRUE(l.over());
-    EXPECT_EQ(l.found().targets.size(), 1u);
-    EXPECT_EQ(l.found().seconds, 7u);
+    Lookup lookup(kName);
+    lookup.takeQuestions();
+    lookup.onReply(askedFor(kName, Type::srv), reply({{kName, 7, Alias{"else.example.org."}}}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("else.example.org.", Type::srv)});
+    lookup.onReply(askedFor("else.example.org.", Type::srv),
+                   reply({{"else.example.org.", 30, Srv{0, 0, 80, "r.else.example.org."}}},
+                         {{"r.else.example.org.", 30, kFour}}));
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().targets.size(), 1u);
+    EXPECT_EQ(lookup.result().seconds, 7u);
 
     Lookup circle(kName);
-    circle.ask();
-    circle.replied(askedFor(kName, Type::srv),
+    circle.takeQuestions();
+    circle.onReply(askedFor(kName, Type::srv),
                    reply({{kName, 7, Alias{"b.org."}}, {"b.org.", 7, Alias{kName}}}));
-    EXPECT_EQ(circle.found().fault, "aliases go round in a circle");
+    EXPECT_EQ(circle.result().fault, "aliases go round in a circle");
 
     Lookup chain(kName);
-    chain.ask();
+    chain.takeQuestions();
     std::vector<Record> links{{kName, 7, Alias{"n0.org."}}};
     for (int k = 0; k < 10; ++k)
         links.push_back(
             {"n" + std::to_string(k) + ".org.", 7, Alias{"n" + std::to_string(k + 1) + ".org."}});
-    chain.replied(askedFor(kName, Type::srv), reply(links));
-    EXPECT_EQ(chain.found().fault, "too many aliases in a row");
+    chain.onReply(askedFor(kName, Type::srv), reply(links));
+    EXPECT_EQ(chain.result().fault, "too many aliases in a row");
 }
 
 TEST(DnsLookup, AnAliasThatLeadsNowhereEnds) {
-    Lookup l(kName);
-    l.ask();
-    l.replied(askedFor(kName, Type::srv), reply({{kName, 7, Alias{"else.example.org."}}}));
-    EXPECT_EQ(l.ask().size(), 1u);
-    l.replied(askedFor("else.example.org.", Type::srv), reply({}));  // without SOA
-    EXPECT_TRUE(l.ask().empty()) << "the same question again, without end";
-    ASSERT_TRUE(l.over());
-    EXPECT_EQ(l.found().kind, FoundKind::noData);
+    Lookup lookup(kName);
+    lookup.takeQuestions();
+    lookup.onReply(askedFor(kName, Type::srv), reply({{kName, 7, Alias{"else.example.org."}}}));
+    EXPECT_EQ(lookup.takeQuestions().size(), 1u);
+    lookup.onReply(askedFor("else.example.org.", Type::srv), reply({}));  // without SOA
+    EXPECT_TRUE(lookup.takeQuestions().empty()) << "the same question again, without end";
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().kind, FoundKind::noData);
 }
 
 TEST(DnsLookup, AnAliasAsTargetIsAnErrorOfThatTarget) {
-    Lookup l(kName);
-    l.ask(), l.replied(askedFor(kName, Type::srv),
-                       reply({srv("bad.example.com."), srv("r.example.org.")},
-                             {{"r.example.org.", 9, kFour}}));
-    l.ask();
-    l.replied(
+    Lookup lookup(kName);
+    lookup.takeQuestions();
+    lookup.onReply(
+        askedFor(kName, Type::srv),
+        reply({srv("bad.example.com."), srv("r.example.org.")}, {{"r.example.org.", 9, kFour}}));
+    lookup.takeQuestions();
+    lookup.onReply(
         askedFor("bad.example.com.", Type::a),
         reply({{"bad.example.com.", 5, Alias{"r2.example.com."}}, {"r2.example.com.", 5, kFourB}}));
-    ASSERT_TRUE(l.over());
-    ASSERT_EQ(l.found().targets.size(), 1u);
-    EXPECT_EQ(l.found().targets[0].srv.target, "r.example.org.");
-    EXPECT_NE(l.found().notes.at(0).find("RFC 2782"), std::string::npos);
+    ASSERT_TRUE(lookup.finished());
+    ASSERT_EQ(lookup.result().targets.size(), 1u);
+    EXPECT_EQ(lookup.result().targets[0].srv.target, "r.example.org.");
+    EXPECT_NE(lookup.result().notes.at(0).find("RFC 2782"), std::string::npos);
 }
 
 TEST(DnsLookup, TellsThatThereIsNoSuchService) {
     const auto kindOf = [](const Message &m) {
-        Lookup l(kName);
-        l.ask(), l.replied(askedFor(kName, Type::srv), m);
-        EXPECT_TRUE(l.over());
-        return l.found();
+        Lookup lookup(kName);
+        lookup.takeQuestions();
+        lookup.onReply(askedFor(kName, Type::srv), m);
+        EXPECT_TRUE(lookup.finished());
+        return lookup.result();
     };
     EXPECT_EQ(kindOf(reply({srv(".")})).kind, FoundKind::notOffered);
     auto empty = reply({});
@@ -182,28 +185,31 @@
 }
 
 TEST(DnsLookup, KnownAddressesSaveQuestionsAndStandInForFailures) {
-    Lookup l(kName, {{"far.example.com.", {{kFour}, 12}}, {"old.example.com.", {{kFourB}, 0}}});
-    l.ask(), l.replied(askedFor(kName, Type::srv),
-                       reply({srv("far.example.com."), srv("old.example.com."),
-                              srv("new.example.com.")}));
-    EXPECT_EQ(l.ask().size(), 2u) << "not for the one that is known";
-    l.failed(askedFor("old.example.com.", Type::a), "no answer in time");
-    l.failed(askedFor("new.example.com.", Type::a), "no answer in time");
-    ASSERT_TRUE(l.over());
-    EXPECT_EQ(l.found().targets.size(), 2u);
-    EXPECT_EQ(l.found().unresolved, std::vector<std::string>{"new.example.com."});
+    Lookup lookup(kName,
+                  {{"far.example.com.", {{kFour}, 12}}, {"old.example.com.", {{kFourB}, 0}}});
+    lookup.takeQuestions();
+    lookup.onReply(
+        askedFor(kName, Type::srv),
+        reply({srv("far.example.com."), srv("old.example.com."), srv("new.example.com.")}));
+    EXPECT_EQ(lookup.takeQuestions().size(), 2u) << "not for the one that is known";
+    lookup.onFailure(askedFor("old.example.com.", Type::a), "no answer in time");
+    lookup.onFailure(askedFor("new.example.com.", Type::a), "no answer in time");
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().targets.size(), 2u);
+    EXPECT_EQ(lookup.result().unresolved, std::vector<std::string>{"new.example.com."});
 }
 
 TEST(DnsLookup, BoundsTheTargets) {
-    Lookup l(kName, {}, {.targets = 2, .aliases = 8, .addresses = 1});
-    l.ask(), l.replied(askedFor(kName, Type::srv),
-                       reply({srv("a.example.org."), srv("b.example.org."), srv("c.example.org.")},
-                             {{"a.example.org.", 9, kFour},
-                              {"a.example.org.", 9, kFourB},
-                              {"b.example.org.", 9, kFour}}));
-    ASSERT_TRUE(l.over());
-    EXPECT_EQ(l.found().targets.size(), 2u);
-    EXPECT_EQ(l.found().targets[0].addresses.size(), 1u);
+    Lookup lookup(kName, {}, {.targets = 2, .aliases = 8, .addresses = 1});
+    lookup.takeQuestions();
+    lookup.onReply(askedFor(kName, Type::srv),
+                   reply({srv("a.example.org."), srv("b.example.org."), srv("c.example.org.")},
+                         {{"a.example.org.", 9, kFour},
+                          {"a.example.org.", 9, kFourB},
+                          {"b.example.org.", 9, kFour}}));
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().targets.size(), 2u);
+    EXPECT_EQ(lookup.result().targets[0].addresses.size(), 1u);
 }
 
 TEST(DnsClaims, WeightsAreRelativeAndSharedByAddresses) {
@@ -226,63 +232,64 @@
     EXPECT_EQ(r.claims[0].entry.build, 7);
 }
 
-// ---- asking ----
+// ---- query schedule ----
 
-TEST(DnsAsking, GoesOverToTcpAndOnToTheNextServer) {
-    Asking a({2, 0}, 1);
-    auto now = a.next();
+TEST(DnsQuerySchedule, GoesOverToTcpAndOnToTheNextServer) {
+    QueryAttempts attempts({2, 0}, 1);
+    auto now = attempts.next();
     ASSERT_TRUE(now);
     EXPECT_EQ(now->server, 2u);
     EXPECT_FALSE(now->tcp);
     auto cut = reply({});
     cut.truncated = true;
-    EXPECT_EQ(a.replied(cut), Asking::Use::again);
-    now = a.next();
+    EXPECT_EQ(attempts.onReply(cut), QueryAttempts::ReplyUse::tryAgain);
+    now = attempts.next();
     EXPECT_EQ(now->server, 2u);
     EXPECT_TRUE(now->tcp);
-    a.noReply("closed");
-    now = a.next();
+    attempts.onFailure("closed");
+    now = attempts.next();
     EXPECT_EQ(now->server, 0u);
     EXPECT_FALSE(now->tcp) << "the next one gets a datagram first";
-    EXPECT_EQ(a.replied(reply({}, {}, Code::servFail)), Asking::Use::again);
-    now = a.next();
+    EXPECT_EQ(attempts.onReply(reply({}, {}, Code::servFail)), QueryAttempts::ReplyUse::tryAgain);
+    now = attempts.next();
     EXPECT_EQ(now->server, 2u) << "a second lap";
-    EXPECT_GE(now->within, milliseconds(800));
-    EXPECT_EQ(a.replied(reply({})), Asking::Use::answer);
+    EXPECT_GE(now->timeout, milliseconds(800));
+    EXPECT_EQ(attempts.onReply(reply({})), QueryAttempts::ReplyUse::answer);
 }
 
-TEST(DnsAsking, EndsAndDropsEdnsForAServerThatDoesNotKnowIt) {
-    Asking a({0}, 1);
-    EXPECT_TRUE(a.next()->edns);
-    a.replied(reply({}, {}, Code::formErr));
-    EXPECT_FALSE(a.next()->edns);
-    a.noReply("no answer in time");
+TEST(DnsQuerySchedule, EndsAndDropsEdnsForAServerThatDoesNotKnowIt) {
+    QueryAttempts attempts({0}, 1);
+    EXPECT_TRUE(attempts.next()->edns);
+    EXPECT_EQ(attempts.onReply(reply({}, {}, Code::formErr)), QueryAttempts::ReplyUse::tryAgain);
+    EXPECT_FALSE(attempts.next()->edns);
+    attempts.onFailure("no answer in time");
     int more = 0;
-    for (; a.next(); ++more)
-        a.noReply("no answer in time");
+    for (; attempts.next(); ++more)
+        attempts.onFailure("no answer in time");
     EXPECT_EQ(more, 1) << "two laps in all";
-    EXPECT_EQ(a.fault(), "no answer in time");
+    EXPECT_EQ(attempts.fault(), "no answer in time");
 }
 
-TEST(DnsAsking, RemembersWhichServerAnswers) {
-    ServerMemory m(3);
-    EXPECT_EQ(m.order(seconds(0)), (std::vector<std::size_t>{0, 1, 2}));
-    m.silent(0, seconds(1));
-    EXPECT_EQ(m.order(seconds(1)), (std::vector<std::size_t>{1, 2, 0}));
-    EXPECT_EQ(m.order(seconds(3)), (std::vector<std::size_t>{0, 1, 2}))
+TEST(DnsQuerySchedule, RemembersWhichServerAnswers) {
+    ServerRanking ranking(3);
+    EXPECT_EQ(ranking.order(seconds(0)), (std::vector<std::size_t>{0, 1, 2}));
+    ranking.onFailure(0, seconds(1));
+    EXPECT_EQ(ranking.order(seconds(1)), (std::vector<std::size_t>{1, 2, 0}));
+    EXPECT_EQ(ranking.order(seconds(3)), (std::vector<std::size_t>{0, 1, 2}))
         << "after a second it may try again";
-    m.silent(0, seconds(3));
-    EXPECT_EQ(m.order(seconds(4)), (std::vector<std::size_t>{1, 2, 0})) << "then two";
+    ranking.onFailure(0, seconds(3));
+    EXPECT_EQ(ranking.order(seconds(4)), (std::vector<std::size_t>{1, 2, 0})) << "then two";
     for (int k = 0; k < 3; ++k)
-        m.silent(std::size_t(k), milliseconds(9900 - 100 * k));
-    EXPECT_EQ(m.order(milliseconds(9950)), (std::vector<std::size_t>{2, 1, 0}))
+        ranking.onFailure(std::size_t(k), milliseconds(9900 - 100 * k));
+    EXPECT_EQ(ranking.order(milliseconds(9950)), (std::vector<std::size_t>{2, 1, 0}))
         << "all dead: failed longest ago first";
-    ServerMemory fast(2);
-    fast.answered(0, milliseconds(90)), fast.answered(1, milliseconds(5));
+    ServerRanking fast(2);
+    fast.onAnswer(0, milliseconds(90));
+    fast.onAnswer(1, milliseconds(5));
     EXPECT_EQ(fast.order(seconds(0)), (std::vector<std::size_t>{1, 0}));
 }
 
-TEST(DnsAsking, LifetimesAreClampedAndAskedAheadOfTheEnd) {
+TEST(DnsQuerySchedule, LifetimesAreClampedAndAskedAheadOfTheEnd) {
     Refresh r({seconds(5), seconds(600), seconds(60)}, 1);
     Found found;
     found.kind = FoundKind::servers;
@@ -309,12 +316,12 @@
     EXPECT_LE(last, seconds(30));
 }
 
-TEST(DnsAsking, CapsTheQuestionsASecond) {
-    QuestionCap exposureLimit(10);
+TEST(DnsQuerySchedule, CapsTheQuestionsASecond) {
+    QueryRateLimiter limiter(10);
     Duration now{};
     int sent = 0;
     while (now < seconds(10)) {
-        const Duration wait = exposureLimit.take(now);
+        const Duration wait = limiter.take(now);
         if (wait == Duration{0})
             ++sent;
         now += wait;
--- a/tests/unit/scripts_test.cpp
+++ b/tests/unit/scripts_test.cpp
@@ -1,5 +1,5 @@
-// Scripts of the stand-in name server through the real lookup, asking and merge, on virtual time:
-// the set over time must be what the reference of the table predicts.
+// Scripts of the stand-in name server through the real lookup, query schedule and merge, on virtual
+// time: the set over time must be what the reference of the table predicts.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -22,11 +22,12 @@
 std::optional<dns::Message> ask(const dns::Question &question,
                                 std::vector<std::unique_ptr<NameServer>> &servers,
                                 const std::vector<fakes::NameFaults> &faults,
-                                dns::ServerMemory &memory, Duration now, std::size_t &answeredBy) {
-    dns::Asking asking(memory.order(now), 1);
+                                dns::ServerRanking &ranking, Duration now,
+                                std::size_t &answeredBy) {
+    dns::QueryAttempts attempts(ranking.order(now), 1);
     dns::Message m;
     m.id = 1, m.question = question;
-    while (const auto attempt = asking.next()) {
+    while (const auto attempt = attempts.next()) {
         const auto &f = faults[attempt->server];
         auto bytes = servers[attempt->server]->reply(m, attempt->tcp);
         if (attempt->tcp && f.tcpCutAt >= 0)
@@ -35,12 +36,14 @@
         const bool whole = got.message && got.message->question == question && !f.silent &&
                            !(attempt->tcp && (f.noTcp || f.tcpCutAt >= 0));
         if (!whole) {
-            memory.silent(attempt->server, now), asking.noReply("no answer");
+            ranking.onFailure(attempt->server, now);
+            attempts.onFailure("no answer");
             continue;
         }
-        if (asking.replied(*got.message) == dns::Asking::Use::again)
+        if (attempts.onReply(*got.message) == dns::QueryAttempts::ReplyUse::tryAgain)
             continue;
-        memory.answered(attempt->server, 1ms), answeredBy = attempt->server;
+        ranking.onAnswer(attempt->server, 1ms);
+        answeredBy = attempt->server;
         return got.message;
     }
     return std::nullopt;
@@ -68,7 +71,7 @@
     membership::Merge merge(rules);
     Reference reference(rules);
     dns::Refresh refresh({}, 7);
-    dns::ServerMemory memory(servers.size());
+    dns::ServerRanking ranking(servers.size());
     std::size_t step = 0, sets = 0, last = 0, by = 0;
     Duration nextAsk{}, lookAt = Duration::max();
     const Duration end = script.steps.back().at + 300s;
@@ -85,15 +88,19 @@
             }
         if (now >= nextAsk) {
             dns::Lookup lookup(kName);
-            for (auto questions = lookup.ask(); !questions.empty(); questions = lookup.ask())
+            for (auto questions = lookup.takeQuestions(); !questions.empty();
+                 questions = lookup.takeQuestions())
                 for (const auto &q : questions) {
-                    const auto reply = ask(q, servers, faults, memory, now, by);
+                    const auto reply = ask(q, servers, faults, ranking, now, by);
                     if (q.type == dns::Type::srv)
                         last = by;
-                    reply ? lookup.replied(q, *reply) : lookup.failed(q, "no answer");
+                    if (reply)
+                        lookup.onReply(q, *reply);
+                    else
+                        lookup.onFailure(q, "no answer");
                 }
-            ASSERT_TRUE(lookup.over());
-            const auto &found = lookup.found();
+            ASSERT_TRUE(lookup.finished());
+            const auto &found = lookup.result();
             const Duration lifetime = refresh.lifetime(found);
             if (found.kind == dns::FoundKind::failed)
                 nextAsk = now + refresh.afterFailure();
