--- a/src/dns/lookup.cpp
+++ b/src/dns/lookup.cpp
@@ -1,7 +1,6 @@
 #include "lookup.hpp"
 
 #include <algorithm>
-#include <tuple>
 #include <utility>
 
 namespace deckcart::dns {
@@ -139,7 +138,7 @@
 void Lookup::onSrvReply(const Question &question, const Message &reply) {
     if (!followAliases(reply))
         return;
-    SrvRecords records = collectServers(reply);
+    const SrvRecords records = collectServers(reply);
     if (records.count == 0) {
         onNoServers(question, reply);
         return;
@@ -148,7 +147,7 @@
         finishWith(records.notOffered ? FoundKind::notOffered : FoundKind::noData);
         return;
     }
-    takeServers(std::move(records));
+    takeServers(records);
     const std::string domain = domainOf(aliasEnd);
     for (const auto &srv : srvs)
         resolveTarget(srv.target, reply, domain);
@@ -213,11 +212,11 @@
     finishWith(noName ? FoundKind::noName : FoundKind::noData);
 }
 
-void Lookup::takeServers(SrvRecords records) {
+void Lookup::takeServers(const SrvRecords &records) {
     if (records.notOffered)
         found.notes.emplace_back("target \".\" among others: passed over");
-    for (auto &[place, srv] : records.servers)
-        srvs.push_back(std::move(srv));
+    for (const auto &[place, srv] : records.servers)
+        srvs.push_back(srv);
     std::ranges::sort(srvs, {},
                       [](const Srv &srv) { return std::tie(srv.priority, srv.target, srv.port); });
     if (srvs.size() > bounds.targets) {
--- a/src/dns/lookup.hpp
+++ b/src/dns/lookup.hpp
@@ -2,9 +2,9 @@
 // RFC 2308, aliases by RFC 1034, 3.6.2). Driven by the resolver. Pure: no socket, no clock.
 #pragma once
 
-#include <compare>
 #include <map>
 #include <set>
+#include <tuple>
 
 #include "../base/clock.hpp"
 #include "message.hpp"
@@ -87,7 +87,9 @@
     struct HostPort {
         std::string target;
         std::uint16_t port = 0;
-        auto operator<=>(const HostPort &) const = default;
+        bool operator<(const HostPort &other) const {
+            return std::tie(target, port) < std::tie(other.target, other.port);
+        }
     };
     struct SrvRecords {
         std::map<HostPort, Srv> servers;
@@ -100,7 +102,7 @@
     SrvRecords collectServers(const Message &reply);
     void addServer(const Srv &srv, std::map<HostPort, Srv> &servers);
     void onNoServers(const Question &question, const Message &reply);
-    void takeServers(SrvRecords records);
+    void takeServers(const SrvRecords &records);
     void resolveTarget(const std::string &target, const Message &reply, const std::string &domain);
     void onAddressReply(const Question &question, const Message &reply);
     void settle(const std::string &target, std::vector<asio::ip::address> addresses,
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -37,12 +37,11 @@
 
 struct Resolver::Query {
     Query(asio::io_context &io, Question of, std::vector<std::size_t> order, std::uint32_t seed)
-        : question(std::move(of)), attempts(std::move(order), seed), timer(io), datagrams(io),
-          stream(io) {}
+        : question(std::move(of)), attempts(std::move(order), seed), datagrams(io), stream(io) {}
 
     void close() {
         asio::error_code ignored;
-        timer.cancel();
+        timer.reset();
         datagrams.close(ignored);
         stream.close(ignored);
     }
@@ -54,7 +53,7 @@
     std::uint64_t attemptNumber = 0;  // what comes for an earlier one is late
     std::uint16_t id = 0;
     TimePoint sentAt{};
-    asio::steady_timer timer;
+    std::optional<asio::steady_timer> timer;  // of the current attempt; reset: cancelled
     udp::socket datagrams;
     tcp::socket stream;
     std::vector<std::uint8_t> sent;
@@ -202,8 +201,8 @@
     message.id = query->id;
     message.question = query->question;
     query->sent = encode(message, attempt->edns);
-    query->timer.expires_after(attempt->timeout);
-    query->timer.async_wait(forAttempt(query, [this, query](asio::error_code fault) {
+    query->timer.emplace(context, attempt->timeout);
+    query->timer->async_wait(forAttempt(query, [this, query](asio::error_code fault) {
         if (!fault)
             onAttemptFailed(query, "no answer in time");
     }));
