--- /dev/null
+++ b/tests/unit/dns_fixture.hpp
@@ -0,0 +1,36 @@
+// What the tests of DNS share: names, addresses, records and replies in short.
+#pragma once
+
+#include <gtest/gtest.h>
+
+#include "../../src/dns/lookup.hpp"
+
+namespace deckcart::test {
+
+using namespace dns;
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+inline const std::string kName = "_relay._tcp.example.org.";
+inline const asio::ip::address kFour = asio::ip::make_address("192.0.2.1");
+inline const asio::ip::address kFourB = asio::ip::make_address("192.0.2.2");
+inline const asio::ip::address kSix = asio::ip::make_address("2001:db8::1");
+
+inline Message reply(std::vector<Record> answers, std::vector<Record> additional = {},
+                     Code code = Code::noError) {
+    Message message;
+    message.reply = true;
+    message.code = std::uint8_t(code);
+    message.answers = std::move(answers);
+    message.additional = std::move(additional);
+    return message;
+}
+inline Record srv(const std::string &target, std::uint16_t priority = 0, std::uint16_t weight = 1,
+                  std::uint16_t port = 80, std::uint32_t ttl = 30) {
+    return {kName, ttl, Srv{priority, weight, port, target}};
+}
+inline Question askedFor(const std::string &name, Type type) {
+    return {name, type};
+}
+
+}  // namespace deckcart::test
--- /dev/null
+++ b/tests/unit/dns_lookup_test.cpp
@@ -0,0 +1,135 @@
+// What the replies to the questions of one lookup mean, without sockets.
+#include "dns_fixture.hpp"
+
+namespace deckcart::test {
+namespace {
+
+TEST(DnsLookup, TakesAddressesThatComeAlongWithinTheDomainOnly) {
+    Lookup lookup(kName);
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor(kName, Type::srv)});
+    lookup.onReply(askedFor(kName, Type::srv),
+                   reply({srv("in.example.org."), srv("out.example.com.")},
+                         {{"in.example.org.", 20, kFour}, {"out.example.com.", 20, kFourB}}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("out.example.com.", Type::a)});
+    lookup.onReply(askedFor("out.example.com.", Type::a), reply({{"out.example.com.", 10, kFour}}));
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().kind, FoundKind::servers);
+    EXPECT_EQ(lookup.result().targets.size(), 2u);
+    EXPECT_EQ(lookup.result().seconds, 10u) << "the least of all that led here";
+}
+
+TEST(DnsLookup, AsksForVersionSixOnlyWithoutFour) {
+    Lookup lookup(kName);
+    lookup.takeQuestions();
+    lookup.onReply(askedFor(kName, Type::srv), reply({srv("r.example.com.")}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("r.example.com.", Type::a)});
+    lookup.onReply(askedFor("r.example.com.", Type::a), reply({}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("r.example.com.", Type::aaaa)});
+    lookup.onReply(askedFor("r.example.com.", Type::aaaa), reply({{"r.example.com.", 10, kSix}}));
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().targets[0].addresses, std::vector{kSix});
+}
+
+TEST(DnsLookup, FollowsAliasesOfTheOwnerWithABound) {
+    Lookup lookup(kName);
+    lookup.takeQuestions();
+    lookup.onReply(askedFor(kName, Type::srv), reply({{kName, 7, Alias{"else.example.org."}}}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("else.example.org.", Type::srv)});
+    lookup.onReply(askedFor("else.example.org.", Type::srv),
+                   reply({{"else.example.org.", 30, Srv{0, 0, 80, "r.else.example.org."}}},
+                         {{"r.else.example.org.", 30, kFour}}));
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().targets.size(), 1u);
+    EXPECT_EQ(lookup.result().seconds, 7u);
+
+    Lookup circle(kName);
+    circle.takeQuestions();
+    circle.onReply(askedFor(kName, Type::srv),
+                   reply({{kName, 7, Alias{"b.org."}}, {"b.org.", 7, Alias{kName}}}));
+    EXPECT_EQ(circle.result().fault, "aliases go round in a circle");
+
+    Lookup chain(kName);
+    chain.takeQuestions();
+    std::vector<Record> links{{kName, 7, Alias{"n0.org."}}};
+    for (int k = 0; k < 10; ++k)
+        links.push_back(
+            {"n" + std::to_string(k) + ".org.", 7, Alias{"n" + std::to_string(k + 1) + ".org."}});
+    chain.onReply(askedFor(kName, Type::srv), reply(links));
+    EXPECT_EQ(chain.result().fault, "too many aliases in a row");
+}
+
+TEST(DnsLookup, AnAliasThatLeadsNowhereEnds) {
+    Lookup lookup(kName);
+    lookup.takeQuestions();
+    lookup.onReply(askedFor(kName, Type::srv), reply({{kName, 7, Alias{"else.example.org."}}}));
+    EXPECT_EQ(lookup.takeQuestions().size(), 1u);
+    lookup.onReply(askedFor("else.example.org.", Type::srv), reply({}));  // without SOA
+    EXPECT_TRUE(lookup.takeQuestions().empty()) << "the same question again, without end";
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().kind, FoundKind::noData);
+}
+
+TEST(DnsLookup, AnAliasAsTargetIsAnErrorOfThatTarget) {
+    Lookup lookup(kName);
+    lookup.takeQuestions();
+    lookup.onReply(
+        askedFor(kName, Type::srv),
+        reply({srv("bad.example.com."), srv("r.example.org.")}, {{"r.example.org.", 9, kFour}}));
+    lookup.takeQuestions();
+    lookup.onReply(
+        askedFor("bad.example.com.", Type::a),
+        reply({{"bad.example.com.", 5, Alias{"r2.example.com."}}, {"r2.example.com.", 5, kFourB}}));
+    ASSERT_TRUE(lookup.finished());
+    ASSERT_EQ(lookup.result().targets.size(), 1u);
+    EXPECT_EQ(lookup.result().targets[0].srv.target, "r.example.org.");
+    EXPECT_NE(lookup.result().notes.at(0).find("RFC 2782"), std::string::npos);
+}
+
+TEST(DnsLookup, TellsThatThereIsNoSuchService) {
+    const auto kindOf = [](const Message &m) {
+        Lookup lookup(kName);
+        lookup.takeQuestions();
+        lookup.onReply(askedFor(kName, Type::srv), m);
+        EXPECT_TRUE(lookup.finished());
+        return lookup.result();
+    };
+    EXPECT_EQ(kindOf(reply({srv(".")})).kind, FoundKind::notOffered);
+    auto empty = reply({});
+    empty.authority = {{"example.org.", 20, ZoneStart{7}}};
+    EXPECT_EQ(kindOf(empty).kind, FoundKind::noData);
+    EXPECT_EQ(kindOf(empty).seconds, 7u) << "the lesser of lifetime and MINIMUM";
+    empty.code = std::uint8_t(Code::nxDomain);
+    EXPECT_EQ(kindOf(empty).kind, FoundKind::noName);
+    EXPECT_EQ(kindOf(reply({srv("r.example.org.", 0, 0, 0)})).kind, FoundKind::noData) << "port 0";
+}
+
+TEST(DnsLookup, KnownAddressesSaveQuestionsAndStandInForFailures) {
+    Lookup lookup(kName,
+                  {{"far.example.com.", {{kFour}, 12}}, {"old.example.com.", {{kFourB}, 0}}});
+    lookup.takeQuestions();
+    lookup.onReply(
+        askedFor(kName, Type::srv),
+        reply({srv("far.example.com."), srv("old.example.com."), srv("new.example.com.")}));
+    EXPECT_EQ(lookup.takeQuestions().size(), 2u) << "not for the one that is known";
+    lookup.onFailure(askedFor("old.example.com.", Type::a), "no answer in time");
+    lookup.onFailure(askedFor("new.example.com.", Type::a), "no answer in time");
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().targets.size(), 2u);
+    EXPECT_EQ(lookup.result().unresolved, std::vector<std::string>{"new.example.com."});
+}
+
+TEST(DnsLookup, BoundsTheTargets) {
+    Lookup lookup(kName, {}, {.targets = 2, .aliases = 8, .addresses = 1});
+    lookup.takeQuestions();
+    lookup.onReply(askedFor(kName, Type::srv),
+                   reply({srv("a.example.org."), srv("b.example.org."), srv("c.example.org.")},
+                         {{"a.example.org.", 9, kFour},
+                          {"a.example.org.", 9, kFourB},
+                          {"b.example.org.", 9, kFour}}));
+    ASSERT_TRUE(lookup.finished());
+    EXPECT_EQ(lookup.result().targets.size(), 2u);
+    EXPECT_EQ(lookup.result().targets[0].addresses.size(), 1u);
+}
+
+}  // namespace
+}  // namespace deckcart::test
--- /dev/null
+++ b/tests/unit/restart_test.cpp
@@ -0,0 +1,22 @@
+// When the decision module may start anew.
+#include "../../src/membership/restart.hpp"
+#include "merge_fixture.hpp"
+
+namespace deckcart::test {
+namespace {
+
+TEST(ModuleRestart, NeedsOneLiveBuildAndNoTrial) {
+    using membership::mayStartAnew;
+    const auto entry = [](BuildNumber build, EndpointState state) {
+        return claimOf(1, build, state).entry;
+    };
+    EXPECT_TRUE(mayStartAnew({}, std::nullopt));
+    EXPECT_TRUE(mayStartAnew({entry(1, EndpointState::active), entry(2, EndpointState::draining)},
+                             RolloutPhase::released));
+    EXPECT_FALSE(mayStartAnew({entry(1, EndpointState::active), entry(2, EndpointState::active)},
+                              RolloutPhase::released));
+    EXPECT_FALSE(mayStartAnew({entry(1, EndpointState::active)}, RolloutPhase::canary));
+}
+
+}  // namespace
+}  // namespace deckcart::test
