--- a/tests/unit/scripts_test.cpp
+++ b/tests/unit/scripts_test.cpp
@@ -49,83 +49,124 @@
     return std::nullopt;
 }
 
+// A script's name servers, looked up and merged on virtual time, beside the reference.
+class ScriptRun {
+  public:
+    explicit ScriptRun(const fakes::NameScript &of)
+        : script(of), faults(std::size_t(of.servers)), ranking(std::size_t(of.servers)) {
+        servers.reserve(faults.size());
+        for (int k = 0; k < script.servers; ++k)
+            servers.push_back(std::make_unique<NameServer>(
+                io, asio::ip::udp::endpoint(asio::ip::address_v4::loopback(), 0),
+                std::uint32_t(k + 1)));
+    }
+    Duration end() const { return script.steps.back().at + 300s; }
+    // When something is to be done next.
+    Duration next() const { return std::min({nextLookup, lookAt, end()}); }
+    void advanceTo(Duration now) {
+        for (; step < script.steps.size() && script.steps[step].at <= now; ++step)
+            carryOut(script.steps[step]);
+        if (now >= nextLookup)
+            lookUp(now);
+        const auto view = merge.at(now);
+        for (const auto &[source, at] : view.confirm)
+            nextLookup = std::min(nextLookup, std::max(at, now + 1s));
+        lookAt = view.changesAt.value_or(Duration::max());
+        merged.clear();
+        for (const auto &member : view.members)
+            if (member.inSet)
+                merged += words(member.entry);
+        predicted.clear();
+        for (const auto &[id, entry] : reference.at(now))
+            predicted += words(entry);
+    }
+
+    std::string merged;
+    std::string predicted;
+
+  private:
+    static MergeRules rules() {
+        MergeRules rules;
+        rules.sources = {{kName, membership::SourceKind::srv}};
+        rules.longestStale = 600s;
+        rules.confirmShare = 0.3;
+        rules.confirmAfter = 5s;
+        rules.grace = 30s;
+        rules.reserveBelow = 2;
+        rules.reserveUntil = 3;
+        return rules;
+    }
+    static std::string words(const EndpointEntry &entry) {
+        return entry.id + (entry.state == EndpointState::active ? " live; " : " draining; ");
+    }
+    void carryOut(const fakes::NameStep &now) {
+        for (std::size_t k = 0; k < servers.size(); ++k) {
+            if (!now.servers.empty() && std::ranges::find(now.servers, int(k)) == now.servers.end())
+                continue;
+            if (now.records)
+                servers[k]->serve(*now.records);
+            faults[k] = now.faults;
+            servers[k]->misbehave(faults[k]);
+        }
+    }
+    void answer(dns::Lookup &lookup, const dns::Question &question, Duration now) {
+        const auto reply = ask(question, servers, faults, ranking, now, answeredBy);
+        if (question.type == dns::Type::srv)
+            srvAnsweredBy = answeredBy;
+        if (reply)
+            lookup.onReply(question, *reply);
+        else
+            lookup.onFailure(question, "no answer");
+    }
+    void lookUp(Duration now) {
+        dns::Lookup lookup(kName);
+        for (auto questions = lookup.takeQuestions(); !questions.empty();
+             questions = lookup.takeQuestions())
+            for (const auto &question : questions)
+                answer(lookup, question, now);
+        ASSERT_TRUE(lookup.finished());
+        const auto &found = lookup.result();
+        const Duration lifetime = refresh.lifetime(found);
+        if (found.kind == dns::FoundKind::failed) {
+            nextLookup = now + refresh.afterFailure();
+            return;
+        }
+        const auto reading = membership::readingOf({kName, 1, 0, 0}, found, now, lifetime,
+                                                   std::to_string(srvAnsweredBy));
+        merge.took(0, reading);
+        reference.took(0, reading);
+        nextLookup = now + refresh.afterAnswer(lifetime);
+    }
+
+    const fakes::NameScript &script;
+    asio::io_context io;
+    std::vector<std::unique_ptr<NameServer>> servers;
+    std::vector<fakes::NameFaults> faults;
+    membership::Merge merge{rules()};
+    Reference reference{rules()};
+    dns::Refresh refresh{{}, 7};
+    dns::ServerRanking ranking;
+    std::size_t step = 0;
+    std::size_t answeredBy = 0;
+    std::size_t srvAnsweredBy = 0;
+    Duration nextLookup{};
+    Duration lookAt = Duration::max();
+};
+
 class Scripts : public testing::TestWithParam<std::string> {};
 
 TEST_P(Scripts, TheSetIsWhatTheTablePredicts) {
     std::ifstream file(GetParam());
     const auto read = fakes::readNameScript(nlohmann::json::parse(file));
     ASSERT_TRUE(read.script) << toJson(read.refused);
-    const auto &script = *read.script;
-    asio::io_context io;
-    std::vector<std::unique_ptr<NameServer>> servers;
-    for (int k = 0; k < script.servers; ++k)
-        servers.push_back(std::make_unique<NameServer>(
-            io, asio::ip::udp::endpoint(asio::ip::address_v4::loopback(), 0),
-            std::uint32_t(k + 1)));
-    std::vector<fakes::NameFaults> faults(servers.size());
-
-    MergeRules rules;
-    rules.sources = {{kName, membership::SourceKind::srv}};
-    rules.longestStale = 600s, rules.confirmShare = 0.3, rules.confirmAfter = 5s, rules.grace = 30s;
-    rules.reserveBelow = 2, rules.reserveUntil = 3;
-    membership::Merge merge(rules);
-    Reference reference(rules);
-    dns::Refresh refresh({}, 7);
-    dns::ServerRanking ranking(servers.size());
-    std::size_t step = 0, sets = 0, last = 0, by = 0;
-    Duration nextAsk{}, lookAt = Duration::max();
-    const Duration end = script.steps.back().at + 300s;
+    ScriptRun run(*read.script);
+    std::size_t sets = 0;
     std::string before;
-    for (Duration now{}; now < end; now = std::min({nextAsk, lookAt, end})) {
-        for (; step < script.steps.size() && script.steps[step].at <= now; ++step)
-            for (std::size_t k = 0; k < servers.size(); ++k) {
-                const auto &s = script.steps[step];
-                if (!s.servers.empty() && std::ranges::find(s.servers, int(k)) == s.servers.end())
-                    continue;
-                if (s.records)
-                    servers[k]->serve(*s.records);
-                servers[k]->misbehave(faults[k] = s.faults);
-            }
-        if (now >= nextAsk) {
-            dns::Lookup lookup(kName);
-            for (auto questions = lookup.takeQuestions(); !questions.empty();
-                 questions = lookup.takeQuestions())
-                for (const auto &q : questions) {
-                    const auto reply = ask(q, servers, faults, ranking, now, by);
-                    if (q.type == dns::Type::srv)
-                        last = by;
-                    if (reply)
-                        lookup.onReply(q, *reply);
-                    else
-                        lookup.onFailure(q, "no answer");
-                }
-            ASSERT_TRUE(lookup.finished());
-            const auto &found = lookup.result();
-            const Duration lifetime = refresh.lifetime(found);
-            if (found.kind == dns::FoundKind::failed)
-                nextAsk = now + refresh.afterFailure();
-            else {
-                const auto r = membership::readingOf({kName, 1, 0, 0}, found, now, lifetime,
-                                                     std::to_string(last));
-                merge.took(0, r), reference.took(0, r);
-                nextAsk = now + refresh.afterAnswer(lifetime);
-            }
-        }
-        const auto view = merge.at(now);
-        for (const auto &[source, at] : view.confirm)
-            nextAsk = std::min(nextAsk, std::max(at, now + 1s));
-        lookAt = view.changesAt.value_or(Duration::max());
-        std::string got, want;
-        const auto words = [](const EndpointEntry &e) {
-            return e.id + (e.state == EndpointState::active ? " live; " : " draining; ");
-        };
-        for (const auto &m : view.members)
-            if (m.inSet)
-                got += words(m.entry);
-        for (const auto &[id, e] : reference.at(now))
-            want += words(e);
-        ASSERT_EQ(got, want) << "at " << now.count() / 1000 << " ms";
-        sets += got != before, before = got;
+    for (Duration now{}; now < run.end(); now = run.next()) {
+        ASSERT_NO_FATAL_FAILURE(run.advanceTo(now));
+        ASSERT_EQ(run.merged, run.predicted) << "at " << now.count() / 1000 << " ms";
+        sets += run.merged != before;
+        before = run.merged;
     }
     EXPECT_GE(sets, 2u) << "nothing happened";
 }
