--- a/src/gateway/http_upstream.cpp
+++ b/src/gateway/http_upstream.cpp
@@ -17,9 +17,9 @@
 }  // namespace
 
 HttpCall::HttpCall(Pool &connectionPool, const GatewaySettings &gatewaySettings, EndpointId target,
-                   std::shared_ptr<http::ClientConnection> taken)
+                   std::shared_ptr<http::ClientConnection> clientConnection)
     : pool(connectionPool), settings(gatewaySettings), endpoint(std::move(target)),
-      connection(std::move(taken)) {}
+      connection(std::move(clientConnection)) {}
 
 void HttpCall::start(const DownstreamRequest &request, const std::string &name,
                      PreSendCheck preSendCheck, BuildNumber buildOfEndpoint,
@@ -38,13 +38,13 @@
             sent.headers.push_back(header);
     }
     if (!received.find(settings.headers.requestId))
-        sent.headers.push_back({settings.headers.requestId, name});
+        sent.headers.emplace_back(settings.headers.requestId, name);
     // What is left of the client's wait, as it is now. None: the call ends while its connection is
     // made, by its time.
     const Duration left = preSendCheck().value_or(Duration{0});
     const auto leftMs = std::chrono::duration_cast<std::chrono::milliseconds>(left).count();
-    sent.headers.push_back({settings.headers.remaining, std::to_string(leftMs)});
-    sent.headers.push_back({"Via", "1.1 deckcart"});
+    sent.headers.emplace_back(settings.headers.remaining, std::to_string(leftMs));
+    sent.headers.emplace_back("Via", "1.1 deckcart");
     if (!httpRequest.body().empty() || received.length || received.chunked)
         sent.length = httpRequest.body().size();
     connection->call(*parseAddress(endpoint), settings.upstream.connectWithin,
@@ -63,8 +63,8 @@
         const auto &[field, value] = header;
         return !http::travels(head, field);
     });
-    forwarded.headers.push_back({kEndHeader, "completed"});
-    forwarded.headers.push_back({kBuildHeader, std::to_string(build)});
+    forwarded.headers.emplace_back(kEndHeader, "completed");
+    forwarded.headers.emplace_back(kBuildHeader, std::to_string(build));
     return forwarded;
 }
 
--- a/src/gateway/idle_connections.hpp
+++ b/src/gateway/idle_connections.hpp
@@ -50,7 +50,7 @@
             return nullptr;
         auto &connections = found->second;
         for (std::size_t index = connections.size(); index-- > 0;) {
-            const ConnectionPtr connection = connections[index];
+            ConnectionPtr connection = connections[index];
             const Use use = useOf(*connection);
             if (use == Use::waits)
                 continue;
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -11,8 +11,8 @@
         return kept.reusable() ? Use::takes : Use::none;
     });
     if (!connection) {
-        const auto taken = inUse.find(endpoint);
-        if ((taken == inUse.end() ? 0 : taken->second) >= settings.upstream.connections)
+        const auto found = inUse.find(endpoint);
+        if ((found == inUse.end() ? 0 : found->second) >= settings.upstream.connections)
             return nullptr;
         connection = std::make_shared<http::ClientConnection>(context, settings.listener.headBytes);
     }
@@ -22,8 +22,8 @@
 
 void Pool::give(const EndpointId &endpoint,
                 const std::shared_ptr<http::ClientConnection> &connection, TimePoint now) {
-    if (const auto taken = inUse.find(endpoint); --taken->second == 0)
-        inUse.erase(taken);
+    if (const auto found = inUse.find(endpoint); --found->second == 0)
+        inUse.erase(found);
     if (!connection->reusable())
         return connection->drop();
     idle.keep(endpoint, connection, now);
--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -7,11 +7,11 @@
 
 using Then = Reply::Then;
 
-std::size_t total(const std::deque<ScriptedEndpoint> &all) {
-    std::size_t n = 0;
-    for (const auto &one : all)
-        n += one.requests.size();
-    return n;
+std::size_t totalRequests(const std::deque<ScriptedEndpoint> &endpoints) {
+    std::size_t total = 0;
+    for (const auto &endpoint : endpoints)
+        total += endpoint.requests.size();
+    return total;
 }
 
 // ---- outcomes ----
@@ -40,26 +40,26 @@
     EXPECT_EQ(instances[0].requests.size(), 12u);
 }
 
-TEST_F(Path, ResetAfterTheReqIsErroredWhereItMayNotRunTwice) {
+TEST_F(Path, ResetAfterTheRequestIsErroredWhereItMayNotRunTwice) {
     for (int k = 0; k < 2; ++k)
         instance([](auto, auto &) { return Reply{"", Then::reset}; });
     start();
     const auto answer = ask("/once");
     EXPECT_EQ(statusOf(answer), 502);
     EXPECT_TRUE(says(answer, "Deckcart-End: errored"));
-    EXPECT_EQ(total(instances), 1u);
+    EXPECT_EQ(totalRequests(instances), 1u);
 }
 
-TEST_F(Path, ResetAfterTheReqIsTriedElsewhereWithTheSameMark) {
+TEST_F(Path, ResetAfterTheRequestIsRetriedElsewhereWithTheSameIdempotencyKey) {
     instance([this](auto, auto &) {
-        return total(instances) == 1 ? Reply{"", Then::reset} : ok();
+        return totalRequests(instances) == 1 ? Reply{"", Then::reset} : ok();
     });
     instance([this](auto, auto &) {
-        return total(instances) == 1 ? Reply{"", Then::reset} : ok();
+        return totalRequests(instances) == 1 ? Reply{"", Then::reset} : ok();
     });
     start();
     EXPECT_EQ(statusOf(ask("/deduped", "Idempotency-Key: m-1\r\nX-Remaining-Ms: 3000\r\n")), 200);
-    ASSERT_EQ(total(instances), 2u);
+    ASSERT_EQ(totalRequests(instances), 2u);
     for (const auto &i : instances)
         for (const auto &request : i.requests) {
             EXPECT_TRUE(says(request, "Idempotency-Key: m-1\r\n"));
@@ -69,22 +69,22 @@
         }
 }
 
-TEST_F(Path, FullWithItsSignNeverRanAndMayGoElsewhere) {
+TEST_F(Path, OverloadedWithItsHeaderNeverRanAndMayGoElsewhere) {
     for (int k = 0; k < 2; ++k)
         instance([this](auto, auto &) {
-            return total(instances) == 1 ? status(503, "X-Instance-Full: 1\r\n") : ok();
+            return totalRequests(instances) == 1 ? status(503, "X-Instance-Full: 1\r\n") : ok();
         });
     start();
     EXPECT_EQ(statusOf(ask("/once")), 200);
-    EXPECT_EQ(total(instances), 2u);
+    EXPECT_EQ(totalRequests(instances), 2u);
 }
 
-TEST_F(Path, A503WithoutTheSignMayHaveRun) {
+TEST_F(Path, A503WithoutTheHeaderMayHaveRun) {
     for (int k = 0; k < 2; ++k)
         instance([](auto, auto &) { return status(503); });
     start();
     EXPECT_EQ(statusOf(ask("/once")), 502);
-    EXPECT_EQ(total(instances), 1u);
+    EXPECT_EQ(totalRequests(instances), 1u);
 }
 
 TEST_F(Path, AClientsErrorIsAnAnswerLikeAnother) {
@@ -103,7 +103,8 @@
     EXPECT_EQ(statusOf(answer), 504);
     EXPECT_TRUE(says(answer, "Deckcart-End: errored"));
     EXPECT_LT(std::chrono::steady_clock::now() - from, 300ms + 2s);
-    EXPECT_EQ(gateway->counts().overdue, 0u) << "by the module's word, not the shell's guard";
+    EXPECT_EQ(gateway->counts().overdue, 0u)
+        << "by the policy's decision, not the data path's guard";
     const auto own = ask("/once", "X-Remaining-Ms: 200\r\n");
     EXPECT_EQ(statusOf(own), 504) << "the client's own time, not the route's";
     EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }));
@@ -141,10 +142,10 @@
     instance([&](auto, auto &) { return bad[now].second; });
     start();
     for (now = 0; now < bad.size(); ++now) {
-        const auto before = total(instances);
+        const auto before = totalRequests(instances);
         const auto answer = ask("/once");
         EXPECT_EQ(statusOf(answer), 502) << bad[now].first;
-        EXPECT_EQ(total(instances), before + 1) << bad[now].first;
+        EXPECT_EQ(totalRequests(instances), before + 1) << bad[now].first;
         EXPECT_TRUE(until([&] { return instances[0].open + instances[1].open == 0; }))
             << bad[now].first;
     }
@@ -167,7 +168,7 @@
     }
 }
 
-TEST_F(Path, AnIdleConnectionThatClosesAsTheReqGoesOutMayHaveTakenIt) {
+TEST_F(Path, AnIdleConnectionThatClosesAsTheRequestGoesOutMayHaveTakenIt) {
     instance([](std::size_t nth, auto &) { return nth == 0 ? ok() : Reply{"", Then::close}; });
     start();
     EXPECT_EQ(statusOf(ask("/once")), 200);
@@ -204,7 +205,7 @@
     EXPECT_TRUE(says(chunked, "Transfer-Encoding: chunked"));
     EXPECT_TRUE(chunked.ends_with("\r\n0\r\n\r\n"));
     EXPECT_EQ(std::ranges::count(chunked, 'x'), 700'000);
-    EXPECT_EQ(instances[0].opened, 1u) << "kept for the next req";
+    EXPECT_EQ(instances[0].opened, 1u) << "kept for the next request";
 }
 
 TEST_F(Path, AStreamThatBreaksOffIsCutAndNeverSentAgain) {
@@ -217,7 +218,7 @@
     const auto answer = ask("/x");
     EXPECT_EQ(statusOf(answer), 200);
     EXPECT_LT(answer.size(), 900'000u);
-    EXPECT_EQ(total(instances), 1u);
+    EXPECT_EQ(totalRequests(instances), 1u);
     EXPECT_EQ(gateway->counts().errored, 1u);
     EXPECT_EQ(gateway->counts().completed, 0u);
 }
@@ -241,7 +242,7 @@
 
 // ---- clients ----
 
-TEST_F(Path, PipelinedReqsAreAnsweredInOrderAcrossAnError) {
+TEST_F(Path, PipelinedRequestsAreAnsweredInOrderAcrossAnError) {
     instance([](auto, const std::string &request) {
         return says(request, "/once") ? status(500) : ok(request.substr(5, 2));
     });
@@ -269,7 +270,7 @@
         EXPECT_TRUE(until([&] { return c.closed; }));
         EXPECT_EQ(c.statuses(), std::vector<int>{400}) << bad;
     }
-    EXPECT_EQ(total(instances), 0u);
+    EXPECT_EQ(totalRequests(instances), 0u);
     EXPECT_EQ(gateway->counts().taken, 0u);
 }
 
@@ -305,15 +306,15 @@
     c.hangUp();
     EXPECT_TRUE(until([&] { return gateway->connections() == 0; }));
     EXPECT_EQ(gateway->counts().taken, 0u);
-    EXPECT_EQ(total(instances), 0u);
+    EXPECT_EQ(totalRequests(instances), 0u);
 }
 
-TEST_F(Path, AClientGoneWhileItWaitsEndsTheTry) {
+TEST_F(Path, AClientGoneWhileItWaitsEndsTheAttempt) {
     instance([](auto, auto &) { return Reply{}; });
     start();
     auto &c = client();
     c.send("POST /x HTTP/1.1\r\nHost: r\r\n\r\n");
-    ASSERT_TRUE(until([&] { return total(instances) == 1; }));
+    ASSERT_TRUE(until([&] { return totalRequests(instances) == 1; }));
     c.hangUp();
     EXPECT_TRUE(until([&] { return instances[0].open == 0; }))
         << "the instance sees its connection close";
@@ -372,7 +373,7 @@
     EXPECT_TRUE(until([&] { return fifth.closed; })) << "and is served when one has left";
 }
 
-TEST_F(Path, ASlowReqIsGivenUpInBoundedTime) {
+TEST_F(Path, ASlowRequestIsGivenUpInBoundedTime) {
     document["limits"] = {{"messageWithinMs", 100}};
     start();
     auto &c = client();
@@ -444,7 +445,7 @@
     ASSERT_TRUE(until([&] { return c.statuses().size() == 1; }));
     EXPECT_EQ(c.statuses(), std::vector<int>{200});
     for (const auto &i : instances)
-        EXPECT_EQ(i.requests.size(), 1u) << "probed, or sent the req: never both";
+        EXPECT_EQ(i.requests.size(), 1u) << "probed, or sent the request: never both";
 }
 
 TEST_F(Path, AConnectThatIsLateIsNotUsed) {
@@ -496,27 +497,27 @@
 TEST_F(Path, ARepeatLeavesTimeToConnectWithinItsWindow) {
     for (int k = 0; k < 2; ++k)
         instance([this](auto, auto &) {
-            return total(instances) == 1 ? Reply{"", Then::reset} : ok();
+            return totalRequests(instances) == 1 ? Reply{"", Then::reset} : ok();
         });
     document["routes"][1]["repeatWindowMs"] = 200;
     document["upstream"] = {{"connectWithinMs", 250}};
     start();
     EXPECT_EQ(statusOf(ask("/deduped")), 503) << "a connect could outlast the memory of the first";
-    EXPECT_EQ(total(instances), 1u);
+    EXPECT_EQ(totalRequests(instances), 1u);
 }
 
-TEST_F(Path, AReqInHandWhileItsInstanceDrainsIsFinished) {
+TEST_F(Path, ARequestInFlightWhileItsEndpointDrainsIsFinished) {
     instance([](auto, auto &) { return Reply{}; });
     start();
     auto &c = client();
     c.send("GET /x HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 400\r\n\r\n");
-    ASSERT_TRUE(until([&] { return total(instances) == 1; }));
+    ASSERT_TRUE(until([&] { return totalRequests(instances) == 1; }));
     controlPlane.list(instances[0].id(), 1, EndpointState::removed);
     EXPECT_TRUE(until([&] { return c.statuses().size() == 1; }));
-    EXPECT_EQ(total(instances), 1u);
+    EXPECT_EQ(totalRequests(instances), 1u);
 }
 
-TEST_F(Path, AFailingDeskIsAskedAgainAndTheLastListStays) {
+TEST_F(Path, AFailingControlPlaneIsPolledAgainAndTheLastListStays) {
     instance([](auto, auto &) { return ok(); });
     document["desk"]["silentForMs"] = 100;
     start();
@@ -547,14 +548,14 @@
     EXPECT_EQ(probes, 2u);
 }
 
-// ---- settings, drains, standstills ----
+// ---- settings, drains, process stalls ----
 
-TEST_F(Path, NewSettingsDropNoReqInHand) {
+TEST_F(Path, NewSettingsDropNoRequestInFlight) {
     instance([](auto, auto &) { return Reply{}; });
     start();
     auto &c = client();
     c.send("POST /once HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 500\r\n\r\n");
-    ASSERT_TRUE(until([&] { return total(instances) == 1; }));
+    ASSERT_TRUE(until([&] { return totalRequests(instances) == 1; }));
     ASSERT_TRUE(gateway->mayRestartModule());
     document["release"] = {{"spareTries", 9}};
     gateway->apply(*parseSettings(document).settings, true);
@@ -567,7 +568,7 @@
     EXPECT_FALSE(second.requests.empty()) << "the new start of the module has the list";
 }
 
-TEST_F(Path, TheModuleIsNotStartedAnewBesideABuildOnTrial) {
+TEST_F(Path, ThePolicyIsNotStartedAnewBesideACanary) {
     instance([](auto, auto &) { return ok(); });
     start();
     EXPECT_TRUE(gateway->mayRestartModule());
@@ -577,7 +578,7 @@
     EXPECT_FALSE(gateway->mayRestartModule());
 }
 
-TEST_F(Path, DrainingFinishesWhatIsInHandAndTakesNoMore) {
+TEST_F(Path, DrainingFinishesWhatIsInFlightAndAcceptsNoMore) {
     instance([](auto, auto &) { return Reply{}; });
     start();
     auto &busy = client();
@@ -598,19 +599,19 @@
     EXPECT_TRUE(says(busy.in, "Connection: close"));
 }
 
-TEST_F(Path, AStandstillIsNoInstancesLatencyAndWhatIsOverdueIsAnsweredFirst) {
-    std::size_t held = 0;
+TEST_F(Path, AProcessStallIsNoEndpointsLatencyAndWhatIsOverdueIsAnsweredFirst) {
+    std::size_t unanswered = 0;
     instance([&](auto, const std::string &request) {
-        return says(request, "/once") ? (++held, Reply{}) : ok();
+        return says(request, "/once") ? (++unanswered, Reply{}) : ok();
     });
     instance([&](auto, const std::string &request) {
-        return says(request, "/once") ? (++held, Reply{}) : ok();
+        return says(request, "/once") ? (++unanswered, Reply{}) : ok();
     });
     start();
     askAtOnce(20);
     auto &overdue = client();
     overdue.send("POST /once HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 2000\r\n\r\n");
-    ASSERT_TRUE(until([&] { return held == 1; }));
+    ASSERT_TRUE(until([&] { return unanswered == 1; }));
     const auto completed = gateway->counts().completed;
     clock.ahead = 3s;  // this process stood still
     auto &after = client();
@@ -628,7 +629,7 @@
     EXPECT_GT(instances[1].requests.size(), before[1]);
 }
 
-TEST_F(Path, OnlyAnAnswerThatWasGivenHereCanBeReportedWrong) {
+TEST_F(Path, OnlyAResponseThatWasPassedOnHereCanBeReportedIncorrect) {
     instance([](auto, auto &) { return ok(); });
     start();
     EXPECT_EQ(statusOf(ask("/x", "X-Request-Id: r7\r\n")), 200);
@@ -636,7 +637,7 @@
     EXPECT_FALSE(gateway->reportIncorrectResponse("r8"));
 }
 
-TEST_F(Path, AnAnswerReportedTwiceIsWrongOnce) {
+TEST_F(Path, AResponseReportedTwiceIsIncorrectOnce) {
     for (const BuildNumber build : {1, 2})
         controlPlane.list(instances.emplace_back(io, [](auto, auto &) { return ok(); }).id(),
                           build);
@@ -658,7 +659,7 @@
     EXPECT_TRUE(until([&] { return controlPlane.votes == 1; }));
 }
 
-// ---- a gateway that starts empty on a rough day ----
+// ---- a gateway that starts empty while builds fail ----
 
 TEST_F(Path, ARestartedGatewayVotesOnNothingThatItHasNotSeen) {
     for (const BuildNumber build : {1, 2})
@@ -687,7 +688,7 @@
     }
 }
 
-TEST_F(Path, ARestartedGatewayWithItsDeskAwayAnswersWithinTheFirstCap) {
+TEST_F(Path, ARestartedGatewayWithoutControlPlaneStaysWithinTheFirstExposureLimit) {
     std::vector<ListedEndpoint> list;
     for (const BuildNumber build : {1, 2, 2, 2})
         list.push_back(
@@ -700,7 +701,7 @@
     gateway->remember(list);
     for (int k = 0; k < 40; ++k)
         EXPECT_EQ(statusOf(ask("/x")), 200) << "hardly an earlier build is left";
-    EXPECT_LE(total(instances) - instances[0].requests.size(), 2 + 4u)
+    EXPECT_LE(totalRequests(instances) - instances[0].requests.size(), 2 + 4u)
         << "told nothing: spare and a tenth";
 }
 
@@ -722,14 +723,14 @@
             statusOf(ask(k % 4 ? "/x" : "/once", "X-Request-Id: q" + std::to_string(k) + "\r\n")) /
                 100,
             5);
-    EXPECT_EQ(total(instances), gateway->counts().attempts)
+    EXPECT_EQ(totalRequests(instances), gateway->counts().attempts)
         << "no layer below the module sends anything again";
     for (const auto &[request, times] : arrived)
         EXPECT_LE(times, 3) << request;
     for (int k = 0; k < n; k += 4)
         EXPECT_LE(arrived["X-Request-Id: q" + std::to_string(k)], 1) << k;
     // First attempts, a fifth of them again, and what was saved up before.
-    EXPECT_LE(total(instances), n + n / 5 + 10u);
+    EXPECT_LE(totalRequests(instances), n + n / 5 + 10u);
 }
 
 }  // namespace
