--- a/tests/path/platform.sh
+++ b/tests/path/platform.sh
@@ -29,7 +29,7 @@
 [ "$line" = $'+PONG\r' ] || fail "PING got '$line'"
 printf '*4\r\n$5\r\nQ.ASK\r\n$1\r\nk\r\n$2\r\nid\r\n$11\r\nc=any,d=400\r\n' >&3
 read -r -t 5 line <&3
-case "$line" in -BUSY*) ;; *) fail "with no instance a req got '$line'" ;; esac
+case "$line" in -BUSY*) ;; *) fail "with no endpoint a request got '$line'" ;; esac
 
 wait_for() { for _ in $(seq 500); do [ "$(grep -c "\"event\":\"$1\"" "$folder/log")" -ge "$2" ] && return; sleep 0.01; done; fail "no $1"; }
 sed -i 's/127.9.9.9:9"/127.9.9.8:9"/' "$folder/config.json"
