--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -21,7 +21,7 @@
 std::optional<asio::ip::tcp::endpoint> SettingsReader::address(const json &from, const char *name,
                                                                const std::string &path) {
     const auto text = from.at(name).get<std::string>();
-    const auto parsed = parseAddress(text);
+    auto parsed = parseAddress(text);
     if (!parsed)
         refuse(path, "'" + text + "' is not HOST:PORT with a numeric host");
     return parsed;
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -94,13 +94,16 @@
         json document = settings();
         document[json::json_pointer(where)] = what;
         const auto read = parseSettings(document);
+        const char *const path = named;
         if (!named) {
             EXPECT_TRUE(read.settings) << where;
             continue;
         }
         EXPECT_FALSE(read.settings) << where << " " << what;
-        EXPECT_TRUE(std::ranges::any_of(
-            read.refused, [&](const Refusal &r) { return r.path == named && !r.reason.empty(); }))
+        EXPECT_TRUE(std::ranges::any_of(read.refused,
+                                        [&](const Refusal &refusal) {
+                                            return refusal.path == path && !refusal.reason.empty();
+                                        }))
             << where << " " << what << " gave " << toJson(read.refused);
     }
     json shadowed = settings();
--- a/tests/unit/snapshot_test.cpp
+++ b/tests/unit/snapshot_test.cpp
@@ -19,11 +19,11 @@
     EXPECT_EQ(writeWhole(path, R"({"format": 1, "n": 1})", Durable::yes), "");
     EXPECT_EQ(readSnapshot(path, 1).document->at("n"), 1);
     std::ofstream(path.string() + ".new")
-        << "{\"format\": 1, \"n\"";  // a kill in the middle of the next write
+        << R"({"format": 1, "n")";  // a kill in the middle of the next write
     EXPECT_EQ(readSnapshot(path, 1).document->at("n"), 1);
     EXPECT_NE(readSnapshot(path, 2).fault, "");
     EXPECT_TRUE(std::filesystem::exists(path.string() + ".bad"));
-    std::ofstream(path) << "{\"format\": 1, \"n\"";
+    std::ofstream(path) << R"({"format": 1, "n")";
     EXPECT_NE(readSnapshot(path, 1).fault, "");
     EXPECT_FALSE(readSnapshot(path, 1).document);
     EXPECT_NE(writeWhole(folder / "no" / "one.json", "x", Durable::yes), "");
@@ -51,7 +51,7 @@
 }
 
 TEST_F(SnapshotFile, OnlyAnObjectIsADocument) {
-    for (const char *bytes : {"", "[]", "1", "{\"format\": 1"}) {
+    for (const char *bytes : {"", "[]", "1", R"({"format": 1)"}) {
         std::ofstream(path) << bytes;
         EXPECT_EQ(readSnapshot(path, 1).fault, path.string() + " is damaged") << bytes;
     }
