--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -309,17 +309,17 @@
 Policy::Policy() = default;
 Policy::~Policy() = default;
 
-std::vector<Action> Policy::decide(GatewayId who, Duration now,
-                                   const std::vector<Event> &happened) {
-    for (const Event &event : happened) {
+std::vector<Action> Policy::decide(GatewayId gateway, TimePoint now,
+                                   const std::vector<Event> &events) {
+    for (const Event &event : events) {
         if (std::holds_alternative<PolicyStopped>(event))
-            instances.erase(who);
+            instances.erase(gateway);
         if (const auto *start = std::get_if<PolicyStarted>(&event))
-            instances[who] = std::make_unique<Instance>(start->settings, now);
-        if (const auto found = instances.find(who); found != instances.end())
+            instances[gateway] = std::make_unique<Instance>(start->settings, now);
+        if (const auto found = instances.find(gateway); found != instances.end())
             found->second->handle(event, now);
     }
-    const auto found = instances.find(who);
+    const auto found = instances.find(gateway);
     return found == instances.end() ? std::vector<Action>{} : found->second->finishBatch();
 }
 
--- a/src/policy/traffic_splitter.cpp
+++ b/src/policy/traffic_splitter.cpp
@@ -2,7 +2,7 @@
 #include "traffic_splitter.hpp"
 
 #include <algorithm>
-#include <ranges>
+#include <cstddef>
 
 namespace deckcart::policy {
 
@@ -43,9 +43,11 @@
         order.push_back(baseline);
     if (!canaryFirst && rollout.known() && rollout.current().phase != RolloutPhase::rolledBack)
         order.push_back(rollout.current().build);
-    for (const auto &[build, endpoints] : std::views::reverse(builds))
+    const auto first = std::ptrdiff_t(order.size());
+    for (const auto &[build, endpoints] : builds)
         if (build < baseline)
             order.push_back(build);
+    std::reverse(order.begin() + first, order.end());
     return order;
 }
 
--- a/tests/unit/policy_admission_controller_test.cpp
+++ b/tests/unit/policy_admission_controller_test.cpp
@@ -15,6 +15,10 @@
         settings.overloadWindow = 2s;
         return settings;
     }
+    void hundredAnswers() {
+        for (int answer = 0; answer < 100; ++answer)
+            admission.attemptAnswered(100s);
+    }
     int shedOf100(int tenant, double inFlight) {
         int shed = 0;
         for (int request = 0; request < 100; ++request)
@@ -28,15 +32,13 @@
 };
 
 TEST_F(AdmissionTest, NothingIsShedWhileThroughputSuffices) {
-    for (int answer = 0; answer < 100; ++answer)
-        admission.attemptAnswered(100s);
+    hundredAnswers();
     EXPECT_EQ(shedOf100(0, 10), 0);
     EXPECT_FALSE(admission.shedRecently(100s));
 }
 
 TEST_F(AdmissionTest, MoreInFlightThanCanBeAnsweredInTimeIsShed) {
-    for (int answer = 0; answer < 100; ++answer)
-        admission.attemptAnswered(100s);
+    hundredAnswers();
     const int some = shedOf100(0, 30);
     EXPECT_GT(some, 0);
     EXPECT_LT(some, 100);
@@ -46,8 +48,7 @@
 }
 
 TEST_F(AdmissionTest, ATenantOverItsQuotaIsShedFirst) {
-    for (int answer = 0; answer < 100; ++answer)
-        admission.attemptAnswered(100s);
+    hundredAnswers();
     for (int request = 0; request < 10; ++request)
         admission.requestAccepted(request < 8 ? 0 : 1, 100s);
     EXPECT_GT(shedOf100(0, 20), 0);
--- a/tests/unit/policy_canary_analyzer_test.cpp
+++ b/tests/unit/policy_canary_analyzer_test.cpp
@@ -8,21 +8,31 @@
 
 using namespace std::chrono_literals;
 
+// So many attempts, of which the first ones failed.
+SampleWindow window(int attempts, int failures) {
+    SampleWindow made;
+    for (int attempt = 0; attempt < attempts; ++attempt)
+        made.add(0, "a", attempt < failures, false, 1);
+    return made;
+}
+
 TEST(PolicySamples, MoreFailuresThanTheBaselinesAreWeighedByRoute) {
-    SampleWindow ours;
-    SampleWindow theirs;
-    for (int attempt = 0; attempt < 20; ++attempt) {
-        ours.add(0, "c", attempt < 4, false, 1);
-        theirs.add(0, "b", attempt < 1, false, 1);
+    const SampleWindow ours = window(20, 4);
+    SampleWindow theirs = window(20, 1);
+    for (int attempt = 0; attempt < 20; ++attempt)
         theirs.add(1, "b", true, false, 1);
-    }
-    EXPECT_TRUE(ours.conclusive());
     EXPECT_TRUE(failsMore(ours, theirs, &OutcomeCounts::failures));
     EXPECT_FALSE(failsMore(ours, theirs, &OutcomeCounts::errors));
     EXPECT_TRUE(theirs.losesMany());
+}
+
+TEST(PolicySamples, AClosedWindowKeepsHalfOfTheCountsByEndpoint) {
+    SampleWindow ours = window(20, 4);
+    EXPECT_TRUE(ours.conclusive());
+    EXPECT_FALSE(window(19, 4).conclusive());
     ours.close();
     EXPECT_FALSE(ours.conclusive());
-    EXPECT_EQ(ours.endpoints.at("c").attempts, 10);
+    EXPECT_EQ(ours.endpoints.at("a").attempts, 10);
 }
 
 TEST(PolicySamples, OneSlowEndpointIsNotTypical) {
@@ -36,22 +46,35 @@
     EXPECT_EQ(window.typicalFailureShare(), 0);
 }
 
-TEST(PolicyDirectEvidence, ThreePairsCountUnlessTheBaselineFailsAlike) {
-    PolicySettings settings;
-    settings.voteLifetime = 6s;
-    DirectEvidence direct(settings);
-    for (int pair = 0; pair < 3; ++pair) {
-        EXPECT_FALSE(direct.pairsFail({100, 0, 0}));
-        direct.recordAttempt(100s);
-        direct.recordFailedOnCanary(100s);
+struct DirectEvidenceTest : testing::Test {
+    DirectEvidenceTest() { settings.voteLifetime = 6s; }
+    void pairs(int count) {
+        for (int pair = 0; pair < count; ++pair) {
+            direct.recordAttempt(100s);
+            direct.recordFailedOnCanary(100s);
+        }
     }
+    PolicySettings settings;
+    DirectEvidence direct{settings};
+};
+
+TEST_F(DirectEvidenceTest, ThreePairsCountUnlessTheBaselineFailsAlike) {
+    pairs(2);
+    EXPECT_FALSE(direct.pairsFail({100, 0, 0}));
+    pairs(1);
     EXPECT_TRUE(direct.pairsFail({100, 0, 0}));
     EXPECT_FALSE(direct.pairsFail({100, 30, 30}));
+    direct.recordFailedOnBaseline();
+    EXPECT_FALSE(direct.pairsFail({100, 0, 0}));
+}
+
+TEST_F(DirectEvidenceTest, BadAttemptsLapseWithAVotesLife) {
+    pairs(1);
     EXPECT_TRUE(direct.recentlyBad({100, 0, 0}));
+    EXPECT_TRUE(direct.anyRecent());
     direct.expire(106s);
     EXPECT_FALSE(direct.recentlyBad({100, 0, 0}));
-    direct.recordFailedOnBaseline();
-    EXPECT_FALSE(direct.pairsFail({100, 0, 0}));
+    EXPECT_FALSE(direct.anyRecent());
 }
 
 TEST(PolicyDirectEvidence, TwoReportsOfIncorrectResponsesCount) {
@@ -65,19 +88,29 @@
     EXPECT_FALSE(direct.incorrect());
 }
 
-TEST(PolicyUsage, TwoUnhealthyWindowsNeedAnErrorOfOurOwn) {
-    for (const bool ownError : {false, true}) {
-        UsageComparison usage;
-        if (ownError)
-            usage.recordOwnError();
-        for (int window = 0; window < 2; ++window) {
-            usage.record({2, 0, 20, 10, 0s}, true);
-            EXPECT_FALSE(usage.canaryFails());
-            usage.record({1, 0, 100, 1, 0s}, false);
-            EXPECT_EQ(usage.canaryFails(), ownError && window == 1);
-            EXPECT_TRUE(usage.suspicious());
-        }
-    }
+// Whether a window that is to the canary's disadvantage makes it fail.
+bool unhealthyWindow(UsageComparison &usage) {
+    usage.record({2, 0, 20, 10, 0s}, true);
+    EXPECT_FALSE(usage.canaryFails()) << "no counts of the baseline yet";
+    usage.record({1, 0, 100, 1, 0s}, false);
+    return usage.canaryFails();
+}
+
+TEST(PolicyUsage, TwoUnhealthyWindowsFailIfThereWasAnErrorOfOurOwn) {
+    UsageComparison usage;
+    usage.recordOwnError();
+    EXPECT_FALSE(unhealthyWindow(usage));
+    EXPECT_TRUE(usage.suspicious());
+    EXPECT_TRUE(unhealthyWindow(usage));
+}
+
+TEST(PolicyUsage, WithoutAnErrorOfOurOwnTheyAreSuspiciousOnly) {
+    UsageComparison usage;
+    EXPECT_FALSE(unhealthyWindow(usage));
+    EXPECT_FALSE(unhealthyWindow(usage));
+    EXPECT_TRUE(usage.suspicious());
+    usage.reset(false);
+    EXPECT_FALSE(usage.suspicious());
 }
 
 struct InterferenceTest : testing::Test {
@@ -151,6 +184,14 @@
         }
         return messages;
     }
+    std::vector<std::string> slowSeconds(int count) {
+        std::vector<std::string> messages;
+        for (int elapsed = 0; elapsed < count; ++elapsed) {
+            const auto more = second(0, 1, 5);
+            messages.insert(messages.end(), more.begin(), more.end());
+        }
+        return messages;
+    }
     void record(const EndpointId &id, BuildNumber build, Outcome outcome, double slowness) {
         analyzer.recordAttempt({.endpoint = id,
                                 .build = build,
@@ -189,14 +230,10 @@
 }
 
 TEST_F(CanaryAnalyzerTest, ASlowBuildFirstGetsAnEvenShare) {
-    std::vector<std::string> messages;
-    for (int seconds = 0; seconds < 4 && messages.empty(); ++seconds)
-        messages = second(0, 1, 5);
-    EXPECT_EQ(messages.size(), 1U);
+    EXPECT_EQ(slowSeconds(3).size(), 1U);
     EXPECT_TRUE(analyzer.evenShare());
     EXPECT_FALSE(analyzer.failed());
-    for (int seconds = 0; seconds < 8; ++seconds)
-        second(0, 1, 5);
+    EXPECT_TRUE(slowSeconds(9).empty());
     EXPECT_TRUE(analyzer.failed());
     EXPECT_EQ(votes.reason(), "slow");
 }
--- a/tests/unit/policy_exposure_limiter_test.cpp
+++ b/tests/unit/policy_exposure_limiter_test.cpp
@@ -17,6 +17,10 @@
         settings.exposureWindow = 4s;
         return settings;
     }
+    void accept(int requests) {
+        for (int request = 0; request < requests; ++request)
+            limiter.requestAccepted(request % 2, 100s);
+    }
     PolicySettings settings = make(false);
     ExposureLimiter limiter{settings};
 };
@@ -26,16 +30,14 @@
     EXPECT_FALSE(limiter.withinLimit(2, 0, 0, 100s));
     limiter.attemptSent(2, 0, 100s);
     EXPECT_FALSE(limiter.withinLimit(2, 0, 0.1, 100s));
-    for (int request = 0; request < 10; ++request)
-        limiter.requestAccepted(request % 2, 100s);
+    accept(10);
     EXPECT_TRUE(limiter.withinLimit(2, 0, 0.1, 100s));
     EXPECT_TRUE(limiter.withinLimit(3, 1, 0.1, 100s)) << "another build";
 }
 
 TEST_F(ExposureLimiterTest, AttemptsCountLongerThanAcceptedRequests) {
     limiter.attemptSent(2, 0, 100s);
-    for (int request = 0; request < 10; ++request)
-        limiter.requestAccepted(0, 100s);
+    accept(10);
     EXPECT_TRUE(limiter.withinLimit(2, 0, 0.1, 103'979ms));
     EXPECT_FALSE(limiter.withinLimit(2, 0, 0.1, 103'980ms));
     EXPECT_FALSE(limiter.withinLimit(2, 0, 0.1, 104'019ms));
@@ -53,8 +55,7 @@
 TEST_F(ExposureLimiterTest, UseIsHeldAgainstAShare) {
     EXPECT_TRUE(limiter.usesLessThan(0.5, 2, 0));
     limiter.attemptSent(2, 0, 100s);
-    for (int request = 0; request < 2; ++request)
-        limiter.requestAccepted(0, 100s);
+    accept(2);
     EXPECT_FALSE(limiter.usesLessThan(0.5, 2, 0));
     EXPECT_TRUE(limiter.usesLessThan(0.6, 2, 0));
     limiter.expire(110s);
--- a/tests/unit/policy_slow_start_test.cpp
+++ b/tests/unit/policy_slow_start_test.cpp
@@ -43,10 +43,9 @@
 TEST_F(SlowStartTest, TheBudgetFollowsWhatAWarmEndpointAnswers) {
     SlowStartBudget budget;
     // 2 x 0.5 x 0.6 x 1 x 5 = 3 requests within the window.
-    for (int sent = 0; sent < 3; ++sent) {
-        EXPECT_TRUE(slowStart.withinBudget(budget, 2s, 5.001, 100s)) << sent;
-        budget.sends.push_back(100s);
-    }
+    budget.sends = {100s, 100s};
+    EXPECT_TRUE(slowStart.withinBudget(budget, 2s, 5.001, 100s));
+    budget.sends = {100s, 100s, 100s};
     EXPECT_FALSE(slowStart.withinBudget(budget, 2s, 5.001, 100s));
     EXPECT_TRUE(slowStart.withinBudget(budget, 5s, 5.001, 100s)) << "warm";
     EXPECT_TRUE(slowStart.withinBudget(budget, 2s, 5.001, 102s)) << "the window has passed";
