--- /dev/null
+++ b/src/http/chunk_reader.cpp
@@ -0,0 +1,121 @@
+#include "chunk_reader.hpp"
+
+#include <algorithm>
+#include <optional>
+
+namespace deckcart::http {
+namespace {
+
+// 4 GiB a chunk. Guards against a size whose sum runs over; no sound peer sends more.
+constexpr int kMaxSizeDigits = 8;
+
+std::optional<std::uint64_t> hexDigit(char byte) {
+    if (byte >= '0' && byte <= '9')
+        return byte - '0';
+    if (byte >= 'a' && byte <= 'f')
+        return byte - 'a' + 10;
+    if (byte >= 'A' && byte <= 'F')
+        return byte - 'A' + 10;
+    return std::nullopt;
+}
+
+}  // namespace
+
+std::size_t ChunkReader::feed(std::string_view bytes) {
+    std::size_t used = 0;
+    while (used < bytes.size() && state != State::done) {
+        if (state == State::data) {
+            const auto part = std::min<std::uint64_t>(chunkLeft, bytes.size() - used);
+            used += part;
+            chunkLeft -= part;
+            if (chunkLeft == 0)
+                state = State::dataCr;
+            continue;
+        }
+        foundFault = readByte(bytes[used]);
+        if (foundFault != Fault::none)
+            return used;
+        ++used;
+    }
+    return used;
+}
+
+Fault ChunkReader::readByte(char byte) {
+    switch (state) {
+    case State::size:
+        return readSizeByte(byte);
+    case State::extension:
+        return readExtensionByte(byte);
+    case State::sizeLf:
+        return endSizeLine(byte);
+    case State::dataCr:
+        return expect(byte, '\r', State::dataLf);
+    case State::dataLf:
+        return expect(byte, '\n', State::size);
+    case State::trailers:
+        return readTrailerByte(byte);
+    case State::data:
+    case State::done:
+        break;
+    }
+    return Fault::malformed;
+}
+
+Fault ChunkReader::readSizeByte(char byte) {
+    if (const auto digit = hexDigit(byte)) {
+        if (++sizeDigits > kMaxSizeDigits)
+            return Fault::malformed;
+        chunkLeft = chunkLeft * 16 + *digit;
+        return Fault::none;
+    }
+    if (sizeDigits == 0)
+        return Fault::malformed;
+    if (byte == '\r')
+        state = State::sizeLf;
+    else if (byte == ';')
+        state = State::extension;
+    else
+        return Fault::malformed;
+    return Fault::none;
+}
+
+Fault ChunkReader::readExtensionByte(char byte) {
+    if (!spendLineByte())
+        return Fault::headTooLarge;
+    if (byte == '\n' || byte == '\0')
+        return Fault::malformed;
+    if (byte == '\r')
+        state = State::sizeLf;
+    return Fault::none;
+}
+
+Fault ChunkReader::endSizeLine(char byte) {
+    sizeDigits = 0;
+    return expect(byte, '\n', chunkLeft > 0 ? State::data : State::trailers);
+}
+
+Fault ChunkReader::readTrailerByte(char byte) {
+    if (!spendLineByte())
+        return Fault::headTooLarge;
+    if (!trailerGuard.accepts(byte))
+        return Fault::malformed;
+    if (trailerGuard.ended())
+        state = State::done;
+    return Fault::none;
+}
+
+Fault ChunkReader::expect(char byte, char expected, State next) {
+    if (byte != expected)
+        return Fault::malformed;
+    state = next;
+    return Fault::none;
+}
+
+bool ChunkReader::spendLineByte() {
+    if (lineBytesLeft == 0)
+        return false;
+    --lineBytesLeft;
+    return true;
+}
+
+}  // namespace deckcart::http
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -10,7 +10,7 @@
     16 * 1024;  // a turn's share of one connection: others wait no longer
 
 ClientConnection::ClientConnection(asio::io_context &context, std::size_t mostHeadBytes)
-    : socket(context), timer(context), parser(Parser::Kind::answer, mostHeadBytes, *this) {}
+    : socket(context), timer(context), parser(Parser::Kind::response, mostHeadBytes, *this) {}
 
 void ClientConnection::call(const tcp::endpoint &to, Duration within, std::string bytes,
                             bool isHead, CallHandler *owner) {
@@ -91,9 +91,9 @@
             return finish(CallEnd::garbage);
         bytes.remove_prefix(used);
         if (parser.done() && sink) {
-            if (parser.answer().status >= 200)
+            if (parser.response().status >= 200)
                 break;
-            if (parser.answer().status == 101)
+            if (parser.response().status == 101)
                 return finish(CallEnd::garbage);  // we never ask to switch
             parser.reset();                       // an interim answer
         }
@@ -109,8 +109,8 @@
 }
 
 bool ClientConnection::onHead() {
-    if (parser.answer().status >= 200)
-        sink->onResponseHead(parser.answer());
+    if (parser.response().status >= 200)
+        sink->onResponseHead(parser.response());
     return !headCall;
 }
 void ClientConnection::onBody(std::string_view part) {
@@ -118,7 +118,7 @@
         sink->onResponseBody(part);
 }
 void ClientConnection::onEnd() {
-    if (!parser.answer().keepAlive)
+    if (!parser.response().keepAlive)
         tainted = true;  // the call ends once the parser has returned
 }
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -33,6 +33,9 @@
     std::string reason;
 };
 
+/// Why a message is refused: it breaks the protocol, goes over a limit, or is not spoken here.
+enum class Fault { none, malformed, headTooLarge, unsupported };
+
 std::string_view reasonOf(int status);
 
 // The fields that belong to one connection only (RFC 9110, 7.6.1), those that its Connection field
--- a/src/resp/message.cpp
+++ b/src/resp/message.cpp
@@ -6,111 +6,165 @@
 
 namespace deckcart::resp {
 
+namespace {
+
+constexpr std::string_view kLineEnd = "\r\n";
+constexpr char kSimpleType = '+';
+constexpr char kErrorType = '-';
+constexpr char kIntegerType = ':';
+constexpr char kArrayType = '*';
+constexpr unsigned char kFirstPrintable = 0x20;
+// More than the type and the digits of any 64-bit number.
+constexpr std::size_t kMaxNumberLineBytes = 24;
+constexpr std::int64_t kNullLength = -1;
+
+bool isInteger(std::string_view text) {
+    if (text.starts_with('-'))
+        text.remove_prefix(1);
+    return !text.empty() && text.find_first_not_of("0123456789") == std::string_view::npos;
+}
+
+}  // namespace
+
 std::size_t Parser::feed(std::string_view bytes) {
     std::size_t used = 0;
     while (used < bytes.size() && !done() && !faulty()) {
-        if (state == State::bulk) {
-            const auto n = std::min(bulkLeft, bytes.size() - used);
-            bulk.append(bytes.substr(used, n));
-            used += n, bulkLeft -= n, bytesHeld += n;
-            if (bulkLeft == 0)
-                state = State::bulkEnd, endSeen = 0;
-            continue;
-        }
-        const char c = bytes[used++];
-        if (state == State::bulkEnd) {
-            if (c != "\r\n"[endSeen])
-                fail("a value does not end where its length says");
-            else if (++endSeen == 2)
-                add(std::exchange(bulk, {}));
-            continue;
-        }
-        if (sawCr) {
-            if (c != '\n')
-                fail("a line is not ended by CR LF");
-            else
-                sawCr = false, completeLine();
-            continue;
-        }
-        if (c == '\r') {
-            sawCr = true;
-            continue;
-        }
-        if (line.empty()) {
-            state = State::line;
-            const std::string_view types = what == What::command ? (inArray ? "$" : "*")
-                                           : inArray             ? "$"
-                                                                 : "+-:$*";
-            if (types.find(c) == std::string_view::npos) {
-                fail(inArray ? "expected a bulk string" : "expected an array of bulk strings");
-                continue;
-            }
-        }
-        const bool words = line.empty() || line[0] == '+' || line[0] == '-';
-        if (static_cast<unsigned char>(c) < 0x20 && !(words && c == '\t'))
-            fail("a line holds a control character");
-        else if (line.size() > (words ? limits.lineBytes : 24))
-            fail("a line is too long");
+        if (state == State::bulk)
+            used += readBulk(bytes.substr(used));
+        else if (state == State::bulkEnd)
+            readBulkEndByte(bytes[used++]);
         else
-            line.push_back(c);
+            readLineByte(bytes[used++]);
     }
     return used;
 }
 
+std::size_t Parser::readBulk(std::string_view bytes) {
+    const auto part = std::min(bulkLeft, bytes.size());
+    bulk.append(bytes.substr(0, part));
+    bulkLeft -= part;
+    heldBytes += part;
+    if (bulkLeft == 0)
+        beginBulkEnd();
+    return part;
+}
+
+void Parser::beginBulkEnd() {
+    state = State::bulkEnd;
+    lineEndBytesSeen = 0;
+}
+
+void Parser::readBulkEndByte(char byte) {
+    if (byte != kLineEnd[lineEndBytesSeen])
+        fail("a value does not end where its length says");
+    else if (++lineEndBytesSeen == kLineEnd.size())
+        add(std::exchange(bulk, {}));
+}
+
+void Parser::readLineByte(char byte) {
+    if (crSeen) {
+        if (byte != '\n')
+            return fail("a line is not ended by CR LF");
+        crSeen = false;
+        return completeLine();
+    }
+    if (byte == '\r') {
+        crSeen = true;
+        return;
+    }
+    if (line.empty()) {
+        state = State::line;
+        if (expectedTypes().find(byte) == std::string_view::npos)
+            return fail(inArray ? "expected a bulk string" : "expected an array of bulk strings");
+    }
+    const bool isText = line.empty() || line[0] == kSimpleType || line[0] == kErrorType;
+    if (static_cast<unsigned char>(byte) < kFirstPrintable && !(isText && byte == '\t'))
+        return fail("a line holds a control character");
+    if (line.size() > (isText ? limits.lineBytes : kMaxNumberLineBytes))
+        return fail("a line is too long");
+    line.push_back(byte);
+}
+
+std::string_view Parser::expectedTypes() const {
+    if (inArray)
+        return "$";
+    return kind == What::command ? "*" : "+-:$*";
+}
+
 std::optional<std::int64_t> Parser::length(bool mayBeNull) const {
     const std::string_view digits = std::string_view(line).substr(1);
     if (digits == "-1" && mayBeNull)
-        return -1;
-    std::int64_t n = 0;
-    const auto [end, bad] = std::from_chars(digits.data(), digits.data() + digits.size(), n);
-    const bool plain = !digits.empty() && digits[0] != '-' && end == digits.data() + digits.size();
-    if (bad != std::errc{} || !plain)
+        return kNullLength;
+    std::int64_t number = 0;
+    const char *const end = digits.data() + digits.size();
+    const auto [stop, fault] = std::from_chars(digits.data(), end, number);
+    const bool isPlain = !digits.empty() && digits[0] != '-' && stop == end;
+    if (fault != std::errc{} || !isPlain)
         return std::nullopt;
-    return n;
+    return number;
 }
 
 void Parser::completeLine() {
     if (line.empty())
         return fail("an empty line");
     const char type = line[0];
-    const bool reply = what == What::reply;
-    if (type == '+' || type == '-' || type == ':') {
-        value.kind = type == '+'   ? Value::Kind::simple
-                     : type == '-' ? Value::Kind::error
-                                   : Value::Kind::integer;
-        value.text = line.substr(1);
-        const auto digits = std::string_view(value.text).substr(value.text.starts_with('-'));
-        if (type == ':' &&
-            (digits.empty() || digits.find_first_not_of("0123456789") != std::string_view::npos))
-            return fail("an integer that is none");
-        state = State::done;
-        return;
-    }
-    const auto n = length(reply);
-    if (!n)
+    if (type == kSimpleType || type == kErrorType || type == kIntegerType)
+        return completeScalar(type);
+    const auto stated = length(kind == What::reply);
+    if (!stated)
         return fail("a length that is none");
     line.clear();
-    if (type == '*') {
-        if (*n < 0)
-            return void(state = State::done);  // a null array
-        if (*n == 0 || std::size_t(*n) > limits.items)
-            return fail("an array of too few or too many");
-        inArray = true, itemsLeft = std::size_t(*n), value.kind = Value::Kind::array;
-        state = State::type;
+    if (type == kArrayType)
+        beginArray(*stated);
+    else
+        beginBulk(*stated);
+}
+
+void Parser::completeScalar(char type) {
+    value.text = line.substr(1);
+    if (type == kSimpleType) {
+        value.kind = Value::Kind::simple;
+    } else if (type == kErrorType) {
+        value.kind = Value::Kind::error;
+    } else {
+        value.kind = Value::Kind::integer;
+        if (!isInteger(value.text))
+            return fail("an integer that is none");
+    }
+    state = State::done;
+}
+
+void Parser::beginArray(std::int64_t stated) {
+    if (stated == kNullLength) {
+        state = State::done;
         return;
     }
-    if (*n < 0)
+    if (stated == 0 || std::size_t(stated) > limits.items)
+        return fail("an array of too few or too many");
+    inArray = true;
+    itemsLeft = std::size_t(stated);
+    value.kind = Value::Kind::array;
+    state = State::type;
+}
+
+void Parser::beginBulk(std::int64_t stated) {
+    if (stated == kNullLength)
         return add(std::nullopt);
-    if (std::size_t(*n) > limits.bulkBytes || bytesHeld + std::size_t(*n) > limits.totalBytes)
+    const auto size = std::size_t(stated);
+    if (size > limits.bulkBytes || heldBytes + size > limits.totalBytes)
         return fail("a value is too long");
-    bulkLeft = std::size_t(*n), endSeen = 0;
-    state = bulkLeft > 0 ? State::bulk : State::bulkEnd;
+    bulkLeft = size;
+    if (bulkLeft > 0)
+        state = State::bulk;
+    else
+        beginBulkEnd();
 }
 
 void Parser::add(std::optional<std::string> item) {
     if (inArray) {
         value.items.push_back(std::move(item));
-        state = --itemsLeft == 0 ? State::done : State::type;
+        --itemsLeft;
+        state = itemsLeft == 0 ? State::done : State::type;
         return;
     }
     value.kind = item ? Value::Kind::bulk : Value::Kind::null;
@@ -120,25 +174,32 @@
 }
 
 Value Parser::take() {
-    Value out = std::move(value);
-    value = {}, line.clear(), bulk.clear();
-    state = State::type, inArray = sawCr = false, bytesHeld = 0;
-    return out;
+    Value taken = std::move(value);
+    value = {};
+    line.clear();
+    bulk.clear();
+    state = State::type;
+    inArray = false;
+    crSeen = false;
+    heldBytes = 0;
+    return taken;
 }
 
 std::string bulk(std::string_view text) {
-    std::string out = "$" + std::to_string(text.size()) + "\r\n";
-    out.append(text).append("\r\n");
-    return out;
+    std::string written = "$" + std::to_string(text.size()) + "\r\n";
+    written.append(text).append(kLineEnd);
+    return written;
 }
-std::string error(std::string_view words) {
-    return "-" + std::string(words.substr(0, words.find_first_of("\r\n"))) + "\r\n";
+
+std::string error(std::string_view text) {
+    return "-" + std::string(text.substr(0, text.find_first_of("\r\n"))) + "\r\n";
 }
+
 std::string command(const std::vector<std::string> &args) {
-    std::string out = "*" + std::to_string(args.size()) + "\r\n";
+    std::string written = "*" + std::to_string(args.size()) + "\r\n";
     for (const auto &arg : args)
-        out += bulk(arg);
-    return out;
+        written += bulk(arg);
+    return written;
 }
 
 }  // namespace deckcart::resp
