--- /dev/null
+++ b/src/net/client_socket.cpp
@@ -0,0 +1,16 @@
+#include "client_socket.hpp"
+
+namespace deckcart::net {
+
+ClientSocket::ClientSocket(asio::io_context &context) : StreamSocket(context), timer(context) {}
+
+bool ClientSocket::shut() {
+    if (!close(Closing::orderly))
+        return false;
+    connected = false;
+    ++number;
+    timer.cancel();
+    return true;
+}
+
+}  // namespace deckcart::net
--- a/src/resp/client.cpp
+++ b/src/resp/client.cpp
@@ -6,25 +6,21 @@
 
 using asio::ip::tcp;
 
-constexpr std::size_t kReadAtOnce =
-    16 * 1024;  // a turn's share of one connection: others wait no longer
-
 ClientConnection::ClientConnection(asio::io_context &context, Limits limits)
-    : socket(context), timer(context), parser(Parser::What::reply, limits) {}
-
-void ClientConnection::call(const tcp::endpoint &to, Duration within, Bytes what, Done tell) {
-    done = std::move(tell), bytes = std::move(what), outgoing.clear(), written = 0;
-    const auto no = ++callNo;
-    if (connected)
+    : stream(context), parser(Parser::What::reply, limits) {}
+
+void ClientConnection::call(const tcp::endpoint &to, Duration within, Bytes callBytes,
+                            Done callDone) {
+    done = std::move(callDone);
+    bytes = std::move(callBytes);
+    outgoing.clear();
+    writtenBytes = 0;
+    stream.beginCall();
+    if (stream.isConnected())
         return begin();
-    connectWithin(socket, timer, to, within, [self = shared_from_this(), no](bool made) {
-        if (self->closed || self->connected || self->callNo != no)
-            return;
-        if (!made)
-            return self->finish(CallEnd::connectFailed);
-        self->connected = true;
+    stream.connect(to, within, [self = shared_from_this()](bool connected) {
         // What comes before anything was asked would be taken for the answer.
-        if (peek(self->socket) != Unread::nothing)
+        if (!connected || peek(self->stream.socket) != Unread::nothing)
             return self->finish(CallEnd::connectFailed);
         self->begin();
     });
@@ -35,45 +31,39 @@
     outgoing = build();
     if (!outgoing.empty())
         return send();
-    asio::post(socket.get_executor(), [self = shared_from_this(), no = callNo] {
-        if (self->callNo == no)
-            self->finish(CallEnd::connectFailed);
-    });
+    stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::connectFailed); });
 }
 
 void ClientConnection::send() {
     asio::error_code fault;
-    while (written < outgoing.size() && !fault)
-        written += socket.write_some(
-            asio::buffer(outgoing.data() + written, outgoing.size() - written), fault);
+    while (writtenBytes < outgoing.size() && !fault)
+        writtenBytes += stream.socket.write_some(
+            asio::buffer(outgoing.data() + writtenBytes, outgoing.size() - writtenBytes), fault);
     awaitRead();
     if (fault && fault != asio::error::would_block) {
-        asio::post(socket.get_executor(), [self = shared_from_this(), no = callNo] {
-            if (self->callNo == no)
-                self->finish(CallEnd::broken);
-        });
+        stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::broken); });
         return;
     }
-    if (startedSending())
-        return;
-    socket.async_wait(tcp::socket::wait_write,
-                      [self = shared_from_this(), no = callNo](asio::error_code bad) {
-                          if (self->closed || self->callNo != no)
-                              return;
-                          if (bad)
-                              return self->finish(CallEnd::broken);
-                          self->send();
-                      });
+    if (!startedSending())
+        awaitWritable();
+}
+
+void ClientConnection::awaitWritable() {
+    stream.socket.async_wait(
+        tcp::socket::wait_write,
+        [self = shared_from_this(), began = stream.callNumber()](asio::error_code fault) {
+            if (self->stream.isClosed() || self->stream.callNumber() != began)
+                return;
+            if (fault)
+                return self->finish(CallEnd::broken);
+            self->send();
+        });
 }
 
 void ClientConnection::awaitRead() {
-    if (reading || closed)
+    if (stream.isAwaitingRead() || stream.isClosed())
         return;
-    reading = true;
-    socket.async_wait(tcp::socket::wait_read, [self = shared_from_this()](asio::error_code fault) {
-        self->reading = false;
-        if (self->closed)
-            return;
+    stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
             return self->finish(CallEnd::broken);
         self->readable();
@@ -81,21 +71,21 @@
 }
 
 void ClientConnection::readable() {
-    std::array<char, kReadAtOnce> buffer;
+    std::array<char, net::kReadAtOnce> buffer;
     asio::error_code fault;
-    const auto n = socket.read_some(asio::buffer(buffer), fault);
+    const auto size = stream.socket.read_some(asio::buffer(buffer), fault);
     if (fault == asio::error::would_block)
         return awaitRead();
     if (fault)
         return finish(CallEnd::broken);
     if (!done)
         return shut();  // an idle peer that speaks is out of step
-    const auto used = parser.feed({buffer.data(), n});
+    const auto used = parser.feed({buffer.data(), size});
     if (parser.faulty())
         return finish(CallEnd::garbage);
     if (!parser.done())
         return awaitRead();
-    if (used < n)
+    if (used < size)
         tainted = true;  // more than belongs to the reply: the reply is good, the connection not
     const auto self = shared_from_this();
     finish(CallEnd::complete, parser.take());
@@ -103,14 +93,14 @@
 }
 
 void ClientConnection::look() {
-    if (!connected || closed || !done || !startedSending())
+    if (!stream.isConnected() || stream.isClosed() || !done || !startedSending())
         return;
     const auto self = shared_from_this();
     readable();
 }
 
 bool ClientConnection::stillQuiet() {
-    if (peek(socket) == Unread::nothing)
+    if (peek(stream.socket) == Unread::nothing)
         return true;
     drop();
     return false;
@@ -118,29 +108,24 @@
 
 void ClientConnection::finish(CallEnd outcome, Value value) {
     const auto self = shared_from_this();
-    const Done tell = std::exchange(done, nullptr);
+    const Done notify = std::exchange(done, nullptr);
     bytes = nullptr;
     if (outcome != CallEnd::complete || tainted || !startedSending())
         shut();
-    if (tell)
-        tell(outcome, std::move(value));
+    if (notify)
+        notify(outcome, std::move(value));
 }
 
 void ClientConnection::drop() {
-    done = nullptr, bytes = nullptr;
+    done = nullptr;
+    bytes = nullptr;
     onIdleClosed = nullptr;
     shut();
 }
 
 void ClientConnection::shut() {
-    if (closed)
-        return;
-    closed = true, connected = false, ++callNo;
-    asio::error_code ignored;
-    socket.close(ignored);
-    timer.cancel();
-    if (onIdleClosed)
-        asio::post(socket.get_executor(), std::exchange(onIdleClosed, nullptr));
+    if (stream.shut() && onIdleClosed)
+        stream.post(std::exchange(onIdleClosed, nullptr));
 }
 
 }  // namespace deckcart::resp
--- a/src/resp/connection_admission.cpp
+++ b/src/resp/connection_admission.cpp
@@ -2,44 +2,53 @@
 
 namespace deckcart::resp {
 
-// Those that are ending first, then who never spoke, who only waits for an error, who has nothing
-// to ask. One whose bytes wait to be read is not silent.
-int dispensable(const Standing &one, const ListenerLimits &limits) {
-    if (one.lingering)
-        return 4;
-    if (one.inHand)
-        return one.refused ? 2 : 0;
-    if (one.unread)
-        return 0;
-    if (!one.spoke)
-        return 3;
-    return !one.begun && one.quietFor > limits.pressedIdleFor ? 1 : 0;
+namespace {
+
+// What makes room first: one that is ending, one that never spoke, one that only waits for an
+// error, one that has nothing to ask. One whose bytes wait to be read is not silent.
+enum EvictionPriority { kNever, kIdle, kRefused, kSilent, kLingering };
+
+}  // namespace
+
+int evictionPriority(const ConnectionState &connection, const ListenerLimits &limits) {
+    if (connection.lingering)
+        return kLingering;
+    if (connection.inFlight)
+        return connection.refused ? kRefused : kNever;
+    if (connection.unread)
+        return kNever;
+    if (!connection.spoke)
+        return kSilent;
+    const bool isIdle = !connection.begun && connection.quietFor > limits.pressedIdleFor;
+    return isIdle ? kIdle : kNever;
 }
 
-bool endsInDrain(const Standing &one, const ListenerLimits &limits) {
-    if (one.lingering || one.inHand || one.begun || one.writing)
+bool endsInDrain(const ConnectionState &connection, const ListenerLimits &limits) {
+    if (connection.lingering || connection.inFlight || connection.begun || connection.writing)
         return false;
-    return one.spoke || one.quietFor >= limits.newcomerFor;
+    return connection.spoke || connection.quietFor >= limits.newcomerFor;
 }
 
-Due dueOf(const Standing &one, const ListenerLimits &limits, bool isPressed) {
-    if (one.inHand && one.errorDue)
-        return Due::error;
-    if (one.lingering)
-        return one.quietFor >= limits.lingerFor ? Due::close : Due::nothing;
-    if (one.writing && one.stalledFor > limits.slowPeerFor)
-        return Due::cut;
-    if (one.inHand || one.writing)
-        return Due::nothing;
-    if (one.begun)
-        return one.begunFor > limits.messageWithin ? Due::incomplete : Due::nothing;
-    const Duration most = !one.spoke  ? limits.silentFor
-                          : isPressed ? limits.pressedIdleFor
-                                      : limits.idleFor;
-    return one.quietFor > most ? Due::linger : Due::nothing;
+TimeoutAction timeoutAction(const ConnectionState &connection, const ListenerLimits &limits,
+                            bool underPressure) {
+    if (connection.inFlight && connection.errorDue)
+        return TimeoutAction::sendError;
+    if (connection.lingering)
+        return connection.quietFor >= limits.lingerFor ? TimeoutAction::close : TimeoutAction::none;
+    if (connection.writing && connection.stalledFor > limits.slowPeerFor)
+        return TimeoutAction::reset;
+    if (connection.inFlight || connection.writing)
+        return TimeoutAction::none;
+    if (connection.begun)
+        return connection.begunFor > limits.messageWithin ? TimeoutAction::failIncomplete
+                                                          : TimeoutAction::none;
+    Duration allowed = underPressure ? limits.pressedIdleFor : limits.idleFor;
+    if (!connection.spoke)
+        allowed = limits.silentFor;
+    return connection.quietFor > allowed ? TimeoutAction::linger : TimeoutAction::none;
 }
 
-bool pressed(std::size_t connections, const ListenerLimits &limits) {
+bool isUnderPressure(std::size_t connections, const ListenerLimits &limits) {
     return connections * 2 > limits.connections;
 }
 
