--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -8,16 +8,25 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *bytes, std::size_t size);
 
+namespace {
+
+void play(const std::filesystem::path &path) {
+    std::ifstream file(path, std::ios::binary);
+    const std::vector<char> bytes((std::istreambuf_iterator<char>(file)), {});
+    LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t *>(bytes.data()), bytes.size());
+}
+
+}  // namespace
+
 int main(int argc, char **argv) {
+    const std::vector<std::filesystem::path> folders(argv + 1, argv + argc);
     int played = 0;
-    for (int k = 1; k < argc; ++k)
-        for (const auto &file : std::filesystem::directory_iterator(argv[k])) {
-            std::ifstream in(file.path(), std::ios::binary);
-            const std::vector<char> bytes((std::istreambuf_iterator<char>(in)), {});
-            LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t *>(bytes.data()),
-                                   bytes.size());
+    for (const auto &folder : folders) {
+        for (const auto &entry : std::filesystem::directory_iterator(folder)) {
+            play(entry.path());
             ++played;
         }
+    }
     std::cout << played << " inputs played\n";
     return played > 0 ? 0 : 1;
 }
--- a/fuzz/resp_message.cpp
+++ b/fuzz/resp_message.cpp
@@ -7,8 +7,8 @@
 using namespace deckcart;
 
 namespace {
-void demand(bool so) {
-    if (!so)
+void demand(bool condition) {
+    if (!condition)
         std::abort();
 }
 
@@ -17,48 +17,58 @@
 std::vector<resp::Value> readAll(resp::Parser::What what, std::string_view bytes, std::size_t cut,
                                  std::string &fault) {
     resp::Parser parser(what, kLimits);
-    std::vector<resp::Value> out;
+    std::vector<resp::Value> values;
     for (std::string_view part : {bytes.substr(0, cut), bytes.substr(cut)})
         while (!part.empty() && !parser.faulty()) {
             part.remove_prefix(parser.feed(part));
             demand(parser.held() <= kLimits.totalBytes);
             if (parser.done())
-                out.push_back(parser.take());
+                values.push_back(parser.take());
         }
     fault = parser.fault();
-    return out;
+    return values;
 }
+
+// The same whole and in two parts, within the limits.
+std::vector<resp::Value> readAlike(resp::Parser::What what, std::string_view input) {
+    std::string faultOfWhole;
+    std::string faultOfParts;
+    const auto whole = readAll(what, input, 0, faultOfWhole);
+    const auto parts = readAll(what, input, input.size() / 2, faultOfParts);
+    demand(faultOfWhole == faultOfParts && whole.size() == parts.size());
+    for (std::size_t index = 0; index < whole.size(); ++index) {
+        const resp::Value &value = whole[index];
+        const resp::Value &other = parts[index];
+        demand(value.kind == other.kind && value.text == other.text && value.items == other.items);
+        demand(value.items.size() <= kLimits.items && value.text.size() <= kLimits.bulkBytes);
+    }
+    return whole;
+}
+
+// A command that is taken goes on to an endpoint, within what one may be long.
+void readOn(const resp::Value &command, const simulator::DeploymentSettings &settings) {
+    constexpr std::size_t kMaxEndpointCommandBytes = 400;
+    std::vector<std::string> args;
+    for (const auto &item : command.items)
+        args.push_back(*item);
+    const auto read = platform::readCommand(args, settings);
+    if (!read.refusal.empty())
+        return;
+    const std::string sent = platform::instanceCommand(read.command, std::chrono::seconds(1));
+    demand(sent.size() < kMaxEndpointCommandBytes);
+}
+
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *bytes, std::size_t size) {
-    const std::string_view all(reinterpret_cast<const char *>(bytes), size);
+    const std::string_view input(reinterpret_cast<const char *>(bytes), size);
     simulator::DeploymentSettings settings;
     settings.start.routes.resize(1);
-    settings.routes = {"any"}, settings.routeTimeouts = {std::chrono::seconds(1)};
-    for (const auto what : {resp::Parser::What::command, resp::Parser::What::reply}) {
-        std::string whole, parted;
-        const auto first = readAll(what, all, 0, whole),
-                   second = readAll(what, all, size / 2, parted);
-        demand(whole == parted && first.size() == second.size());
-        for (std::size_t k = 0; k < first.size(); ++k) {
-            const auto &v = first[k];
-            demand(v.kind == second[k].kind && v.text == second[k].text &&
-                   v.items == second[k].items);
-            demand(v.items.size() <= kLimits.items && v.text.size() <= kLimits.bulkBytes);
-            if (what == resp::Parser::What::reply)
-                platform::readReply(v);
-            else {
-                std::vector<std::string> args;
-                for (const auto &item : v.items)
-                    args.push_back(*item);
-                const auto read = platform::readCommand(args, settings);
-                if (read.refusal.empty()) {
-                    const std::string on =
-                        platform::instanceCommand(read.command, std::chrono::seconds(1));
-                    demand(on.size() < 400);
-                }
-            }
-        }
-    }
+    settings.routes = {"any"};
+    settings.routeTimeouts = {std::chrono::seconds(1)};
+    for (const resp::Value &command : readAlike(resp::Parser::What::command, input))
+        readOn(command, settings);
+    for (const resp::Value &reply : readAlike(resp::Parser::What::reply, input))
+        platform::readReply(reply);
     return 0;
 }
--- a/src/http/fetch.cpp
+++ b/src/http/fetch.cpp
@@ -4,17 +4,25 @@
 
 namespace deckcart::http {
 
-constexpr std::size_t kMostHead = 16 * 1024, kMostBody = 8 * 1024 * 1024,
-                      kMostLine = 8 * 1024 * 1024;
+namespace {
+
+// Guard against a server that never ends its answer. Harm: memory without bound.
+constexpr std::size_t kMaxHeadBytes = 16 * 1024;
+constexpr std::size_t kMaxBodyBytes = 8 * 1024 * 1024;
+constexpr std::size_t kMaxLineBytes = 8 * 1024 * 1024;
+
+}  // namespace
 
 Fetch::Fetch(asio::io_context &context)
-    : connection(std::make_shared<ClientConnection>(context, kMostHead)), timer(context) {}
+    : connection(std::make_shared<ClientConnection>(context, kMaxHeadBytes)), timer(context) {}
 
 std::shared_ptr<Fetch> Fetch::start(asio::io_context &context, const asio::ip::tcp::endpoint &to,
                                     RequestHead head, const std::string &body, Duration within,
                                     Done done, Line line, Cut cut) {
     const std::shared_ptr<Fetch> call(new Fetch(context));
-    call->self = call, call->within = within, call->done = std::move(done),
+    call->self = call;
+    call->within = within;
+    call->done = std::move(done);
     call->line = std::move(line);
     call->cut = cut;
     if (!head.find("Host"))
@@ -22,12 +30,12 @@
     if (!body.empty())
         head.length = body.size();
     head.keepAlive = false;
-    call->arm();
+    call->startTimer();
     call->connection->call(to, within, write(head) + body, head.method == "HEAD", call.get());
     return call;
 }
 
-void Fetch::arm() {
+void Fetch::startTimer() {
     timer.expires_after(within);
     timer.async_wait([weak = weak_from_this()](asio::error_code fault) {
         const auto call = weak.lock();
@@ -42,31 +50,41 @@
 void Fetch::onResponseHead(const ResponseHead &head) {
     result.head = head;
     if (line)
-        arm();
+        startTimer();
 }
 
 void Fetch::onResponseBody(std::string_view part) {
     if (!line || result.head.status != 200) {
-        if (result.body.size() + part.size() <= kMostBody)
-            return void(result.body.append(part));
-        result.outcome = CallEnd::garbage;
-        return finish();
+        if (result.body.size() + part.size() > kMaxBodyBytes)
+            return fail();
+        result.body.append(part);
+        return;
     }
-    arm();
+    startTimer();
     const auto held = self;
     if (cut == Cut::nowhere)
         return line(part);
     partial.append(part);
+    takeLines();
+    if (partial.size() > kMaxLineBytes)
+        fail();
+}
+
+// The line's handler may stop this call.
+void Fetch::takeLines() {
     std::size_t from = 0;
-    for (auto at = partial.find('\n'); at != std::string::npos && self;
-         at = partial.find('\n', from)) {
-        const auto whole = partial.substr(from, at - from);
-        from = at + 1;
+    for (auto end = partial.find('\n'); end != std::string::npos && self;
+         end = partial.find('\n', from)) {
+        const auto whole = partial.substr(from, end - from);
+        from = end + 1;
         line(whole);
     }
     partial.erase(0, from);
-    if (partial.size() > kMostLine)
-        result.outcome = CallEnd::garbage, finish();
+}
+
+void Fetch::fail() {
+    result.outcome = CallEnd::garbage;
+    finish();
 }
 
 void Fetch::onCallEnd(CallEnd outcome) {
@@ -81,17 +99,19 @@
     timer.cancel();
     result.startedSending = connection->startedSending();
     connection->drop();
-    const auto tell = std::exchange(done, nullptr);
+    const auto notify = std::exchange(done, nullptr);
     line = nullptr;
-    if (tell)
-        tell(result);
+    if (notify)
+        notify(result);
 }
 
 void Fetch::stop() {
     done = nullptr;
     // The watch's own line may stand below this call.
-    if (const auto held = std::exchange(self, nullptr))
-        timer.cancel(), connection->drop();
+    if (const auto held = std::exchange(self, nullptr)) {
+        timer.cancel();
+        connection->drop();
+    }
 }
 
 Fetches::~Fetches() {
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -6,8 +6,27 @@
 namespace deckcart::http {
 namespace {
 
-char lower(char c) {
-    return c >= 'A' && c <= 'Z' ? char(c - 'A' + 'a') : c;
+char lower(char letter) {
+    return letter >= 'A' && letter <= 'Z' ? char(letter - 'A' + 'a') : letter;
+}
+
+std::string_view trim(std::string_view text) {
+    constexpr std::string_view kBlanks = " \t";
+    const auto begin = text.find_first_not_of(kBlanks);
+    if (begin == std::string_view::npos)
+        return {};
+    return text.substr(begin, text.find_last_not_of(kBlanks) - begin + 1);
+}
+
+// Whether a list of names that are parted by commas holds this one.
+bool lists(std::string_view list, std::string_view name) {
+    while (!list.empty()) {
+        const auto comma = std::min(list.find(','), list.size());
+        if (sameName(trim(list.substr(0, comma)), name))
+            return true;
+        list.remove_prefix(std::min(comma + 1, list.size()));
+    }
+    return false;
 }
 
 void add(std::string &out, std::string_view name, std::string_view value) {
@@ -29,15 +48,14 @@
 
 }  // namespace
 
-bool sameName(std::string_view a, std::string_view b) {
-    return a.size() == b.size() &&
-           std::ranges::equal(a, b, [](char x, char y) { return lower(x) == lower(y); });
+bool sameName(std::string_view left, std::string_view right) {
+    return std::ranges::equal(left, right, {}, lower, lower);
 }
 
 const std::string *Head::find(std::string_view name) const {
-    const auto it =
-        std::ranges::find_if(headers, [&](const Header &h) { return sameName(h.first, name); });
-    return it == headers.end() ? nullptr : &it->second;
+    const auto found = std::ranges::find_if(
+        headers, [&](const Header &header) { return sameName(header.first, name); });
+    return found == headers.end() ? nullptr : &found->second;
 }
 
 std::string_view reasonOf(int status) {
@@ -58,23 +76,9 @@
           "TE", "Trailer", "Upgrade", "Expect"})
         if (sameName(own, name))
             return false;
-    for (const auto &[field, value] : head.headers) {
-        if (!sameName(field, "Connection"))
-            continue;
-        std::string_view rest = value;
-        while (!rest.empty()) {
-            const auto comma = std::min(rest.find(','), rest.size());
-            std::string_view word = rest.substr(0, comma);
-            while (!word.empty() && (word.front() == ' ' || word.front() == '\t'))
-                word.remove_prefix(1);
-            while (!word.empty() && (word.back() == ' ' || word.back() == '\t'))
-                word.remove_suffix(1);
-            if (sameName(word, name))
-                return false;
-            rest.remove_prefix(std::min(comma + 1, rest.size()));
-        }
-    }
-    return true;
+    return std::ranges::none_of(head.headers, [&](const Header &header) {
+        return sameName(header.first, "Connection") && lists(header.second, name);
+    });
 }
 
 std::string write(const RequestHead &head) {
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -12,22 +12,28 @@
 
 using Header = std::pair<std::string, std::string>;
 
-bool sameName(std::string_view a, std::string_view b);  // field names are compared without case
+/// Field names are compared without case.
+bool sameName(std::string_view left, std::string_view right);
 
+/// What heads of requests and responses share.
 struct Head {
     std::vector<Header> headers;
-    std::optional<std::uint64_t> length;  // of the body, where it is stated
+    std::optional<std::uint64_t> length;  ///< of the body in bytes, where it is stated
     bool chunked = false;
     bool keepAlive = true;
 
-    const std::string *find(std::string_view name) const;  // the first of that name
+    /// The value of the first field of that name; null: there is none.
+    const std::string *find(std::string_view name) const;
 };
+
 struct RequestHead : Head {
-    std::string method, target;
+    std::string method;
+    std::string target;
     bool expectsContinue = false;
     bool upgrade = false;
-    bool old = false;  // HTTP/1.0
+    bool old = false;  ///< HTTP/1.0
 };
+
 struct ResponseHead : Head {
     int status = 0;
     std::string reason;
@@ -36,13 +42,14 @@
 /// Why a message is refused: it breaks the protocol, goes over a limit, or is not spoken here.
 enum class Fault { none, malformed, headTooLarge, unsupported };
 
+/// The phrase that goes with a status; "Unknown" for one without.
 std::string_view reasonOf(int status);
 
-// The fields that belong to one connection only (RFC 9110, 7.6.1), those that its Connection field
-// names, and the framing, which is written anew.
+/// Whether a field may be passed on. False for those that belong to one connection only (RFC 9110,
+/// 7.6.1), those that its Connection field names, and the framing, which is written anew.
 bool travels(const Head &head, std::string_view name);
 
-// A whole head with its empty line. Framing comes from length and chunked; the rest from headers.
+/// A whole head with its empty line. Framing comes from length and chunked; the rest from headers.
 std::string write(const RequestHead &head);
 std::string write(const ResponseHead &head, bool closes);
 
