--- a/src/http/fetch.cpp
+++ b/src/http/fetch.cpp
@@ -19,7 +19,7 @@
 std::shared_ptr<Fetch> Fetch::start(asio::io_context &context, const asio::ip::tcp::endpoint &to,
                                     RequestHead head, const std::string &body, Duration within,
                                     Done done, Line line, Cut cut) {
-    const std::shared_ptr<Fetch> call(new Fetch(context));
+    std::shared_ptr<Fetch> call(new Fetch(context));
     call->self = call;
     call->within = within;
     call->done = std::move(done);
@@ -114,6 +114,7 @@
     }
 }
 
+// NOLINTNEXTLINE(bugprone-exception-escape): lack of memory ends the program wherever it shows
 Fetches::~Fetches() {
     for (const auto &weak : calls)
         if (const auto call = weak.lock())
--- a/src/http/fetch.hpp
+++ b/src/http/fetch.hpp
@@ -61,7 +61,7 @@
 class Fetches {
   public:
     Fetches() = default;
-    ~Fetches();
+    ~Fetches();  // NOLINT(bugprone-exception-escape): as at its definition
     Fetches(const Fetches &) = delete;
     Fetches &operator=(const Fetches &) = delete;
     void add(const std::shared_ptr<Fetch> &call);
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -6,6 +6,16 @@
 namespace deckcart::http {
 namespace {
 
+struct StatusReason {
+    int status;
+    std::string_view reason;
+};
+constexpr StatusReason kStatusReasons[] = {
+#define DECKCART_REASON(number, name, words) {number, #words},
+    HTTP_STATUS_MAP(DECKCART_REASON)
+#undef DECKCART_REASON
+};
+
 char lower(char letter) {
     return letter >= 'A' && letter <= 'Z' ? char(letter - 'A' + 'a') : letter;
 }
@@ -59,15 +69,8 @@
 }
 
 std::string_view reasonOf(int status) {
-    switch (status) {
-#define DECKCART_REASON(number, name, words)                                                       \
-    case number:                                                                                   \
-        return #words;
-        HTTP_STATUS_MAP(DECKCART_REASON)
-#undef DECKCART_REASON
-    default:
-        return "Unknown";
-    }
+    const auto *const found = std::ranges::find(kStatusReasons, status, &StatusReason::status);
+    return found == std::end(kStatusReasons) ? "Unknown" : found->reason;
 }
 
 bool travels(const Head &head, std::string_view name) {
--- a/src/resp/listener.cpp
+++ b/src/resp/listener.cpp
@@ -130,6 +130,7 @@
     core->accept();
 }
 
+// NOLINTNEXTLINE(bugprone-exception-escape): lack of memory ends the program wherever it shows
 Listener::~Listener() {
     core->closed = true;
     core->onEmpty = nullptr;
--- a/src/resp/server.hpp
+++ b/src/resp/server.hpp
@@ -48,7 +48,7 @@
              const ListenerLimits &limits, Handler handler);
     /// Once.
     void open();
-    ~Listener();
+    ~Listener();  // NOLINT(bugprone-exception-escape): as at its definition
     Listener(const Listener &) = delete;
     Listener &operator=(const Listener &) = delete;
 
