--- a/bench/sources_bench.cpp
+++ b/bench/sources_bench.cpp
@@ -32,7 +32,7 @@
     std::vector<dns::Refresh> refresh;
     std::vector<int> perSecond(std::size_t(lasts / Duration{seconds(1)}) + 1);
     dns::Found found;
-    found.kind = dns::FoundKind::servers, found.seconds = std::uint32_t(lifetimeS);
+    found.kind = dns::LookupOutcome::servers, found.seconds = std::uint32_t(lifetimeS);
     for (int g = 0; g < gateways; ++g) {
         refresh.emplace_back(dns::RefreshRules{}, std::uint32_t(g + 1));
         due.push({atExpiry ? Duration{0} : refresh.back().first(false), g});  // all started at once
@@ -70,7 +70,7 @@
     const auto part = [&] { return double(chance()) / double(std::minstd_rand::max()); };
     std::vector<double> shares;
     dns::Found found;
-    found.kind = dns::FoundKind::servers, found.seconds = std::uint32_t(lifetimeS);
+    found.kind = dns::LookupOutcome::servers, found.seconds = std::uint32_t(lifetimeS);
     for (int run = 0; run < 20000; ++run) {
         dns::Refresh r({}, std::uint32_t(run + 1));
         const Duration lifetime = r.lifetime(found);
--- a/src/cli/scenario_command.cpp
+++ b/src/cli/scenario_command.cpp
@@ -45,11 +45,11 @@
     }
 }
 
-std::optional<scenarios::Day> readScenario(const std::string &path) {
+std::optional<scenarios::Scenario> readScenario(const std::string &path) {
     const auto document = readJson(path);
     if (!document)
         return std::nullopt;
-    auto read = scenarios::readDay(*document);
+    auto read = scenarios::parseScenario(*document);
     for (const auto &refusal : read.refused)
         std::cerr << path << ": " << (refusal.path.empty() ? "/" : refusal.path) << ": "
                   << refusal.reason << '\n';
@@ -66,7 +66,7 @@
     }
 
     // The exit status of the worst run; a run that could not be played ends the series.
-    int play(const std::vector<scenarios::Day> &all) {
+    int play(const std::vector<scenarios::Scenario> &all) {
         int status = kDone;
         for (const auto &scenario : all) {
             for (int run = 0; run < options.seeds; ++run) {
@@ -84,8 +84,8 @@
     }
 
   private:
-    int playOne(const scenarios::Day &scenario) {
-        const auto played = scenarios::rehearse(scenario, start);
+    int playOne(const scenarios::Scenario &scenario) {
+        const auto played = scenarios::runScenario(scenario, start);
         if (!played.fault.empty()) {
             std::cerr << scenario.name << ": " << played.fault << '\n';
             return kFailed;
@@ -96,7 +96,7 @@
             reports.push_back(played.report);
         else
             std::cout << scenarios::describe(played.report) << '\n' << std::flush;
-        return played.breaches.empty() ? kDone : kRuleBroken;
+        return played.violations.empty() ? kDone : kRuleBroken;
     }
 
     bool saveRecords(const scenarios::Records &records) const {
@@ -110,12 +110,12 @@
     }
 
     const ScenarioOptions &options;
-    scenarios::RehearsalStart start;
+    scenarios::ScenarioRunOptions start;
     json reports = json::array();
 };
 
 int playScenarios(const ScenarioOptions &options) {
-    std::vector<scenarios::Day> all;
+    std::vector<scenarios::Scenario> all;
     for (const auto &path : options.files) {
         auto scenario = readScenario(path);
         if (!scenario)
@@ -133,8 +133,8 @@
     if (!scenario || !document)
         return kBadInput;
     try {
-        const auto violations =
-            scenarios::audit(scenarios::readRecords(*document), scenarios::figuresOf(*scenario));
+        const auto violations = scenarios::audit(scenarios::readRecords(*document),
+                                                 scenarios::ruleParametersOf(*scenario));
         for (const auto &violation : violations)
             fmt::print("rule {} ({}), {:.3f} s, {}: {}\n", int(violation.rule),
                        scenarios::nameOf(violation.rule), double(violation.at.count()) / 1e6,
--- a/src/control_plane/documents.cpp
+++ b/src/control_plane/documents.cpp
@@ -98,7 +98,7 @@
     return document;
 }
 
-ListedEndpoint readListed(const json &document) {
+ListedEndpoint readListedEndpoint(const json &document) {
     ListedEndpoint endpoint;
     endpoint.id = requiredField<std::string>(document, "id");
     endpoint.build = requiredField<int>(document, "build");
@@ -117,7 +117,7 @@
 
 EndpointEntry entryOf(const ListedEndpoint &endpoint, const GatewaySettings &settings) {
     return {endpoint.id,
-            settings.zoneNo(endpoint.zone),
+            settings.zoneIndex(endpoint.zone),
             endpoint.cell,
             endpoint.build,
             endpoint.state,
--- a/src/control_plane/documents.hpp
+++ b/src/control_plane/documents.hpp
@@ -28,7 +28,7 @@
 };
 [[nodiscard]] nlohmann::json toJson(const ListedEndpoint &endpoint);
 /// Throws ParseError with the field at fault.
-[[nodiscard]] ListedEndpoint readListed(const nlohmann::json &document);
+[[nodiscard]] ListedEndpoint readListedEndpoint(const nlohmann::json &document);
 
 /// The entry for the decision module, but for startedAt: that is on the reader's clock.
 [[nodiscard]] EndpointEntry entryOf(const ListedEndpoint &endpoint,
--- a/src/control_plane/http_control_plane_client.cpp
+++ b/src/control_plane/http_control_plane_client.cpp
@@ -126,7 +126,7 @@
     if (startTimes.size() > kMaxStartTimes)
         startTimes.clear();
     for (const auto &document : entries) {
-        const ListedEndpoint endpoint = readListed(document);
+        const ListedEndpoint endpoint = readListedEndpoint(document);
         EndpointEntry entry = entryOf(endpoint, settings);
         if (endpoint.age)
             entry.startedAt = startOf(endpoint, *endpoint.age);
--- a/src/dns/decode.cpp
+++ b/src/dns/decode.cpp
@@ -92,7 +92,7 @@
     const auto *minimum = fields.bytes(kMinimum, sizeof(std::uint32_t));
     if (!minimum)
         return std::nullopt;
-    return ZoneStart{numberAt<std::uint32_t>(minimum)};
+    return Soa{numberAt<std::uint32_t>(minimum)};
 }
 
 std::optional<RecordData> readSrv(const RecordFields &fields) {
--- a/src/dns/encode.cpp
+++ b/src/dns/encode.cpp
@@ -41,7 +41,7 @@
     ldns_rr_push_rdf(record, nameField(alias.target));
 }
 
-void writeData(ldns_rr *record, const ZoneStart &zone) {
+void writeData(ldns_rr *record, const Soa &zone) {
     // MNAME, RNAME, SERIAL, then REFRESH, RETRY and EXPIRE, which nothing here reads.
     constexpr std::uint32_t kSerial = 1;
     constexpr std::uint32_t kUnusedPeriod = 3600;
--- a/src/dns/lookup.cpp
+++ b/src/dns/lookup.cpp
@@ -34,7 +34,7 @@
 // Lifetime of a negative answer (RFC 2308, 5).
 std::uint32_t negativeSeconds(const Message &reply) {
     for (const auto &record : reply.authority)
-        if (const auto *zone = std::get_if<ZoneStart>(&record.data))
+        if (const auto *zone = std::get_if<Soa>(&record.data))
             return std::min(record.seconds, zone->negativeSeconds);
     return 0;
 }
@@ -69,17 +69,17 @@
 
 }  // namespace
 
-const char *nameOf(FoundKind kind) {
+const char *nameOf(LookupOutcome kind) {
     switch (kind) {
-    case FoundKind::servers:
+    case LookupOutcome::servers:
         return "servers";
-    case FoundKind::noData:
+    case LookupOutcome::noData:
         return "no-data";
-    case FoundKind::noName:
+    case LookupOutcome::noName:
         return "no-name";
-    case FoundKind::notOffered:
+    case LookupOutcome::notOffered:
         return "not-offered";
-    case FoundKind::failed:
+    case LookupOutcome::failed:
         return "failed";
     }
     return "failed";
@@ -144,7 +144,7 @@
         return;
     }
     if (records.servers.empty()) {
-        finishWith(records.notOffered ? FoundKind::notOffered : FoundKind::noData);
+        finishWith(records.notOffered ? LookupOutcome::notOffered : LookupOutcome::noData);
         return;
     }
     takeServers(records);
@@ -209,7 +209,7 @@
         return;
     }
     boundLifetime(negativeSeconds(reply));
-    finishWith(noName ? FoundKind::noName : FoundKind::noData);
+    finishWith(noName ? LookupOutcome::noName : LookupOutcome::noData);
 }
 
 void Lookup::takeServers(const SrvRecords &records) {
@@ -293,10 +293,10 @@
 
 void Lookup::fail(const std::string &why) {
     found.fault = why;
-    finishWith(FoundKind::failed);
+    finishWith(LookupOutcome::failed);
 }
 
-void Lookup::finishWith(FoundKind kind) {
+void Lookup::finishWith(LookupOutcome kind) {
     found.kind = kind;
     done = true;
 }
@@ -314,7 +314,7 @@
     if (found.targets.empty() && !found.unresolved.empty())
         fail("no target has an address that could be asked for");
     else
-        finishWith(FoundKind::servers);
+        finishWith(LookupOutcome::servers);
 }
 
 void Lookup::boundLifetime(std::uint32_t seconds) {
--- a/src/dns/lookup.hpp
+++ b/src/dns/lookup.hpp
@@ -26,7 +26,7 @@
     std::vector<asio::ip::address> addresses;  // sorted; those of version 4 if there is one
 };
 
-enum class FoundKind {
+enum class LookupOutcome {
     servers,
     noData,      // the name is there, without such records
     noName,      // the name is not there
@@ -34,11 +34,11 @@
     failed       // nothing was learned
 };
 /// As logs write it.
-[[nodiscard]] const char *nameOf(FoundKind kind);
+[[nodiscard]] const char *nameOf(LookupOutcome kind);
 
 /// The result of a lookup.
 struct Found {
-    FoundKind kind = FoundKind::failed;
+    LookupOutcome kind = LookupOutcome::failed;
     std::vector<Target> targets;  // by priority, name, port
     /// The least lifetime of all records that led here; of a negative answer the lesser of SOA's
     /// lifetime and MINIMUM (RFC 2308, 5), 0 where there is no SOA. Not clamped.
@@ -47,7 +47,7 @@
     std::vector<std::string> unresolved;
     /// What was left out, and why.
     std::vector<std::string> notes;
-    /// Of FoundKind::failed.
+    /// Of LookupOutcome::failed.
     std::string fault;
 };
 
@@ -109,7 +109,7 @@
                 std::uint32_t seconds);
     void settleWithoutReply(const std::string &target, const std::string &why);
     void fail(const std::string &why);
-    void finishWith(FoundKind kind);
+    void finishWith(LookupOutcome kind);
     void finishIfResolved();
     void boundLifetime(std::uint32_t seconds);
 
--- a/src/dns/message.hpp
+++ b/src/dns/message.hpp
@@ -39,13 +39,13 @@
 };
 
 /// What is used of an SOA record (RFC 1035, 3.3.13).
-struct ZoneStart {
+struct Soa {
     /// MINIMUM: bound of the lifetime of negative answers (RFC 2308, 4).
     std::uint32_t negativeSeconds = 0;
-    bool operator==(const ZoneStart &) const = default;
+    bool operator==(const Soa &) const = default;
 };
 
-using RecordData = std::variant<Srv, Alias, ZoneStart, asio::ip::address>;
+using RecordData = std::variant<Srv, Alias, Soa, asio::ip::address>;
 
 struct Record {
     std::string owner;
--- a/src/dns/query_schedule.cpp
+++ b/src/dns/query_schedule.cpp
@@ -155,7 +155,7 @@
 }
 
 Duration Refresh::lifetime(const Found &found) const {
-    const bool negative = found.kind != FoundKind::servers;
+    const bool negative = found.kind != LookupOutcome::servers;
     const Duration ceiling = negative ? rules.negativeCeiling : rules.ceiling;
     return std::clamp(Duration(seconds(found.seconds)), rules.floor,
                       std::max(rules.floor, ceiling));
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -93,7 +93,7 @@
     scheduleLookup(*watched, watched->refresh.first(haveView));
 }
 
-void Resolver::askAgainIn(const std::string &name, Duration wanted) {
+void Resolver::refreshWithin(const std::string &name, Duration wanted) {
     const auto found = watchedNames.find(name);
     if (found == watchedNames.end() || found->second->lookup)
         return;
@@ -133,7 +133,7 @@
 
 void Resolver::finishLookup(WatchedName &watched) {
     const Found found = watched.lookup->result();
-    const bool failed = found.kind == FoundKind::failed;
+    const bool failed = found.kind == LookupOutcome::failed;
     if (!failed) {
         watched.addresses = watched.lookup->addresses();
         watched.addressesAt = clock.now();
--- a/src/dns/resolver.hpp
+++ b/src/dns/resolver.hpp
@@ -48,7 +48,7 @@
     /// @param haveView  there is something to go by until the first answer
     void follow(const std::string &name, bool haveView);
     /// Looks it up again so much later instead of when it was due, unless that is sooner.
-    void askAgainIn(const std::string &name, Duration wanted);
+    void refreshWithin(const std::string &name, Duration wanted);
     [[nodiscard]] const ResolverCounts &counts() const { return counted; }
 
   private:
--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -166,7 +166,7 @@
     const Duration at = world.clock.now();
     if (event.contains("instances"))
         for (const auto &entry : event["instances"]) {
-            const ListedEndpoint s = readListed(entry);
+            const ListedEndpoint s = readListedEndpoint(entry);
             world.records.endpoints.push_back(
                 {gateway, at, s.id, s.build, s.state, s.age && *s.age < world.day.warmUpTime});
         }
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -6,7 +6,7 @@
 
 namespace deckcart::fakes {
 
-using scenarios::BadKind;
+using scenarios::BuildFault;
 
 namespace {
 
@@ -125,7 +125,8 @@
     if (runs == world.trial)
         world.trialWork.push_back(job.came);
     if (pushedOver(job.workMs)) {
-        world.records.fallen.push_back({name, job.came - world.day.overloadWindow, job.came});
+        world.records.overloadedEndpoints.push_back(
+            {name, job.came - world.day.overloadWindow, job.came});
         // On a turn of its own: this call comes from its own listener.
         asio::post(context, [this, here = std::weak_ptr(alive)] {
             if (here.expired())
@@ -158,9 +159,9 @@
     if (runs != world.trial)
         return 1;
     const auto &bad = world.day.bad;
-    if (bad.kind == BadKind::slow)
+    if (bad.kind == BuildFault::slow)
         return bad.times;
-    if (bad.kind == BadKind::busy && busy >= world.day.cores)
+    if (bad.kind == BuildFault::busy && busy >= world.day.cores)
         return bad.times;
     return 1;
 }
@@ -173,7 +174,7 @@
         if (!job.exchange->open())
             continue;  // cancelled while it waited
         double times = slow * world.fleetSlow * buildTimes() / warmth();
-        if (world.day.bad.kind == BadKind::slowsAll) {
+        if (world.day.bad.kind == BuildFault::slowsAll) {
             for (auto *queue : {&world.trialWork, &world.allWork})
                 while (!queue->empty() && queue->front() < now - kCountedFor)
                     queue->pop_front();
@@ -204,7 +205,7 @@
     }
 }
 
-bool FakeEndpoint::faulty(const Job &job, BadKind kind) {
+bool FakeEndpoint::faulty(const Job &job, BuildFault kind) {
     const auto &bad = world.day.bad;
     if (runs != world.trial || bad.kind != kind || (bad.route >= 0 && bad.route != job.route))
         return false;
@@ -217,8 +218,8 @@
     const Duration now = world.clock.now();
     meanMs += 0.1 * (milliseconds(now - job.came) - meanMs);
     const bool old = now - started >= world.day.bad.after;
-    const bool fails = faulty(job, BadKind::fails) || (old && faulty(job, BadKind::later)) ||
-                       (int(waiting.size()) >= world.day.cores && faulty(job, BadKind::busy));
+    const bool fails = faulty(job, BuildFault::fails) || (old && faulty(job, BuildFault::later)) ||
+                       (int(waiting.size()) >= world.day.cores && faulty(job, BuildFault::busy));
     const std::string *mark = head.find("Idempotency-Key");
     if (mark && !job.repeat && route.rule.idempotency != Idempotency::idempotent) {
         if (!fails)
@@ -233,7 +234,7 @@
     std::vector<http::Header> headers{{"X-Build", std::to_string(runs)}};
     if (fails)
         return answer(*job.exchange, 500, std::move(headers), "failed\n");
-    if (faulty(job, BadKind::wrong))
+    if (faulty(job, BuildFault::wrong))
         headers.push_back({"X-Wrong", "1"});
     answer(*job.exchange, 200, std::move(headers), "done\n");
 }
--- a/src/fakes/endpoint.hpp
+++ b/src/fakes/endpoint.hpp
@@ -17,10 +17,10 @@
 
 // What all instances of a day share: who is slow, how the build on trial is faulty, what was seen.
 struct FakeEnvironment {
-    FakeEnvironment(const scenarios::Day &of, const Clock &time, scenarios::Records &into)
+    FakeEnvironment(const scenarios::Scenario &of, const Clock &time, scenarios::Records &into)
         : day(of), clock(time), records(into) {}
 
-    const scenarios::Day &day;
+    const scenarios::Scenario &day;
     const Clock &clock;
     scenarios::Records &records;
     BuildNumber trial = 2;
@@ -71,7 +71,7 @@
     void finish(const Job &job);
     double warmth() const;
     bool pushedOver(double workMs);
-    bool faulty(const Job &job, scenarios::BadKind kind);
+    bool faulty(const Job &job, scenarios::BuildFault kind);
     double buildTimes();
     void blinkConnects();
 
--- a/src/fakes/fleet_names.cpp
+++ b/src/fakes/fleet_names.cpp
@@ -8,7 +8,7 @@
 
 using scenarios::srvNameOf;
 
-FleetNames::FleetNames(asio::io_context &io, const scenarios::Day &of, const Clock &time,
+FleetNames::FleetNames(asio::io_context &io, const scenarios::Scenario &of, const Clock &time,
                        scenarios::Records &into, std::uint32_t seed)
     : day(of), clock(time), records(into) {
     for (std::size_t g = 0; g < of.gatewayWeights.size(); ++g) {
@@ -30,7 +30,7 @@
 
 std::vector<dns::Record> FleetNames::recordsOf(const std::vector<Listed> &now) const {
     const auto lifetime = std::uint32_t(day.recordLifetime.count() / 1000000);
-    std::vector<dns::Record> out{{"example.org.", lifetime, dns::ZoneStart{lifetime}}};
+    std::vector<dns::Record> out{{"example.org.", lifetime, dns::Soa{lifetime}}};
     for (const auto &one : now) {
         const auto at = *parseAddress(one.id);
         const std::string target =
--- a/src/fakes/fleet_names.hpp
+++ b/src/fakes/fleet_names.hpp
@@ -17,7 +17,7 @@
         BuildNumber build = 0;
         std::string zone;
     };
-    FleetNames(asio::io_context &context, const scenarios::Day &day, const Clock &clock,
+    FleetNames(asio::io_context &context, const scenarios::Scenario &day, const Clock &clock,
                scenarios::Records &records, std::uint32_t seed);
 
     // Of one gateway, HOST:PORT.
@@ -31,7 +31,7 @@
     std::vector<dns::Record> recordsOf(const std::vector<Listed> &fleet) const;
     void told(int gateway, const dns::Message &reply);
 
-    const scenarios::Day &day;
+    const scenarios::Scenario &day;
     const Clock &clock;
     scenarios::Records &records;
     std::vector<std::vector<std::unique_ptr<NameServer>>> servers;  // by gateway
--- a/src/fakes/name_server.cpp
+++ b/src/fakes/name_server.cpp
@@ -17,7 +17,7 @@
         return dns::Type::srv;
     if (std::holds_alternative<dns::Alias>(r.data))
         return dns::Type::cname;
-    if (std::holds_alternative<dns::ZoneStart>(r.data))
+    if (std::holds_alternative<dns::Soa>(r.data))
         return dns::Type::soa;
     return std::get<asio::ip::address>(r.data).is_v4() ? dns::Type::a : dns::Type::aaaa;
 }
@@ -38,7 +38,7 @@
     else if (type == "CNAME")
         r.data = dns::Alias{name("target")};
     else if (type == "SOA")
-        r.data = dns::ZoneStart{from.value("negativeSeconds", 5u)};
+        r.data = dns::Soa{from.value("negativeSeconds", 5u)};
     else {
         asio::error_code fault;
         const auto address = asio::ip::make_address(from.at("address").get<std::string>(), fault);
--- a/src/gateway/api.cpp
+++ b/src/gateway/api.cpp
@@ -140,7 +140,7 @@
     if (!parsed.settings)
         return problem(exchange, 422, "refused; nothing has changed", toJson(parsed.refused));
     const bool newModule = document.empty() || !sameModule(document, wanted);
-    if (newModule && !document.empty() && !gateway.mayRestartModule())
+    if (newModule && !document.empty() && !gateway.mayRestartPolicy())
         return problem(exchange, 409,
                        "more than one build is listed: /gateway, /zones, /routes, /accounts, "
                        "/allowed, /rules and "
@@ -158,7 +158,7 @@
 }
 
 json statusOf(const Gateway &gateway) {
-    json status = countsOf(gateway);
+    json status = countersJson(gateway);
     status["unrouted"] = gateway.counts().unrouted;
     status["connections"] = gateway.connections();
     status["decisions"] = gateway.counts().decisions;
--- a/src/gateway/attempt_dispatcher.cpp
+++ b/src/gateway/attempt_dispatcher.cpp
@@ -46,7 +46,7 @@
     int attemptNumber;
 };
 
-AttemptDispatcher::AttemptDispatcher(const Services &services, ShellFaults shellFaults)
+AttemptDispatcher::AttemptDispatcher(const Services &services, DataPathFaults shellFaults)
     : use(services), faults(shellFaults) {}
 
 // ---- sending ----
@@ -174,8 +174,8 @@
         return;
     call->start(
         *request.downstream, request.clientRequestId,
-        [most = use.settings.upstream.stalledFor] { return std::optional(most); }, attempt.build,
-        &ignoring);
+        [most = use.settings.upstream.streamStallTimeout] { return std::optional(most); },
+        attempt.build, &ignoring);
     faultyRepeats.push_back(call);
 }
 
@@ -205,7 +205,7 @@
         const AttemptContext &attempt = request->attempt(*request->streamingAttempt);
         const bool slowReader = request->downstream->waiting() > 0;  // the listener ends those
         if (!attempt.ended && !slowReader &&
-            now - attempt.lastProgressAt > use.settings.upstream.stalledFor)
+            now - attempt.lastProgressAt > use.settings.upstream.streamStallTimeout)
             stalled.push_back({id, *request->streamingAttempt});
     }
     for (const AttemptKey &key : stalled)
@@ -226,7 +226,7 @@
         request.downstream->write(part);
     } else {
         attempt.bufferedResponse.append(part);
-        if (attempt.bufferedResponse.size() <= use.settings.upstream.heldAnswerBytes)
+        if (attempt.bufferedResponse.size() <= use.settings.upstream.bufferedResponseBytes)
             return;
         if (request.answered || request.isStreaming()) {
             attempt.bufferedResponse.clear();  // no client will get it
@@ -288,7 +288,7 @@
         request.downstream->injectDuplicateResponse();
     use.requests.markCompleted(request);
     use.history.add(request.clientRequestId, {attempt.endpoint, attempt.sentAt},
-                    use.settings.passedKept);
+                    use.settings.responseHistorySize);
 }
 
 }  // namespace deckcart
--- a/src/gateway/attempt_dispatcher.hpp
+++ b/src/gateway/attempt_dispatcher.hpp
@@ -15,7 +15,7 @@
 
 /// Faults of the data path that a scenario run asks for, to show that its invariant checks find
 /// them. Never set in service.
-struct ShellFaults {
+struct DataPathFaults {
     bool sendsAfterDrain = false;      ///< First attempts go to what was listed as draining last.
     bool answersTwice = false;         ///< Writes a second answer behind each first one.
     bool repeatsNonRetriable = false;  ///< Sends an attempt that was reset again by itself.
@@ -34,7 +34,7 @@
         ResponseHistory &history;
         GatewayCounts &counts;
     };
-    AttemptDispatcher(const Services &services, ShellFaults faults);
+    AttemptDispatcher(const Services &services, DataPathFaults faults);
 
     /// Carries out the policy's decision to send an attempt. One that can't be sent any more ends
     /// at once, with the outcome that says why.
@@ -72,7 +72,7 @@
     void repeatByFault(const RequestContext &request, const AttemptContext &attempt);
 
     Services use;
-    ShellFaults faults;
+    DataPathFaults faults;
     std::vector<std::shared_ptr<UpstreamCall>> faultyRepeats;
 };
 
--- a/src/gateway/endpoint_documents.cpp
+++ b/src/gateway/endpoint_documents.cpp
@@ -84,7 +84,7 @@
     }
 
     [[nodiscard]] membership::Claim claim(const json &document) const {
-        const ListedEndpoint endpoint = readListed(document);
+        const ListedEndpoint endpoint = readListedEndpoint(document);
         membership::Claim claim;
         claim.entry = {endpoint.id,
                        document.at("zoneNo").get<int>(),
@@ -138,8 +138,8 @@
     return documents;
 }
 
-std::vector<membership::SavedSource> readSaved(const json &document, TimePoint now,
-                                               Duration passed) {
+std::vector<membership::SavedSource> readSavedSources(const json &document, TimePoint now,
+                                                      Duration passed) {
     const SavedSourceReader reader{now - passed};
     std::vector<membership::SavedSource> sources;
     for (const auto &source : document)
--- a/src/gateway/endpoint_documents.hpp
+++ b/src/gateway/endpoint_documents.hpp
@@ -24,7 +24,7 @@
 /// Reads it back, each age longer by what has passed since it was written. Throws
 /// nlohmann::json::exception or ParseError where it is no such document.
 /// @param now  on the reader's clock, which the result's times are on
-[[nodiscard]] std::vector<membership::SavedSource> readSaved(const nlohmann::json &document,
-                                                             TimePoint now, Duration passed);
+[[nodiscard]] std::vector<membership::SavedSource> readSavedSources(const nlohmann::json &document,
+                                                                    TimePoint now, Duration passed);
 
 }  // namespace deckcart
--- a/src/gateway/endpoint_persistence.cpp
+++ b/src/gateway/endpoint_persistence.cpp
@@ -47,7 +47,7 @@
 }
 
 void EndpointPersistence::start() {
-    gateway.onListed = guard.wrap([this] { changed = true; });
+    gateway.onEndpointsChanged = guard.wrap([this] { changed = true; });
     scheduleSave();
 }
 
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -79,7 +79,7 @@
         merge.took(*controlPlane,
                    {clock(), membership::kForever, "desk", std::move(claims), false, {}});
     else
-        merge.tookChanges(*controlPlane, clock(), claims);
+        merge.applyChanges(*controlPlane, clock(), claims);
     sourceRead();
 }
 
@@ -94,8 +94,8 @@
                                std::size_t server) {
     logLookup(name, found);
     const auto &watched = names.at(name);
-    if (found.kind == dns::FoundKind::failed)
-        merge.failedOnce(watched.source, found.fault);
+    if (found.kind == dns::LookupOutcome::failed)
+        merge.markFailedOnce(watched.source, found.fault);
     else
         merge.took(watched.source, membership::readingOf(watched.srv, found, clock(), lifetime,
                                                          servers.at(server)));
@@ -121,7 +121,7 @@
     update(Report::changes);
 }
 
-void EndpointWatcher::tellAgain() {
+void EndpointWatcher::reportAgain() {
     update(Report::always);
 }
 
@@ -162,7 +162,7 @@
     for (const auto &[source, due] : merged.confirm) {
         const auto &rule = rules.sources[source];
         if (rule.kind == membership::SourceKind::srv && resolver)
-            resolver->askAgainIn(rule.name, std::max(Duration{0}, due - now));
+            resolver->refreshWithin(rule.name, std::max(Duration{0}, due - now));
         if (rule.kind == membership::SourceKind::controlPlane && now >= due)
             handler(EndpointListFailed{});  // the decision module lists anew
     }
--- a/src/gateway/endpoint_watcher.hpp
+++ b/src/gateway/endpoint_watcher.hpp
@@ -44,7 +44,7 @@
     void onControlPlaneUpdate(const EndpointListUpdate &list);
     void onControlPlaneFailure();
     /// Hands over the list as it is now, if there is one: the decision module asks for it.
-    void tellAgain();
+    void reportAgain();
 
     [[nodiscard]] membership::View view();
     [[nodiscard]] const std::vector<membership::SourceRule> &sources() const {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-nlohmann::json countsOf(const Gateway &gateway) {
+nlohmann::json countersJson(const Gateway &gateway) {
     const GatewayCounts &counts = gateway.counts();
     return {{"taken", counts.taken},
             {"completed", counts.completed},
@@ -34,8 +34,8 @@
             {"inHand", gateway.inHand()},
             {"tries", counts.attempts},
             {"overdue", counts.overdue},
-            {"standstills", counts.standstills},
-            {"turnedAway", counts.turnedAway},
+            {"standstills", counts.processStalls},
+            {"turnedAway", counts.rejected},
             {"decidingMs", milliseconds(counts.deciding)},
             {"longestDecidingMs", milliseconds(counts.longestDeciding)}};
 }
@@ -44,12 +44,12 @@
 
 Gateway::Gateway(asio::io_context &ioContext, const Clock &steadyClock, GatewaySettings settings,
                  std::uint64_t seed, Log target, const asio::ip::tcp::endpoint &listen,
-                 ShellFaults faults)
+                 DataPathFaults faults)
     : Gateway(ioContext, steadyClock, std::move(settings), seed, std::move(target),
               HttpTransport(ioContext, listen), faults) {}
 
 Gateway::Gateway(asio::io_context &ioContext, const Clock &steadyClock, GatewaySettings settings,
-                 std::uint64_t seed, Log target, const Transport &transport, ShellFaults faults)
+                 std::uint64_t seed, Log target, const Transport &transport, DataPathFaults faults)
     : context(ioContext), activeSettings(std::move(settings)), log(std::move(target)), random(seed),
       realClock(steadyClock), clock(ioContext, steadyClock, activeSettings,
                                     [this](const LoopClock::Stall &stall) { onStall(stall); }),
@@ -111,7 +111,7 @@
     watcher->onRead = [this] { notifyListed(); };
 }
 
-bool Gateway::mayRestartModule() const {
+bool Gateway::mayRestartPolicy() const {
     const auto &stage = rollout.stage();
     return membership::mayStartAnew(endpoints.entries(),
                                     stage ? std::optional(stage->phase) : std::nullopt);
@@ -156,7 +156,7 @@
         asio::post(context, std::exchange(onDrained, nullptr));
 }
 
-void Gateway::endInHand() {
+void Gateway::failRequestsInFlight() {
     handler.failAll();
 }
 
@@ -164,7 +164,7 @@
 
 // What is past its deadline is answered before anything else.
 void Gateway::onStall(const LoopClock::Stall &stall) {
-    ++gatewayCounts.standstills;
+    ++gatewayCounts.processStalls;
     log.warn("standstill", {{"ms", milliseconds(stall.length)}});
     handler.failOverdue(stall.foundAt);
 }
@@ -205,8 +205,8 @@
 }
 
 void Gateway::notifyListed() const {
-    if (onListed)
-        onListed();
+    if (onEndpointsChanged)
+        onEndpointsChanged();
 }
 
 std::vector<ListedEndpoint> Gateway::listed() const {
@@ -267,7 +267,7 @@
         return;
     controlPlane->follow(action.active);
     if (watcher && action.active)
-        watcher->tellAgain();
+        watcher->reportAgain();
 }
 
 void Gateway::vote(GatewayId record, const Vote &action) {
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -34,7 +34,7 @@
 class Gateway;
 /// What every gateway reports of itself, whatever its transport: the counters as they stand in the
 /// HTTP API and in the logs.
-nlohmann::json countsOf(const Gateway &gateway);
+nlohmann::json countersJson(const Gateway &gateway);
 
 /// Wires the parts of the data path and owns them. All calls are made on the thread of the
 /// io_context, and callbacks come there.
@@ -44,10 +44,10 @@
     /// clock must outlive the gateway.
     Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings,
             std::uint64_t seed, Log log, const asio::ip::tcp::endpoint &listen,
-            ShellFaults faults = {});
+            DataPathFaults faults = {});
     /// The same over another transport, which is used during construction only.
     Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings,
-            std::uint64_t seed, Log log, const Transport &transport, ShellFaults faults = {});
+            std::uint64_t seed, Log log, const Transport &transport, DataPathFaults faults = {});
     /// Ends all calls and connections without an answer.
     ~Gateway();
     Gateway(const Gateway &) = delete;
@@ -57,23 +57,23 @@
     /// before the first request.
     void remember(const std::vector<ListedEndpoint> &saved);
     void remember(const EndpointListUpdate &known) { onEvent(known); }
-    /// The same where the list has sources of its own: read with readSaved() on this gateway's
-    /// clock.
+    /// The same where the list has sources of its own: read with readSavedSources() on this
+    /// gateway's clock.
     void remember(const std::vector<membership::SavedSource> &saved);
     /// Gives the policy the rollout's stage as last known.
     void tell(const RolloutUpdate &update) { onEvent(update); }
 
     /// Takes new settings while requests go on. `newModule`: the policy starts anew and takes the
     /// requests that arrive from now on; those in flight end under the old start. Only where
-    /// mayRestartModule(). `sourcesMoved`: the sources of the list have changed.
+    /// mayRestartPolicy(). `sourcesMoved`: the sources of the list have changed.
     void apply(GatewaySettings settings, bool newModule, bool sourcesMoved = false);
     /// Whether the policy may start anew now: only where one build is listed.
-    bool mayRestartModule() const;
+    bool mayRestartPolicy() const;
 
     /// Accepts no new requests, finishes those in flight, then calls back.
     void drain(std::function<void()> done);
     /// Answers whatever is still in flight, as errored; rejects what comes from now on.
-    void endInHand();
+    void failRequestsInFlight();
     /// A client's report that a response it got here is incorrect. False where that response is not
     /// known (any more).
     bool reportIncorrectResponse(const std::string &requestId);
@@ -90,7 +90,7 @@
     /// Empty until the control plane has said one.
     std::optional<RolloutStage> stage() const { return rollout.stage(); }
     /// Called when the list, or what a source says, has changed.
-    std::function<void()> onListed;
+    std::function<void()> onEndpointsChanged;
     /// Null where the control plane's list is taken as it is.
     EndpointWatcher *members() { return watcher.get(); }
 
--- a/src/gateway/http_request.cpp
+++ b/src/gateway/http_request.cpp
@@ -77,7 +77,7 @@
 }
 
 void HttpRequest::injectDuplicateResponse() {
-    exchange->writeBehind("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+    exchange->writeAfterEnd("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 }
 
 }  // namespace deckcart
--- a/src/gateway/http_upstream.cpp
+++ b/src/gateway/http_upstream.cpp
@@ -34,7 +34,8 @@
     sent.headers.reserve(received.headers.size() + kAddedHeaders);
     for (const http::Header &header : received.headers) {
         const auto &[field, value] = header;
-        if (http::travels(received, field) && !http::sameName(field, settings.headers.remaining))
+        if (http::travels(received, field) &&
+            !http::equalFieldNames(field, settings.headers.remaining))
             sent.headers.push_back(header);
     }
     if (!received.find(settings.headers.requestId))
--- a/src/gateway/request_handler.cpp
+++ b/src/gateway/request_handler.cpp
@@ -12,8 +12,8 @@
     use.clock.turn();
     use.clock.countSocketEvent();
     if (rejectsAll || use.requests.isFull()) {
-        ++use.counts.turnedAway;
-        return downstream->shed(downstream->attributes.name, use.settings.turnedAwayFor);
+        ++use.counts.rejected;
+        return downstream->shed(downstream->attributes.name, use.settings.rejectedRetryAfter);
     }
     // What is read after a stall came at some time during it: the earliest is taken, as its client
     // may have been waiting since.
--- a/src/gateway/service.hpp
+++ b/src/gateway/service.hpp
@@ -17,7 +17,7 @@
     std::filesystem::path state;      ///< folder; empty: nothing is kept
     std::filesystem::path readyFile;  ///< gets both addresses once they listen; empty: none
     LogForm logs = LogForm::text;
-    ShellFaults faults;
+    DataPathFaults faults;
 };
 
 /// Runs until SIGTERM or SIGINT has drained it. Returns the exit status: 0, or 1 with a log line
--- a/src/gateway/state_store.cpp
+++ b/src/gateway/state_store.cpp
@@ -85,7 +85,7 @@
     StoredEndpointList stored;
     stored.age = ageOf(*snapshot);
     for (const auto &document : snapshot->at("instances")) {
-        ListedEndpoint endpoint = readListed(document);
+        ListedEndpoint endpoint = readListedEndpoint(document);
         if (endpoint.age)
             *endpoint.age += stored.age;
         stored.endpoints.push_back(std::move(endpoint));
@@ -105,7 +105,7 @@
         return std::nullopt;
     StoredSources stored;
     stored.age = ageOf(*snapshot);
-    stored.sources = readSaved(snapshot->at("sources"), now, stored.age);
+    stored.sources = readSavedSources(snapshot->at("sources"), now, stored.age);
     return stored;
 }
 
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -103,7 +103,7 @@
         peer->shut(net::Closing::reset);
 }
 
-void Exchange::writeBehind(std::string_view bytes) {
+void Exchange::writeAfterEnd(std::string_view bytes) {
     if (const auto peer = connection.lock())
         peer->write(bytes);
 }
--- a/src/http/head_checks.cpp
+++ b/src/http/head_checks.cpp
@@ -18,11 +18,11 @@
     int lengths = 0;
     bool lengthsReadable = true;
     for (const auto &[name, value] : head.headers) {
-        if (sameName(name, "Transfer-Encoding")) {
+        if (equalFieldNames(name, "Transfer-Encoding")) {
             ++codings;
-            head.chunked = sameName(value, "chunked");
+            head.chunked = equalFieldNames(value, "chunked");
         }
-        if (sameName(name, "Content-Length")) {
+        if (equalFieldNames(name, "Content-Length")) {
             ++lengths;
             lengthsReadable = lengthsReadable && isLength(value);
         }
@@ -40,9 +40,9 @@
 
 Fault checkRequest(RequestHead &head, ProtocolVersion version) {
     const std::string *expect = head.find("Expect");
-    head.expectsContinue = expect && sameName(*expect, "100-continue");
+    head.expectsContinue = expect && equalFieldNames(*expect, "100-continue");
     const auto hosts = std::ranges::count_if(
-        head.headers, [](const Header &header) { return sameName(header.first, "Host"); });
+        head.headers, [](const Header &header) { return equalFieldNames(header.first, "Host"); });
     if (hosts > 1 || (hosts == 0 && version.minor >= 1))
         return Fault::malformed;
     if (expect && !head.expectsContinue)
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -32,7 +32,7 @@
 bool lists(std::string_view list, std::string_view name) {
     while (!list.empty()) {
         const auto comma = std::min(list.find(','), list.size());
-        if (sameName(trim(list.substr(0, comma)), name))
+        if (equalFieldNames(trim(list.substr(0, comma)), name))
             return true;
         list.remove_prefix(std::min(comma + 1, list.size()));
     }
@@ -58,13 +58,13 @@
 
 }  // namespace
 
-bool sameName(std::string_view left, std::string_view right) {
+bool equalFieldNames(std::string_view left, std::string_view right) {
     return std::ranges::equal(left, right, {}, lower, lower);
 }
 
 const std::string *Head::find(std::string_view name) const {
     const auto found = std::ranges::find_if(
-        headers, [&](const Header &header) { return sameName(header.first, name); });
+        headers, [&](const Header &header) { return equalFieldNames(header.first, name); });
     return found == headers.end() ? nullptr : &found->second;
 }
 
@@ -77,10 +77,10 @@
     for (const std::string_view own :
          {"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Content-Length",
           "TE", "Trailer", "Upgrade", "Expect"})
-        if (sameName(own, name))
+        if (equalFieldNames(own, name))
             return false;
     return std::ranges::none_of(head.headers, [&](const Header &header) {
-        return sameName(header.first, "Connection") && lists(header.second, name);
+        return equalFieldNames(header.first, "Connection") && lists(header.second, name);
     });
 }
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -13,7 +13,7 @@
 using Header = std::pair<std::string, std::string>;
 
 /// Field names are compared without case.
-bool sameName(std::string_view left, std::string_view right);
+bool equalFieldNames(std::string_view left, std::string_view right);
 
 /// What heads of requests and responses share.
 struct Head {
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -54,7 +54,7 @@
     /// Cuts the connection with a reset: the answer can't be completed.
     void abort();
     /// After the end: breaks the protocol, for the faults of scenarios.
-    void writeBehind(std::string_view bytes);
+    void writeAfterEnd(std::string_view bytes);
     /// Bytes that the peer has not taken yet.
     std::size_t waiting() const;
     std::function<void()> onGone;     ///< the peer has left before the answer's end
--- a/src/membership/merge.cpp
+++ b/src/membership/merge.cpp
@@ -33,7 +33,7 @@
     sources.at(source).apply(reading, rules);
 }
 
-void Merge::tookChanges(std::size_t source, TimePoint at, const std::vector<Claim> &claims) {
+void Merge::applyChanges(std::size_t source, TimePoint at, const std::vector<Claim> &claims) {
     sources.at(source).applyChanges(at, claims);
 }
 
@@ -41,7 +41,7 @@
     sources.at(source).markLost(at, why);
 }
 
-void Merge::failedOnce(std::size_t source, const std::string &why) {
+void Merge::markFailedOnce(std::size_t source, const std::string &why) {
     sources.at(source).markFailedOnce(why);
 }
 
--- a/src/membership/merge.hpp
+++ b/src/membership/merge.hpp
@@ -62,11 +62,11 @@
     /// is ignored.
     void took(std::size_t source, const Reading &reading);
     /// Changes to what the source listed; those that are removed leave its list.
-    void tookChanges(std::size_t source, TimePoint at, const std::vector<Claim> &claims);
+    void applyChanges(std::size_t source, TimePoint at, const std::vector<Claim> &claims);
     /// It can't be read: its last reading is stale from now on at the latest.
     void lost(std::size_t source, TimePoint at, const std::string &why);
     /// One attempt of many to read it failed; the reading lives on.
-    void failedOnce(std::size_t source, const std::string &why);
+    void markFailedOnce(std::size_t source, const std::string &why);
 
     /// The set at a time not before any reported so far. Carries out what is due by then.
     View at(TimePoint now);
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -49,7 +49,7 @@
         restoreKnownState();
         log.info("listening", {{"listen", format(gateway->address())}});
         callAfter(firstListTimer, startupPlan().firstListTimeout, [this] { startServing(); });
-        gateway->onListed = [this] { startServing(); };
+        gateway->onEndpointsChanged = [this] { startServing(); };
         awaitSignal();
         reportPeriodically();
         context.run();
@@ -105,7 +105,7 @@
     }
 
     nlohmann::json counts() const {
-        nlohmann::json out = countsOf(*gateway);
+        nlohmann::json out = countersJson(*gateway);
         out["refused"] = gateway->counts().unrouted;
         out["clients"] = gateway->connections();
         out["upstreams"] = transport->upstreamPool->connections();
@@ -159,7 +159,8 @@
         log.info("draining", {{"inHand", gateway->inHand()}});
         shutdownSequence.start(shutdownPlan(configuration.settings.longestTimeout()),
                                {[this] { gateway->drain([this] { context.stop(); }); },
-                                [this] { gateway->endInHand(); }, [this] { context.stop(); }});
+                                [this] { gateway->failRequestsInFlight(); },
+                                [this] { context.stop(); }});
     }
 
     std::string configurationFile;
--- a/src/platform/transport.cpp
+++ b/src/platform/transport.cpp
@@ -48,8 +48,8 @@
         settings.routes.push_back(
             {deployment.routes[route], "", "", deployment.routeTimeouts[route]});
     settings.maxRequestsInFlight = limits.maxRequestsInFlight;
-    settings.upstream.heldAnswerBytes = limits.valueBytes;  // passed on whole
-    settings.passedKept = 0;  // the platform reports no incorrect responses by request
+    settings.upstream.bufferedResponseBytes = limits.valueBytes;  // passed on whole
+    settings.responseHistorySize = 0;  // the platform reports no incorrect responses by request
     return settings;
 }
 
--- a/src/resp/connection_admission.cpp
+++ b/src/resp/connection_admission.cpp
@@ -19,7 +19,7 @@
         return kNever;
     if (!connection.spoke)
         return kSilent;
-    const bool isIdle = !connection.begun && connection.quietFor > limits.pressedIdleFor;
+    const bool isIdle = !connection.begun && connection.quietFor > limits.idleForUnderPressure;
     return isIdle ? kIdle : kNever;
 }
 
@@ -35,14 +35,14 @@
         return TimeoutAction::sendError;
     if (connection.lingering)
         return connection.quietFor >= limits.lingerFor ? TimeoutAction::close : TimeoutAction::none;
-    if (connection.writing && connection.stalledFor > limits.slowPeerFor)
+    if (connection.writing && connection.streamStallTimeout > limits.slowPeerFor)
         return TimeoutAction::reset;
     if (connection.inFlight || connection.writing)
         return TimeoutAction::none;
     if (connection.begun)
         return connection.begunFor > limits.messageWithin ? TimeoutAction::failIncomplete
                                                           : TimeoutAction::none;
-    Duration allowed = underPressure ? limits.pressedIdleFor : limits.idleFor;
+    Duration allowed = underPressure ? limits.idleForUnderPressure : limits.idleFor;
     if (!connection.spoke)
         allowed = limits.silentFor;
     return connection.quietFor > allowed ? TimeoutAction::linger : TimeoutAction::none;
--- a/src/resp/connection_admission.hpp
+++ b/src/resp/connection_admission.hpp
@@ -27,7 +27,7 @@
     /// Between commands.
     Duration idleFor = std::chrono::seconds(30);
     /// The same from half of the connections on.
-    Duration pressedIdleFor = std::chrono::seconds(2);
+    Duration idleForUnderPressure = std::chrono::seconds(2);
     /// A reader that takes nothing for so long is cut off.
     Duration slowPeerFor = std::chrono::seconds(5);
     /// Before the error for what can't be served. Guards against floods that come back at once.
@@ -40,17 +40,17 @@
 
 /// What is known of a connection at one moment.
 struct ConnectionState {
-    bool inFlight = false;   ///< it has commands that are not answered,
-    bool refused = false;    ///< and the first of them waits for its error,
-    bool errorDue = false;   ///< whose time has come
-    bool lingering = false;  ///< the last answer was written and its sending side is shut
-    bool spoke = false;      ///< bytes of it were read
-    bool unread = false;     ///< bytes of it wait to be read
-    bool begun = false;      ///< a part of a command was read
-    bool writing = false;    ///< it has not taken all that was written to it
-    Duration quietFor{};     ///< since it last asked, or was answered
-    Duration begunFor{};     ///< since the command's first byte
-    Duration stalledFor{};   ///< since it last took something
+    bool inFlight = false;          ///< it has commands that are not answered,
+    bool refused = false;           ///< and the first of them waits for its error,
+    bool errorDue = false;          ///< whose time has come
+    bool lingering = false;         ///< the last answer was written and its sending side is shut
+    bool spoke = false;             ///< bytes of it were read
+    bool unread = false;            ///< bytes of it wait to be read
+    bool begun = false;             ///< a part of a command was read
+    bool writing = false;           ///< it has not taken all that was written to it
+    Duration quietFor{};            ///< since it last asked, or was answered
+    Duration begunFor{};            ///< since the command's first byte
+    Duration streamStallTimeout{};  ///< since it last took something
 };
 
 /// In a drain: nothing of it is in flight or half read, and it is no newcomer that is about to ask.
--- a/src/resp/server_connection.cpp
+++ b/src/resp/server_connection.cpp
@@ -56,7 +56,7 @@
     current.writing = !outgoing.empty();
     current.quietFor = lengthSince(activeSince);
     current.begunFor = lengthSince(commandSince);
-    current.stalledFor = lengthSince(writeProgress);
+    current.streamStallTimeout = lengthSince(writeProgress);
     return current;
 }
 
--- a/src/scenarios/invariant_checker.cpp
+++ b/src/scenarios/invariant_checker.cpp
@@ -14,10 +14,10 @@
 
 struct Auditor {
     const Records &r;
-    const RuleFigures &f;
-    std::vector<Breach> found;
+    const RuleParameters &f;
+    std::vector<Violation> found;
     std::unordered_map<std::string, const ClientRecord *> client;
-    std::unordered_map<std::string, std::vector<const InstanceRecord *>>
+    std::unordered_map<std::string, std::vector<const EndpointRecord *>>
         attempts;  // of a request, by time
 
     void breach(Rule rule, std::string request, Duration when, std::string words) {
@@ -32,7 +32,7 @@
         for (const auto &t : r.instances)
             attempts[t.requestId].push_back(&t);
         for (auto &[request, list] : attempts)
-            std::ranges::stable_sort(list, {}, [](const InstanceRecord *t) { return t->received; });
+            std::ranges::stable_sort(list, {}, [](const EndpointRecord *t) { return t->received; });
     }
 
     // Whether the gateway could not answer: killed meanwhile, or standing still when the client's
@@ -41,7 +41,7 @@
         return std::ranges::any_of(r.halts, [&](const GatewayHalt &h) {
             if (h.gateway != c.gateway)
                 return false;
-            if (h.outcome == Halt::killed)
+            if (h.kind == HaltKind::killed)
                 return h.from <= c.givesUp && h.until >= c.sent;
             return h.from <= c.givesUp && h.until + f.slack >= c.givesUp;
         });
@@ -88,7 +88,7 @@
             const Route &rt = route(*c->second);
             if (rt.idempotency == Idempotency::idempotent)
                 continue;
-            const InstanceRecord *ran = nullptr;
+            const EndpointRecord *ran = nullptr;
             for (const auto *t : list) {
                 if (ran && rt.idempotency == Idempotency::nonIdempotent)
                     breach(Rule::noEffectTwice, request, t->received,
@@ -124,7 +124,7 @@
     // forgotten.
     bool sameLife(int gateway, Duration from, Duration until) const {
         return std::ranges::none_of(r.halts, [&](const GatewayHalt &h) {
-            return h.gateway == gateway && h.outcome == Halt::killed && h.from <= until &&
+            return h.gateway == gateway && h.kind == HaltKind::killed && h.from <= until &&
                    h.until >= from;
         });
     }
@@ -159,8 +159,8 @@
         }
     }
 
-    void coldServers() {
-        for (const auto &fall : r.fallen) {
+    void slowStart() {
+        for (const auto &fall : r.overloadedEndpoints) {
             std::size_t all = 0, informed = 0;
             for (const auto &t : r.instances) {
                 if (t.endpoint != fall.endpoint || t.received < fall.from ||
@@ -176,7 +176,7 @@
                 });
             }
             if (3 * informed >= 2 * all)
-                breach(Rule::coldServers, fall.endpoint, fall.until,
+                breach(Rule::slowStart, fall.endpoint, fall.until,
                        "fell over while cold: " + std::to_string(all) + " tries from " +
                            at(fall.from) + " on, " + std::to_string(informed) +
                            " of gateways that knew of its start");
@@ -191,7 +191,7 @@
     double exposureLimit(const RolloutNotification *k, BuildNumber build) const {
         if (!onTrial(k, build))
             return 1e9;
-        return k && k->build == build ? k->exposureLimit : f.firstCap;
+        return k && k->build == build ? k->exposureLimit : f.firstExposureLimit;
     }
 
     void exposure() {
@@ -200,7 +200,7 @@
             news[t.gateway].push_back(t);
         struct Sent {
             Duration at;
-            const InstanceRecord *t;
+            const EndpointRecord *t;
             const ClientRecord *c;
         };
         std::map<std::tuple<int, BuildNumber, int>, std::vector<Sent>>
@@ -328,7 +328,7 @@
         return "no effect happens twice";
     case Rule::drains:
         return "drains are kept";
-    case Rule::coldServers:
+    case Rule::slowStart:
         return "a cold instance is not pushed over";
     case Rule::exposure:
         return "exposure stays within the cap";
@@ -336,16 +336,16 @@
     return "";
 }
 
-std::vector<Breach> audit(const Records &records, const RuleFigures &figures) {
-    Auditor auditor{records, figures, {}, {}, {}};
+std::vector<Violation> audit(const Records &records, const RuleParameters &parameters) {
+    Auditor auditor{records, parameters, {}, {}, {}};
     auditor.index();
     auditor.oneAnswer();
     auditor.noEffectTwice();
     auditor.drains();
-    auditor.coldServers();
+    auditor.slowStart();
     auditor.exposure();
     auditor.stickyKeys();
-    std::ranges::stable_sort(auditor.found, {}, &Breach::at);
+    std::ranges::stable_sort(auditor.found, {}, &Violation::at);
     return std::move(auditor.found);
 }
 
--- a/src/scenarios/invariant_checker.hpp
+++ b/src/scenarios/invariant_checker.hpp
@@ -1,5 +1,5 @@
 // The auditor: judges the five rules from what clients, instances and the control plane saw at
-// their sockets, never from a gateway's own word. Pure: records in, breaches out.
+// their sockets, never from a gateway's own word. Pure: records in, violations out.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -28,7 +28,7 @@
 };
 
 // One upstream try, as an instance saw it.
-struct InstanceRecord {
+struct EndpointRecord {
     std::string requestId;
     EndpointId endpoint;
     int zone = 0, cell = 0;
@@ -54,33 +54,33 @@
     double exposureLimit = 0;
 };
 // A cold instance fell over: it had got more in this window than the rule allows.
-struct FellOver {
+struct OverloadedEndpoint {
     EndpointId endpoint;
     Duration from{}, until{};
 };
-enum class Halt { killed, stopped };
+enum class HaltKind { killed, stopped };
 struct GatewayHalt {
     int gateway = 0;
-    Halt outcome = Halt::killed;
+    HaltKind kind = HaltKind::killed;
     Duration from{}, until{};  // until it runs again
 };
 
 struct Records {
     std::vector<ClientRecord> clients;
-    std::vector<InstanceRecord> instances;
+    std::vector<EndpointRecord> instances;
     std::vector<EndpointNotification> endpoints;
     std::vector<RolloutNotification> releases;
-    std::vector<FellOver> fallen;
+    std::vector<OverloadedEndpoint> overloadedEndpoints;
     std::vector<GatewayHalt> halts;
 };
 
-struct RuleFigures {
+struct RuleParameters {
     std::vector<Route> routes;
     Duration drainGrace{};
     double exposureAllowance = 0;
     Duration exposureWindow{};
     bool exposurePerRoute = false, stickyKeys = false;
-    double firstCap = 0;
+    double firstExposureLimit = 0;
     int idempotentOnlyStages = 0;
     BuildNumber firstBuild = 0;  // builds above it are on trial until told otherwise
     // Two sockets do not see one moment: events this close are not told apart. Over the way between
@@ -88,17 +88,17 @@
     Duration slack = std::chrono::milliseconds(100);
 };
 
-enum class Rule { oneAnswer = 1, noEffectTwice, drains, coldServers, exposure };
+enum class Rule { oneAnswer = 1, noEffectTwice, drains, slowStart, exposure };
 const char *nameOf(Rule rule);
 
-struct Breach {
+struct Violation {
     Rule rule = Rule::oneAnswer;
     std::string requestId;  // or the instance, where no request is at fault
     Duration at{};
     std::string words;
 };
 
-std::vector<Breach> audit(const Records &records, const RuleFigures &figures);
+std::vector<Violation> audit(const Records &records, const RuleParameters &parameters);
 
 nlohmann::json toJson(const Records &records);
 // Throws std::invalid_argument or a JSON exception that names the field.
--- a/src/scenarios/records.cpp
+++ b/src/scenarios/records.cpp
@@ -61,12 +61,12 @@
                                    {"step", t.step},
                                    {"phase", int(t.phase)},
                                    {"cap", t.exposureLimit}});
-    for (const auto &f : r.fallen)
+    for (const auto &f : r.overloadedEndpoints)
         out["fallen"].push_back(
             {{"server", f.endpoint}, {"from", us(f.from)}, {"until", us(f.until)}});
     for (const auto &h : r.halts)
         out["halts"].push_back({{"gateway", h.gateway},
-                                {"how", int(h.outcome)},
+                                {"how", int(h.kind)},
                                 {"from", us(h.from)},
                                 {"until", us(h.until)}});
     return out;
@@ -91,10 +91,10 @@
         r.releases.push_back({t.at("gateway"), span(t, "at"), t.at("build"), t.at("step"),
                               within(t, "phase", RolloutPhase::rolledBack), t.at("cap")});
     for (const auto &f : from.at("fallen"))
-        r.fallen.push_back({f.at("server"), span(f, "from"), span(f, "until")});
+        r.overloadedEndpoints.push_back({f.at("server"), span(f, "from"), span(f, "until")});
     for (const auto &h : from.at("halts"))
-        r.halts.push_back(
-            {h.at("gateway"), within(h, "how", Halt::stopped), span(h, "from"), span(h, "until")});
+        r.halts.push_back({h.at("gateway"), within(h, "how", HaltKind::stopped), span(h, "from"),
+                           span(h, "until")});
     return r;
 }
 
--- a/src/scenarios/runner.cpp
+++ b/src/scenarios/runner.cpp
@@ -36,7 +36,7 @@
     bool ready = false;
     std::optional<int> status;  // of its end
 
-    bool spawn(const RehearsalStart &start) {
+    bool spawn(const ScenarioRunOptions &start) {
         std::error_code ignored;
         fs::remove(folder / "ready.json", ignored);
         ready = false, status.reset();
@@ -103,12 +103,12 @@
 
 class Stage {
   public:
-    Stage(const Day &what, const RehearsalStart &with)
+    Stage(const Scenario &what, const ScenarioRunOptions &with)
         : day(what), start(with), world(what, clock, out.records),
           controlPlane(context, world, what.seed * 7 + 1), chance(what.seed * 7 + 2),
           looking(context), processes(what.gatewayWeights.size()) {}
 
-    Rehearsal play() {
+    ScenarioRun play() {
         std::signal(SIGPIPE, SIG_IGN);
         const bool temporary = start.keep.empty();
         folder = temporary
@@ -144,7 +144,7 @@
     }
 
   private:
-    Rehearsal fail(std::string why) {
+    ScenarioRun fail(std::string why) {
         out.fault = std::move(why);
         processes.clear();
         return std::move(out);
@@ -216,7 +216,7 @@
         }
         case Phase_::day:
             controlPlane.tick();
-            troubles(now - began);
+            injectedFaults(now - began);
             revive(now);
             if (now >= began + day.lasts && clients->idle()) {
                 for (auto &p : processes)
@@ -244,12 +244,12 @@
     // What the document calls 0.
     void open() {
         controlPlane.dayBegins(began);
-        pending = day.troubles;
-        std::ranges::stable_sort(pending, {}, &Trouble::at);
+        pending = day.injectedFaults;
+        std::ranges::stable_sort(pending, {}, &InjectedFault::at);
         active.clear();
     }
 
-    std::vector<fakes::FakeEndpoint *> some(const Trouble &t) {
+    std::vector<fakes::FakeEndpoint *> some(const InjectedFault &t) {
         auto all = controlPlane.instances(t.where);
         std::ranges::sort(all, {}, [](const fakes::FakeEndpoint *i) { return i->id(); });
         std::vector<fakes::FakeEndpoint *> out_;
@@ -278,7 +278,7 @@
         Duration nextAgain{};
     };
 
-    void troubles(Duration at) {
+    void injectedFaults(Duration at) {
         while (!pending.empty() && pending.front().at <= at) {
             begin(pending.front());
             pending.erase(pending.begin());
@@ -298,7 +298,7 @@
             end();
     }
 
-    void begin(const Trouble &t) {
+    void begin(const InjectedFault &t) {
         Active a{t.at + t.lasts, nullptr, nullptr, Duration{0}};
         const auto hit = some(t);
         std::vector<EndpointId> ids;
@@ -315,57 +315,59 @@
         using I = fakes::FakeEndpoint;
         const auto both = [&](auto on, auto off) { each(on)(), a.end = each(off); };
         switch (t.kind) {
-        case TroubleKind::hang:
+        case FaultKind::hang:
             both([](I &i) { i.hang(true); }, [](I &i) { i.hang(false); });
             break;
-        case TroubleKind::crash:
+        case FaultKind::crash:
             for (auto *i : hit)
                 controlPlane.crash(*i);
             break;
-        case TroubleKind::drain:
+        case FaultKind::drain:
             for (auto *i : hit)
                 controlPlane.staffDrains(*i);
             break;
-        case TroubleKind::answersLost:
+        case FaultKind::answersLost:
             both([p = t.part](I &i) { i.answersLost = p; }, [](I &i) { i.answersLost = 0; });
             break;
-        case TroubleKind::slowConnects:
+        case FaultKind::slowConnects:
             both([](I &i) { i.slowConnects(true); }, [](I &i) { i.slowConnects(false); });
             break;
-        case TroubleKind::neighbour:
+        case FaultKind::neighbour:
             both([x = t.times](I &i) { i.slow = x; }, [](I &i) { i.slow = 1; });
             break;
-        case TroubleKind::pauses:
+        case FaultKind::pauses:
             a.again = each([](I &i) { i.pause(std::chrono::milliseconds(400)); });
             break;
-        case TroubleKind::fleetSlow:
+        case FaultKind::fleetSlow:
             world.fleetSlow = t.times, a.end = [this] { world.fleetSlow = 1; };
             break;
-        case TroubleKind::listLate:
+        case FaultKind::listLate:
             controlPlane.listLate = Duration{std::llround(t.times * 1e6)},
             a.end = [this] { controlPlane.listLate = Duration{0}; };
             break;
-        case TroubleKind::listFails:
+        case FaultKind::listFails:
             controlPlane.listFails = true, a.end = [this] { controlPlane.listFails = false; };
             break;
-        case TroubleKind::deskStill:
+        case FaultKind::deskStill:
             controlPlane.still = true, controlPlane.stillCounts = t.votesCount,
             a.end = [this] { controlPlane.still = false; };
             break;
-        case TroubleKind::gatewayKilled:
+        case FaultKind::gatewayKilled:
             for (auto *p : someGateways(t.count)) {
                 p->signal(SIGKILL);
-                out.records.halts.push_back({p->no, Halt::killed, clock.now(), Duration::max()});
+                out.records.halts.push_back(
+                    {p->no, HaltKind::killed, clock.now(), Duration::max()});
                 down.push_back(
                     {p->no,
                      clock.now() + std::max(t.lasts, Duration{std::chrono::milliseconds(100)}),
                      out.records.halts.size() - 1, false});
             }
             break;
-        case TroubleKind::gatewayStalled:
+        case FaultKind::gatewayStalled:
             for (auto *p : someGateways(t.count)) {
                 p->signal(SIGSTOP);
-                out.records.halts.push_back({p->no, Halt::stopped, clock.now(), Duration::max()});
+                out.records.halts.push_back(
+                    {p->no, HaltKind::stopped, clock.now(), Duration::max()});
                 const auto halt = out.records.halts.size() - 1;
                 a.end = [this, before = a.end, no = std::size_t(p->no), halt] {
                     if (before)
@@ -375,24 +377,24 @@
                 };
             }
             break;
-        case TroubleKind::burst:
+        case FaultKind::burst:
             clients->burst = t.times, a.end = [this] { clients->burst = 1; };
             break;
-        case TroubleKind::heedless:
+        case FaultKind::heedless:
             clients->heedlessTimes = t.times, a.end = [this] { clients->heedlessTimes = 1; };
             break;
-        case TroubleKind::lowReports:
+        case FaultKind::lowReports:
             both([](I &i) { i.lowReports = true; }, [](I &i) { i.lowReports = false; });
             break;
-        case TroubleKind::probesFail:
+        case FaultKind::probesFail:
             both([](I &i) { i.probesFail = true; }, [](I &i) { i.probesFail = false; });
             break;
-        case TroubleKind::namesSilent:
-        case TroubleKind::namesLossy:
+        case FaultKind::namesSilent:
+        case FaultKind::namesLossy:
             for (std::size_t k = 0; k < std::size_t(t.count); ++k) {
                 fakes::NameFaults faults;
-                faults.silent = t.kind == TroubleKind::namesSilent;
-                faults.lost = t.kind == TroubleKind::namesLossy ? t.part : 0;
+                faults.silent = t.kind == FaultKind::namesSilent;
+                faults.lost = t.kind == FaultKind::namesLossy ? t.part : 0;
                 names->misbehave(k, faults);
             }
             a.end = [this, count = std::size_t(t.count)] {
@@ -400,7 +402,7 @@
                     names->misbehave(k, {});
             };
             break;
-        case TroubleKind::namesContradict: {
+        case FaultKind::namesContradict: {
             const auto last = std::size_t(day.nameServers - 1);
             names->freeze(last, true);
             a.end = [this, last] { names->freeze(last, false); };
@@ -438,7 +440,7 @@
     void judge() {
         for (auto &h : out.records.halts)
             h.until = std::min(h.until, clock.now());
-        out.breaches = audit(out.records, figuresOf(day));
+        out.violations = audit(out.records, ruleParametersOf(day));
         json routes = json::array();
         double asked = 0, good = 0;
         for (std::size_t k = 0; k < day.routes.size(); ++k) {
@@ -473,8 +475,8 @@
         json votes = json::object();
         for (const auto &[verdict, n] : controlPlane.votesTaken)
             votes[deckcart::nameOf(verdict)] = n;
-        std::map<Rule, std::vector<const Breach *>> byRule;
-        for (const auto &b : out.breaches)
+        std::map<Rule, std::vector<const Violation *>> byRule;
+        for (const auto &b : out.violations)
             byRule[b.rule].push_back(&b);
         json rules = json::array();
         for (int k = 1; k <= 5; ++k) {
@@ -514,7 +516,7 @@
                       {"rules", std::move(rules)},
                       {"marksRunTwice", twice},
                       {"tries", out.records.instances.size()},
-                      {"fallen", out.records.fallen.size()},
+                      {"fallen", out.records.overloadedEndpoints.size()},
                       {"release", !day.releaseAt ? "none"
                                   : released     ? "released"
                                   : sentBack     ? "sent-back"
@@ -525,11 +527,11 @@
                       {"verdictRight", out.verdictRight}};
     }
 
-    const Day &day;
-    const RehearsalStart &start;
+    const Scenario &day;
+    const ScenarioRunOptions &start;
     asio::io_context context{1};
     SteadyClock clock;
-    Rehearsal out;
+    ScenarioRun out;
     fakes::FakeEnvironment world;
     std::unique_ptr<fakes::FleetNames> names;
     fakes::FakeControlPlane controlPlane;
@@ -541,26 +543,26 @@
     enum class Phase_ { starting, settings, waiting, day, ending } phase = Phase_::starting;
     Duration deadline{}, began{};
     std::size_t settled = 0;
-    std::vector<Trouble> pending;
+    std::vector<InjectedFault> pending;
     std::vector<Active> active;
     std::vector<Down> down;
 };
 
 }  // namespace
 
-RuleFigures figuresOf(const Day &day) {
-    RuleFigures f;
+RuleParameters ruleParametersOf(const Scenario &day) {
+    RuleParameters f;
     for (const auto &r : day.routes)
         f.routes.push_back(r.rule);
     f.drainGrace = day.drainGrace, f.exposureAllowance = day.exposureAllowance,
     f.exposureWindow = day.exposureWindow;
     f.exposurePerRoute = day.exposurePerRoute, f.stickyKeys = day.stickyKeys,
-    f.firstCap = day.caps.front();
+    f.firstExposureLimit = day.caps.front();
     f.idempotentOnlyStages = day.idempotentOnlyStages, f.firstBuild = 1;
     return f;
 }
 
-Rehearsal rehearse(const Day &day, const RehearsalStart &start) {
+ScenarioRun runScenario(const Scenario &day, const ScenarioRunOptions &start) {
     return Stage(day, start).play();
 }
 
--- a/src/scenarios/runner.hpp
+++ b/src/scenarios/runner.hpp
@@ -9,23 +9,23 @@
 
 namespace deckcart::scenarios {
 
-struct RehearsalStart {
+struct ScenarioRunOptions {
     std::filesystem::path program;  // the deckcart binary, run as gateways
     std::filesystem::path keep;  // folder for the gateways' logs and state; empty: a temporary one
     std::vector<std::string> shellFaults;  // handed to every gateway
     bool quiet = false;                    // no progress on standard error
 };
 
-struct Rehearsal {
+struct ScenarioRun {
     std::string fault;  // empty, or why the day could not be played
     Records records;
-    std::vector<Breach> breaches;
+    std::vector<Violation> violations;
     nlohmann::json report;     // service by route, stages, votes, rules
     bool verdictRight = true;  // the release ended as staff would expect
 };
 
-RuleFigures figuresOf(const Day &day);
-Rehearsal rehearse(const Day &day, const RehearsalStart &start);
+RuleParameters ruleParametersOf(const Scenario &day);
+ScenarioRun runScenario(const Scenario &day, const ScenarioRunOptions &start);
 // The report as lines for people.
 std::string describe(const nlohmann::json &report);
 
--- a/src/scenarios/scenario.cpp
+++ b/src/scenarios/scenario.cpp
@@ -7,31 +7,32 @@
 
 using nlohmann::json;
 
-const std::vector<std::pair<const char *, TroubleKind>> kTroubles = {
-    {"hang", TroubleKind::hang},
-    {"crash", TroubleKind::crash},
-    {"drain", TroubleKind::drain},
-    {"answers-lost", TroubleKind::answersLost},
-    {"slow-connects", TroubleKind::slowConnects},
-    {"neighbour", TroubleKind::neighbour},
-    {"pauses", TroubleKind::pauses},
-    {"fleet-slow", TroubleKind::fleetSlow},
-    {"list-late", TroubleKind::listLate},
-    {"list-fails", TroubleKind::listFails},
-    {"desk-still", TroubleKind::deskStill},
-    {"gateway-killed", TroubleKind::gatewayKilled},
-    {"gateway-stalled", TroubleKind::gatewayStalled},
-    {"burst", TroubleKind::burst},
-    {"heedless", TroubleKind::heedless},
-    {"low-reports", TroubleKind::lowReports},
-    {"probes-fail", TroubleKind::probesFail},
-    {"names-silent", TroubleKind::namesSilent},
-    {"names-lossy", TroubleKind::namesLossy},
-    {"names-contradict", TroubleKind::namesContradict}};
+const std::vector<std::pair<const char *, FaultKind>> kTroubles = {
+    {"hang", FaultKind::hang},
+    {"crash", FaultKind::crash},
+    {"drain", FaultKind::drain},
+    {"answers-lost", FaultKind::answersLost},
+    {"slow-connects", FaultKind::slowConnects},
+    {"neighbour", FaultKind::neighbour},
+    {"pauses", FaultKind::pauses},
+    {"fleet-slow", FaultKind::fleetSlow},
+    {"list-late", FaultKind::listLate},
+    {"list-fails", FaultKind::listFails},
+    {"desk-still", FaultKind::deskStill},
+    {"gateway-killed", FaultKind::gatewayKilled},
+    {"gateway-stalled", FaultKind::gatewayStalled},
+    {"burst", FaultKind::burst},
+    {"heedless", FaultKind::heedless},
+    {"low-reports", FaultKind::lowReports},
+    {"probes-fail", FaultKind::probesFail},
+    {"names-silent", FaultKind::namesSilent},
+    {"names-lossy", FaultKind::namesLossy},
+    {"names-contradict", FaultKind::namesContradict}};
 
-const std::vector<std::pair<const char *, BadKind>> kBad = {
-    {"fails", BadKind::fails}, {"slow", BadKind::slow},   {"busy", BadKind::busy},
-    {"later", BadKind::later}, {"wrong", BadKind::wrong}, {"slows-all", BadKind::slowsAll}};
+const std::vector<std::pair<const char *, BuildFault>> kBad = {
+    {"fails", BuildFault::fails}, {"slow", BuildFault::slow},
+    {"busy", BuildFault::busy},   {"later", BuildFault::later},
+    {"wrong", BuildFault::wrong}, {"slows-all", BuildFault::slowsAll}};
 
 Duration ms(const json &from, const char *name, double otherwise) {
     return Duration{std::llround(from.value(name, otherwise) * 1000)};
@@ -50,7 +51,7 @@
 
 }  // namespace
 
-const json &daySchema() {
+const json &scenarioSchema() {
     static const json schema = [] {
         json s = json::parse(R"json({
   "$schema": "http://json-schema.org/draft-07/schema#",
@@ -128,20 +129,20 @@
     return schema;
 }
 
-int Day::routeNo(const std::string &wanted) const {
-    const auto it = std::ranges::find(routes, wanted, &DayRoute::name);
+int Scenario::routeNo(const std::string &wanted) const {
+    const auto it = std::ranges::find(routes, wanted, &ScenarioRoute::name);
     return it == routes.end() ? -1 : int(it - routes.begin());
 }
 
-DayRead readDay(const json &document) {
-    DayRead read;
-    read.refused = checkSchema(daySchema(), document);
+ParsedScenario parseScenario(const json &document) {
+    ParsedScenario read;
+    read.refused = checkSchema(scenarioSchema(), document);
     if (!read.refused.empty())
         return read;
     const auto refuse = [&](const std::string &path, const std::string &reason) {
         read.refused.push_back({path, reason});
     };
-    Day d;
+    Scenario d;
     d.name = document.at("name"), d.words = document.value("words", std::string{});
     d.lasts = ms(document, "lastsMs", 0), d.seed = document.value("seed", std::uint64_t{1});
     document.at("gateways").at("weights").get_to(d.gatewayWeights);
@@ -165,7 +166,7 @@
     for (const auto &one : t.value("accounts", json::array()))
         d.tenants.push_back(one.at("name")), d.tenantQuotas.push_back(one.at("share"));
     for (const auto &one : t.at("routes")) {
-        DayRoute r;
+        ScenarioRoute r;
         r.name = one.at("name"), r.method = one.value("method", std::string("POST"));
         const std::string effect = one.at("effect");
         r.rule.idempotency = effect == "retriable" ? Idempotency::idempotent
@@ -215,11 +216,11 @@
         d.bad.part = bad->value("part", 0.5), d.bad.times = bad->value("times", 3.0);
         d.bad.after = ms(*bad, "afterMs", 0);
     }
-    d.shouldRelease = r.value("shouldRelease", d.bad.kind == BadKind::none);
-    const json troubles = document.value("troubles", json::array());
-    for (std::size_t k = 0; k < troubles.size(); ++k) {
-        const json &one = troubles[k];
-        Trouble x;
+    d.shouldRelease = r.value("shouldRelease", d.bad.kind == BuildFault::none);
+    const json injectedFaults = document.value("troubles", json::array());
+    for (std::size_t k = 0; k < injectedFaults.size(); ++k) {
+        const json &one = injectedFaults[k];
+        InjectedFault x;
         const std::string kind = one.at("kind");
         for (const auto &[name, value] : kTroubles)
             if (kind == name)
@@ -228,14 +229,13 @@
         x.where = one.value("where", std::string("any"));
         x.times = one.value("times", 2.0), x.part = one.value("part", 0.5);
         x.votesCount = one.value("votesCount", false);
-        const bool ofNames = x.kind == TroubleKind::namesSilent ||
-                             x.kind == TroubleKind::namesLossy ||
-                             x.kind == TroubleKind::namesContradict;
+        const bool ofNames = x.kind == FaultKind::namesSilent || x.kind == FaultKind::namesLossy ||
+                             x.kind == FaultKind::namesContradict;
         if (ofNames && d.nameServers == 0)
             refuse("/troubles/" + std::to_string(k) + "/kind", "needs /names");
         if (x.at + x.lasts > d.lasts)
             refuse("/troubles/" + std::to_string(k), "ends after the day");
-        d.troubles.push_back(x);
+        d.injectedFaults.push_back(x);
     }
     if (read.refused.empty())
         read.day = std::move(d);
@@ -246,7 +246,7 @@
     return "_relay._tcp.b" + std::to_string(build) + "." + zone + ".example.org.";
 }
 
-json settingsOf(const Day &d, int gateway, const std::string &deskAddress,
+json settingsOf(const Scenario &d, int gateway, const std::string &deskAddress,
                 const std::vector<std::string> &nameServers) {
     const auto inMs = [](Duration s) { return s.count() / 1000; };
     json routes = json::array(), tenants = json::array();
--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -12,7 +12,7 @@
 
 namespace deckcart::scenarios {
 
-struct DayRoute {
+struct ScenarioRoute {
     std::string name, method;
     Route rule;
     Duration routeTimeout{};
@@ -20,17 +20,17 @@
     double leastWorkMs = 5, mostWorkMs = 10;  // on one core of an instance
 };
 
-enum class BadKind { none, fails, slow, busy, later, wrong, slowsAll };
+enum class BuildFault { none, fails, slow, busy, later, wrong, slowsAll };
 // What is wrong with the build on trial.
-struct BadBuild {
-    BadKind kind = BadKind::none;
+struct FaultyBuild {
+    BuildFault kind = BuildFault::none;
     int route = -1;     // -1: all of them
     double part = 0.5;  // of the requests that fail or are answered wrong
     double times = 3;   // the work that it needs
     Duration after{};   // kind later: sound for so long after each instance's start
 };
 
-enum class TroubleKind {
+enum class FaultKind {
     hang,            // instances take requests and answer none
     crash,           // instances die, with their connections
     drain,           // instances are drained by staff and leave
@@ -53,8 +53,8 @@
     namesContradict  // the last one goes on with the records of that moment
 };
 
-struct Trouble {
-    TroubleKind kind = TroubleKind::hang;
+struct InjectedFault {
+    FaultKind kind = FaultKind::hang;
     Duration at{}, lasts{};
     int count = 1;            // instances or gateways that it hits
     std::string where;        // instances: "any", "trial" or "earlier"
@@ -63,7 +63,7 @@
     bool votesCount = false;  // deskStill: votes that get no answer count
 };
 
-struct Day {
+struct Scenario {
     std::string name, words;
     Duration lasts{};
     std::uint64_t seed = 1;
@@ -81,7 +81,7 @@
     Duration recordLifetime{}, confirmAfter{};
     std::vector<std::string> tenants;
     std::vector<double> tenantQuotas;
-    std::vector<DayRoute> routes;
+    std::vector<ScenarioRoute> routes;
     // release
     std::optional<Duration> releaseAt;
     nlohmann::json release;  // what the gateways are told, as /release of their settings
@@ -92,25 +92,25 @@
     bool exposurePerRoute = false, stickyKeys = false, inPlace = false;
     int idempotentOnlyStages = 0, votesToRollBack = 1, toAdvance = 2;
     double incorrectReportRate = 0;
-    BadBuild bad;
+    FaultyBuild bad;
     bool tallies = false;
     int maxAttempts = 4;
     bool hedgingAllowed = false;
     bool shouldRelease = true;  // what staff would expect of the release by the day's end
-    std::vector<Trouble> troubles;
+    std::vector<InjectedFault> injectedFaults;
     nlohmann::json allowed;  // as /allowed of the settings
 
     int routeNo(const std::string &name) const;  // -1: none
 };
 
-struct DayRead {
-    std::optional<Day> day;
+struct ParsedScenario {
+    std::optional<Scenario> day;
     std::vector<Refusal> refused;
 };
-const nlohmann::json &daySchema();
-DayRead readDay(const nlohmann::json &document);
+const nlohmann::json &scenarioSchema();
+ParsedScenario parseScenario(const nlohmann::json &document);
 // The settings document of one of its gateways; its name servers, where the day has some.
-nlohmann::json settingsOf(const Day &day, int gateway, const std::string &deskAddress,
+nlohmann::json settingsOf(const Scenario &day, int gateway, const std::string &deskAddress,
                           const std::vector<std::string> &nameServers = {});
 // The name of the SRV records of a build in a zone.
 std::string srvNameOf(BuildNumber build, const std::string &zone);
--- a/src/settings/gateway_settings.cpp
+++ b/src/settings/gateway_settings.cpp
@@ -14,7 +14,7 @@
     return tenants.empty() ? 0 : int(std::ranges::find(tenants, name) - tenants.begin());
 }
 
-int GatewaySettings::zoneNo(const std::string &name) const {
+int GatewaySettings::zoneIndex(const std::string &name) const {
     const auto found = std::ranges::find(zones, name);
     return found == zones.end() ? 0 : int(found - zones.begin());
 }
--- a/src/settings/gateway_settings.hpp
+++ b/src/settings/gateway_settings.hpp
@@ -50,8 +50,9 @@
     Duration connectWithin = std::chrono::milliseconds(250);
     Duration idleFor = std::chrono::seconds(15);  ///< an idle connection is kept so long
     /// In bytes; a shorter answer is passed on whole, so that it can't be cut.
-    std::size_t heldAnswerBytes = std::size_t{64} * 1024;
-    Duration stalledFor = std::chrono::seconds(10);  ///< an answer that has begun may pause so long
+    std::size_t bufferedResponseBytes = std::size_t{64} * 1024;
+    Duration streamStallTimeout =
+        std::chrono::seconds(10);  ///< an answer that has begun may pause so long
     Duration probeWithin = std::chrono::milliseconds(500);
     std::string probePath = "/probe";
 };
@@ -75,7 +76,7 @@
     http::ListenerLimits listener;
     std::size_t maxRequestsInFlight = 4096;
     /// The Retry-After of a request that is refused over that bound.
-    Duration turnedAwayFor = std::chrono::seconds(1);
+    Duration rejectedRetryAfter = std::chrono::seconds(1);
     /// Final answers leave so long before the client's deadline.
     Duration answerMargin = std::chrono::milliseconds(30);
     /// A turn of the event loop that is late by more is taken for a process stall.
@@ -85,10 +86,10 @@
     std::optional<SourceSettings> sources;
     double requestLogSample = 0;  ///< 0 to 1: the part of the requests that is logged
     /// Answers that may still be reported as incorrect: some seconds of a busy gateway.
-    std::size_t passedKept = 16384;
+    std::size_t responseHistorySize = 16384;
 
     /// 0 for a zone that is not named.
-    [[nodiscard]] int zoneNo(const std::string &name) const;
+    [[nodiscard]] int zoneIndex(const std::string &name) const;
 };
 
 /// A tenant's place among the quotas. One that is not named is past their end: it has no quota, and
--- a/src/settings/request_sections.cpp
+++ b/src/settings/request_sections.cpp
@@ -109,7 +109,7 @@
         reader.refuse(path, "is a field of one connection and never passed on");
     for (std::size_t before = 0; before < index; ++before) {
         const HeaderField &other = kHeaderFields.at(before);
-        if (http::sameName(headers.*other.value, value))
+        if (http::equalFieldNames(headers.*other.value, value))
             reader.refuse(path, std::string("is the name of /headers/") + other.name + " too");
     }
 }
@@ -151,8 +151,8 @@
     readField(from, "connections", upstream.connections);
     readField(from, "connectWithinMs", upstream.connectWithin);
     readField(from, "idleMs", upstream.idleFor);
-    readField(from, "stalledMs", upstream.stalledFor);
-    readField(from, "heldAnswerBytes", upstream.heldAnswerBytes);
+    readField(from, "stalledMs", upstream.streamStallTimeout);
+    readField(from, "heldAnswerBytes", upstream.bufferedResponseBytes);
     readField(from, "probeWithinMs", upstream.probeWithin);
     readField(from, "probePath", upstream.probePath);
     reader.settings.module.maxSendDelay = upstream.connectWithin;
--- a/src/settings/settings_reader.cpp
+++ b/src/settings/settings_reader.cpp
@@ -34,7 +34,7 @@
     const auto name = field->get<std::string>();
     if (std::ranges::find(settings.zones, name) == settings.zones.end())
         refuse(path + "/zone", "is not one of /zones");
-    return settings.zoneNo(name);
+    return settings.zoneIndex(name);
 }
 
 void readField(const json &from, const char *name, Duration &into) {
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -166,7 +166,7 @@
     auto &c = client();
     c.send(request("a"));
     ASSERT_TRUE(until([&] { return attempts() == 1; }));
-    gateway->endInHand();
+    gateway->failRequestsInFlight();
     c.send(request("b"));
     EXPECT_TRUE(until([&] { return c.in.find("-BUSY") != std::string::npos; }, 1s)) << c.in;
     EXPECT_TRUE(c.in.starts_with("-ERR failed\r\n-BUSY"));
--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -557,7 +557,7 @@
     auto &c = client();
     c.send("POST /once HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 500\r\n\r\n");
     ASSERT_TRUE(until([&] { return totalRequests(instances) == 1; }));
-    ASSERT_TRUE(gateway->mayRestartModule());
+    ASSERT_TRUE(gateway->mayRestartPolicy());
     document["release"] = {{"spareTries", 9}};
     gateway->apply(*parseSettings(document).settings, true);
     auto &second = instance([](auto, auto &) { return ok(); });
@@ -572,11 +572,11 @@
 TEST_F(Path, ThePolicyIsNotStartedAnewBesideACanary) {
     instance([](auto, auto &) { return ok(); });
     start();
-    EXPECT_TRUE(gateway->mayRestartModule());
+    EXPECT_TRUE(gateway->mayRestartPolicy());
     ScriptedEndpoint trial(io, [](auto, auto &) { return ok(); });
     controlPlane.list(trial.id(), 2);
     ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
-    EXPECT_FALSE(gateway->mayRestartModule());
+    EXPECT_FALSE(gateway->mayRestartPolicy());
 }
 
 TEST_F(Path, DrainingFinishesWhatIsInFlightAndAcceptsNoMore) {
@@ -622,7 +622,7 @@
     EXPECT_EQ(overdue.statuses(), std::vector<int>{504});
     EXPECT_EQ(gateway->counts().completed, completed) << "before anything else";
     EXPECT_TRUE(until([&] { return after.closed; }));
-    EXPECT_EQ(gateway->counts().standstills, 1u);
+    EXPECT_EQ(gateway->counts().processStalls, 1u);
     // Both instances are as well as before: nothing is shed, both are used.
     const std::size_t before[] = {instances[0].requests.size(), instances[1].requests.size()};
     askAtOnce(30);
--- a/tests/path/platform_test.cpp
+++ b/tests/path/platform_test.cpp
@@ -181,7 +181,7 @@
     auto &c = client();
     c.send(request("a") + request("b", "once"));
     ASSERT_TRUE(until([&] { return attempts() == 2; }));
-    gateway->endInHand();
+    gateway->failRequestsInFlight();
     EXPECT_TRUE(until([&] { return c.in == "-ERR failed\r\n-ERR failed\r\n"; })) << c.in;
     EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }));
 }
--- a/tests/path/sources_test.cpp
+++ b/tests/path/sources_test.cpp
@@ -34,7 +34,7 @@
     // Records of the given instances, by number, of a lifetime in seconds.
     std::vector<dns::Record> records(const std::vector<std::size_t> &which,
                                      std::uint32_t seconds = 0, std::uint16_t priority = 0) {
-        std::vector<dns::Record> out{{"example.org.", seconds, dns::ZoneStart{0}}};
+        std::vector<dns::Record> out{{"example.org.", seconds, dns::Soa{0}}};
         for (const auto k : which) {
             const auto at = *parseAddress(instances.at(k).id());
             const std::string host = "relay" + std::to_string(k) + ".example.org.";
@@ -283,7 +283,7 @@
     gateway.reset();
     servers[0]->misbehave({.silent = true});
     begin();
-    gateway->remember(readSaved(json::parse(saved.dump()), clock.now(), 1h));
+    gateway->remember(readSavedSources(json::parse(saved.dump()), clock.now(), 1h));
     EXPECT_EQ(live(), 2u);
     EXPECT_EQ(statusOf(ask("/x")), 200);
     EXPECT_EQ(gateway->members()->view().members[0].state, membership::SourceState::failed);
--- a/tests/policy_script_runner/simulated_gateway.cpp
+++ b/tests/policy_script_runner/simulated_gateway.cpp
@@ -74,7 +74,7 @@
     scheduled.clear();
     ++incarnation;
     carryOut(actions);
-    records.halts.push_back({0, scenarios::Halt::killed, now, now});
+    records.halts.push_back({0, scenarios::HaltKind::killed, now, now});
 }
 
 void SimulatedGateway::restart() {
@@ -83,14 +83,14 @@
     scheduled.clear();
     ++incarnation;
     carryOut(actions);
-    records.halts.push_back({0, scenarios::Halt::killed, now, now});
+    records.halts.push_back({0, scenarios::HaltKind::killed, now, now});
     deliverEndpointList();
     if (!records.releases.empty())
         deliverRollout(rollout);
 }
 
 void SimulatedGateway::stall(Duration length) {
-    records.halts.push_back({0, scenarios::Halt::stopped, now, now + length});
+    records.halts.push_back({0, scenarios::HaltKind::stopped, now, now + length});
     now += length;
     std::vector<std::function<void()>> found;
     while (!scheduled.empty() && scheduled.begin()->first <= now) {
@@ -291,23 +291,23 @@
     const double warmUpFraction = settings.initialCapacity + (1 - settings.initialCapacity) * age;
     const double allowed = settings.overloadMultiple * warmUpFraction * capacity + kOverloadSlack;
     if (recentAttempts(target.id) > allowed)
-        records.fallen.push_back({target.id, now - settings.overloadWindow, now});
+        records.overloadedEndpoints.push_back({target.id, now - settings.overloadWindow, now});
 }
 
 void SimulatedGateway::checkInvariants() const {
-    scenarios::RuleFigures figures;
-    figures.routes = settings.routes;
-    figures.drainGrace = Duration{0};
-    figures.exposureAllowance = settings.exposureAllowance;
-    figures.exposureWindow = settings.exposureWindow;
-    figures.exposurePerRoute = settings.exposurePerRoute;
-    figures.stickyKeys = settings.stickyKeys;
-    figures.firstCap = settings.exposureLimits.front();
-    figures.idempotentOnlyStages = settings.idempotentOnlyStages;
-    figures.firstBuild = 1;
-    figures.slack = Duration{0};  // one clock: to the microsecond
+    scenarios::RuleParameters parameters;
+    parameters.routes = settings.routes;
+    parameters.drainGrace = Duration{0};
+    parameters.exposureAllowance = settings.exposureAllowance;
+    parameters.exposureWindow = settings.exposureWindow;
+    parameters.exposurePerRoute = settings.exposurePerRoute;
+    parameters.stickyKeys = settings.stickyKeys;
+    parameters.firstExposureLimit = settings.exposureLimits.front();
+    parameters.idempotentOnlyStages = settings.idempotentOnlyStages;
+    parameters.firstBuild = 1;
+    parameters.slack = Duration{0};  // one clock: to the microsecond
     std::string violations;
-    for (const auto &violation : scenarios::audit(records, figures))
+    for (const auto &violation : scenarios::audit(records, parameters))
         violations += std::string("\n  ") + scenarios::nameOf(violation.rule) + ": request " +
                       violation.requestId + ": " + violation.words;
     check(violations.empty(), "rules are broken:" + violations);
--- a/tests/unit/audit_test.cpp
+++ b/tests/unit/audit_test.cpp
@@ -14,15 +14,15 @@
 
 constexpr int kRetriable = 0, kDeduped = 1, kOnce = 2, kZoned = 3;
 
-RuleFigures figures() {
-    RuleFigures f;
+RuleParameters parameters() {
+    RuleParameters f;
     f.routes.resize(4);
     f.routes[kDeduped].idempotency = f.routes[kZoned].idempotency = Idempotency::withKey;
     f.routes[kDeduped].deduplicationWindow = f.routes[kZoned].deduplicationWindow = 5s;
     f.routes[kZoned].deduplicationScope = DeduplicationScope::zone;
     f.routes[kOnce].idempotency = Idempotency::nonIdempotent;
-    f.drainGrace = 500ms, f.exposureAllowance = 2, f.exposureWindow = 4s, f.firstCap = 0.1,
-    f.firstBuild = 1;
+    f.drainGrace = 500ms, f.exposureAllowance = 2, f.exposureWindow = 4s,
+    f.firstExposureLimit = 0.1, f.firstBuild = 1;
     return f;
 }
 
@@ -35,15 +35,15 @@
     c.answers = answered, c.answered = answered ? sent + took : Duration{0}, c.build = 1;
     return c;
 }
-InstanceRecord tried(const char *request, Duration at, const char *endpoint = "s1",
+EndpointRecord tried(const char *request, Duration at, const char *endpoint = "s1",
                      BuildNumber build = 1, bool ran = true, int zone = 0) {
     return {request, endpoint, zone, 0, build, at, ran};
 }
 
 struct Found {
-    std::vector<Breach> list;
-    explicit Found(const Records &r, const RuleFigures &f = figures()) : list(audit(r, f)) {}
-    int of(Rule rule) const { return int(std::ranges::count(list, rule, &Breach::rule)); }
+    std::vector<Violation> list;
+    explicit Found(const Records &r, const RuleParameters &f = parameters()) : list(audit(r, f)) {}
+    int of(Rule rule) const { return int(std::ranges::count(list, rule, &Violation::rule)); }
     bool none() const { return list.empty(); }
 };
 
@@ -72,15 +72,15 @@
 TEST(AuditOneAnswer, ExcusesTheKilledAndTheStandingStillOnly) {
     Records r;
     r.clients = {asked("a", kRetriable, 10s, ClientEnd::none)};
-    r.halts = {{0, Halt::killed, 10s + 500ms, 11s}};
+    r.halts = {{0, HaltKind::killed, 10s + 500ms, 11s}};
     EXPECT_TRUE(Found(r).none());
-    r.halts = {{0, Halt::killed, 13s, 14s}};
+    r.halts = {{0, HaltKind::killed, 13s, 14s}};
     EXPECT_EQ(Found(r).of(Rule::oneAnswer), 1) << "killed after the client had given up";
-    r.halts = {{1, Halt::killed, 10s + 500ms, 11s}};
+    r.halts = {{1, HaltKind::killed, 10s + 500ms, 11s}};
     EXPECT_EQ(Found(r).of(Rule::oneAnswer), 1) << "another gateway";
-    r.halts = {{0, Halt::stopped, 11s, 13s}};
+    r.halts = {{0, HaltKind::stopped, 11s, 13s}};
     EXPECT_TRUE(Found(r).none());
-    r.halts = {{0, Halt::stopped, 10s + 100ms, 11s}};
+    r.halts = {{0, HaltKind::stopped, 10s + 100ms, 11s}};
     EXPECT_EQ(Found(r).of(Rule::oneAnswer), 1) << "it ran again well before the client gave up";
 }
 
@@ -125,7 +125,7 @@
     r.endpoints = {{1, 11s, "s1", 1, EndpointState::draining, false}};
     EXPECT_TRUE(Found(r).none()) << "another gateway was told";
     r.endpoints = {{0, 11s, "s1", 1, EndpointState::draining, false}};
-    r.halts = {{0, Halt::killed, 11s + 300ms, 11s + 900ms}};
+    r.halts = {{0, HaltKind::killed, 11s + 300ms, 11s + 900ms}};
     EXPECT_TRUE(Found(r).none()) << "a killed gateway has forgotten";
 }
 
@@ -135,9 +135,9 @@
                  asked("c", kRetriable, 10s)};
     r.clients[2].gateway = 1;
     r.instances = {tried("a", 10s + 10ms), tried("b", 10s + 20ms), tried("c", 10s + 30ms)};
-    r.fallen = {{"s1", 9s, 10s + 40ms}};
+    r.overloadedEndpoints = {{"s1", 9s, 10s + 40ms}};
     r.endpoints = {{0, 9s, "s1", 1, EndpointState::active, true}};
-    EXPECT_EQ(Found(r).of(Rule::coldServers), 1);
+    EXPECT_EQ(Found(r).of(Rule::slowStart), 1);
     r.clients[1].gateway = 1;
     EXPECT_TRUE(Found(r).none()) << "most came from a gateway that had not been told";
 }
@@ -177,7 +177,7 @@
     r.clients = {asked("a", kDeduped, 10s)};
     r.instances = {tried("a", 10s + 5ms, "n1", 2)};
     r.releases = {{0, 1s, 2, 0, RolloutPhase::canary, 0.5}};
-    auto f = figures();
+    auto f = parameters();
     EXPECT_TRUE(Found(r, f).none());
     f.idempotentOnlyStages = 1;
     EXPECT_EQ(Found(r, f).of(Rule::exposure), 1);
@@ -192,7 +192,7 @@
     r.clients[0].build = 2;
     r.instances = {tried("a", 10s + 5ms, "n1", 2), tried("b", 12s + 5ms, "s1", 1)};
     r.releases = {{0, 1s, 2, 0, RolloutPhase::canary, 0.5}};
-    auto f = figures();
+    auto f = parameters();
     EXPECT_TRUE(Found(r, f).none());
     f.stickyKeys = true;
     EXPECT_EQ(Found(r, f).of(Rule::exposure), 1);
@@ -203,8 +203,8 @@
 TEST(Records, SurviveTheirDocument) {
     Records r = trialOf(2, 5);
     r.endpoints = {{0, 11s, "s1", 1, EndpointState::draining, true}};
-    r.fallen = {{"s1", 1s, 2s}};
-    r.halts = {{1, Halt::stopped, 1s, 2s}};
+    r.overloadedEndpoints = {{"s1", 1s, 2s}};
+    r.halts = {{1, HaltKind::stopped, 1s, 2s}};
     const auto document = toJson(r);
     EXPECT_EQ(toJson(readRecords(document)), document);
     auto bad = document;
--- a/tests/unit/claims_test.cpp
+++ b/tests/unit/claims_test.cpp
@@ -7,7 +7,7 @@
 
 TEST(DnsClaims, WeightsAreRelativeAndSharedByAddresses) {
     Found found;
-    found.kind = FoundKind::servers;
+    found.kind = LookupOutcome::servers;
     const auto target = [&](Srv of, std::vector<asio::ip::address> addresses) {
         found.targets.push_back({std::move(of), std::move(addresses)});
     };
--- a/tests/unit/control_plane_documents_test.cpp
+++ b/tests/unit/control_plane_documents_test.cpp
@@ -42,7 +42,7 @@
          {EndpointState::active, EndpointState::draining, EndpointState::removed}) {
         endpoint.state = state;
         const json document = toJson(endpoint);
-        const ListedEndpoint again = readListed(document);
+        const ListedEndpoint again = readListedEndpoint(document);
         EXPECT_EQ(again.state, state);
         EXPECT_EQ(again.age, endpoint.age);
         EXPECT_EQ(toJson(again), document);
@@ -51,7 +51,7 @@
 }
 
 TEST(ControlPlaneDocuments, AnEndpointNeedsNoMoreThanIdBuildAndReadiness) {
-    const ListedEndpoint endpoint = readListed(endpointDocument());
+    const ListedEndpoint endpoint = readListedEndpoint(endpointDocument());
     EXPECT_EQ(endpoint.zone, "");
     EXPECT_EQ(endpoint.cell, 0);
     EXPECT_EQ(endpoint.weight, 1);
@@ -75,7 +75,7 @@
         json document = endpointDocument();
         document[bad.field] = bad.value;
         std::string place;
-        EXPECT_EQ(faultOf(readListed, document, place), bad.fault);
+        EXPECT_EQ(faultOf(readListedEndpoint, document, place), bad.fault);
         EXPECT_EQ(place, bad.field);
     }
     for (const auto &[field, value] :
@@ -83,10 +83,12 @@
         json document = endpointDocument();
         document[field] = value;
         std::string place;
-        EXPECT_EQ(faultOf(readListed, document, place), "field id or weight is out of range");
+        EXPECT_EQ(faultOf(readListedEndpoint, document, place),
+                  "field id or weight is out of range");
     }
     std::string place;
-    EXPECT_EQ(faultOf(readListed, json::array(), place), "field id is missing or has a wrong type");
+    EXPECT_EQ(faultOf(readListedEndpoint, json::array(), place),
+              "field id is missing or has a wrong type");
 }
 
 TEST(ControlPlaneDocuments, AStageIsReadAsWritten) {
--- a/tests/unit/dns_lookup_test.cpp
+++ b/tests/unit/dns_lookup_test.cpp
@@ -13,7 +13,7 @@
     EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("out.example.com.", Type::a)});
     lookup.onReply(askedFor("out.example.com.", Type::a), reply({{"out.example.com.", 10, kFour}}));
     ASSERT_TRUE(lookup.finished());
-    EXPECT_EQ(lookup.result().kind, FoundKind::servers);
+    EXPECT_EQ(lookup.result().kind, LookupOutcome::servers);
     EXPECT_EQ(lookup.result().targets.size(), 2u);
     EXPECT_EQ(lookup.result().seconds, 10u) << "the least of all that led here";
 }
@@ -66,7 +66,7 @@
     lookup.onReply(askedFor("else.example.org.", Type::srv), reply({}));  // without SOA
     EXPECT_TRUE(lookup.takeQuestions().empty()) << "the same question again, without end";
     ASSERT_TRUE(lookup.finished());
-    EXPECT_EQ(lookup.result().kind, FoundKind::noData);
+    EXPECT_EQ(lookup.result().kind, LookupOutcome::noData);
 }
 
 TEST(DnsLookup, AnAliasAsTargetIsAnErrorOfThatTarget) {
@@ -93,14 +93,15 @@
         EXPECT_TRUE(lookup.finished());
         return lookup.result();
     };
-    EXPECT_EQ(kindOf(reply({srv(".")})).kind, FoundKind::notOffered);
+    EXPECT_EQ(kindOf(reply({srv(".")})).kind, LookupOutcome::notOffered);
     auto empty = reply({});
-    empty.authority = {{"example.org.", 20, ZoneStart{7}}};
-    EXPECT_EQ(kindOf(empty).kind, FoundKind::noData);
+    empty.authority = {{"example.org.", 20, Soa{7}}};
+    EXPECT_EQ(kindOf(empty).kind, LookupOutcome::noData);
     EXPECT_EQ(kindOf(empty).seconds, 7u) << "the lesser of lifetime and MINIMUM";
     empty.code = std::uint8_t(Code::nxDomain);
-    EXPECT_EQ(kindOf(empty).kind, FoundKind::noName);
-    EXPECT_EQ(kindOf(reply({srv("r.example.org.", 0, 0, 0)})).kind, FoundKind::noData) << "port 0";
+    EXPECT_EQ(kindOf(empty).kind, LookupOutcome::noName);
+    EXPECT_EQ(kindOf(reply({srv("r.example.org.", 0, 0, 0)})).kind, LookupOutcome::noData)
+        << "port 0";
 }
 
 TEST(DnsLookup, KnownAddressesSaveQuestionsAndStandInForFailures) {
--- a/tests/unit/dns_message_test.cpp
+++ b/tests/unit/dns_message_test.cpp
@@ -9,7 +9,7 @@
         {srv("r1.example.org.", 1, 2, 3), {"alias.example.org.", 5, Alias{"r1.example.org."}}},
         {{"r1.example.org.", 60, kFour}, {"r1.example.org.", 60, kSix}});
     m.id = 77, m.question = Question{kName, Type::srv};
-    m.authority = {{"example.org.", 9, ZoneStart{4}}};
+    m.authority = {{"example.org.", 9, Soa{4}}};
     const auto bytes = encode(m);
     const auto got = decode(bytes.data(), bytes.size());
     ASSERT_TRUE(got.message) << got.fault;
--- a/tests/unit/dns_query_schedule_test.cpp
+++ b/tests/unit/dns_query_schedule_test.cpp
@@ -63,13 +63,13 @@
 TEST(DnsQuerySchedule, LifetimesAreClampedAndAskedAheadOfTheEnd) {
     Refresh r({seconds(5), seconds(600), seconds(60)}, 1);
     Found found;
-    found.kind = FoundKind::servers;
+    found.kind = LookupOutcome::servers;
     for (const auto &[said, is] : std::vector<std::pair<std::uint32_t, Duration>>{
              {0, seconds(5)}, {30, seconds(30)}, {0x7fffffff, seconds(600)}}) {
         found.seconds = said;
         EXPECT_EQ(r.lifetime(found), is);
     }
-    found.kind = FoundKind::noName;
+    found.kind = LookupOutcome::noName;
     EXPECT_EQ(r.lifetime(found), seconds(60));
     Duration least = seconds(100), most{};
     for (int k = 0; k < 1000; ++k) {
--- a/tests/unit/documents_test.cpp
+++ b/tests/unit/documents_test.cpp
@@ -17,7 +17,7 @@
       "traffic": {"reqsPerS": 10, "routes": [{"name": "status", "effect": "retriable", "latencyObjectiveMs": 100,
         "routeTimeoutMs": 200, "workMs": [1, 2]}]},
       "release": {"atMs": 100, "toAdvance": 1}, "troubles": [{"kind": "hang", "atMs": 100, "lastsMs": 200}]})");
-    const auto read = scenarios::readDay(good);
+    const auto read = scenarios::parseScenario(good);
     ASSERT_TRUE(read.day);
     EXPECT_TRUE(parseSettings(scenarios::settingsOf(*read.day, 0, "127.0.0.1:9")).settings);
     const std::vector<std::tuple<const char *, json, const char *>> bad = {
@@ -32,7 +32,7 @@
     for (const auto &[where, what, named] : bad) {
         json document = good;
         document[json::json_pointer(where)] = what;
-        const auto refused = scenarios::readDay(document).refused;
+        const auto refused = scenarios::parseScenario(document).refused;
         EXPECT_TRUE(std::ranges::any_of(refused, [&](const Refusal &r) { return r.path == named; }))
             << where << toJson(refused);
     }
--- a/tests/unit/merge_fixture.hpp
+++ b/tests/unit/merge_fixture.hpp
@@ -54,7 +54,7 @@
         reference.took(source, given);
     }
     void changed(std::size_t source, Duration now, const std::vector<Claim> &claims) {
-        merge.tookChanges(source, now, claims);
+        merge.applyChanges(source, now, claims);
         reference.changed(source, now, claims);
     }
     void lost(std::size_t source, Duration at) {
--- a/tests/unit/scripts_test.cpp
+++ b/tests/unit/scripts_test.cpp
@@ -127,7 +127,7 @@
         ASSERT_TRUE(lookup.finished());
         const auto &found = lookup.result();
         const Duration lifetime = refresh.lifetime(found);
-        if (found.kind == dns::FoundKind::failed) {
+        if (found.kind == dns::LookupOutcome::failed) {
             nextLookup = now + refresh.afterFailure();
             return;
         }
--- a/tests/unit/stored_data_test.cpp
+++ b/tests/unit/stored_data_test.cpp
@@ -81,8 +81,8 @@
     EXPECT_EQ(read.upstream.connections, 64u);
     EXPECT_EQ(read.upstream.connectWithin, 200ms);
     EXPECT_EQ(read.upstream.idleFor, 12000ms);
-    EXPECT_EQ(read.upstream.stalledFor, 9000ms);
-    EXPECT_EQ(read.upstream.heldAnswerBytes, 32768u);
+    EXPECT_EQ(read.upstream.streamStallTimeout, 9000ms);
+    EXPECT_EQ(read.upstream.bufferedResponseBytes, 32768u);
     EXPECT_EQ(read.upstream.probeWithin, 400ms);
     EXPECT_EQ(read.upstream.probePath, "/health");
     ASSERT_TRUE(read.controlPlane);
@@ -176,7 +176,7 @@
     EXPECT_EQ(document.at("savedMs").get<std::int64_t>(), 1796254103741);
     std::vector<ListedEndpoint> list;
     for (const auto &entry : document.at("instances"))
-        list.push_back(readListed(entry));
+        list.push_back(readListedEndpoint(entry));
     ASSERT_EQ(list.size(), 5u);
     EXPECT_EQ(list[0].id, "127.0.0.1:9001");
     EXPECT_EQ(list[0].zone, "z2");
@@ -202,7 +202,7 @@
     const json document = read("sources/sources.json");
     const Duration now = 10h;
     const Duration passed = 2s;
-    const auto sources = readSaved(document.at("sources"), now, passed);
+    const auto sources = readSavedSources(document.at("sources"), now, passed);
     const auto before = [&](double milliseconds) {
         return now - passed - fromMilliseconds(milliseconds);
     };
