--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -11,7 +11,7 @@
 #include <random>
 
 #include "../src/base/address.hpp"
-#include "../src/control_plane/http_client.hpp"
+#include "../src/control_plane/documents.hpp"
 #include "../src/http/client.hpp"
 #include "../src/http/server.hpp"
 
@@ -28,19 +28,19 @@
     for (int k = 0; k < count; ++k) {
         http::ListenerLimits limits;
         limits.idleFor = std::chrono::minutes(10);
-        doors.push_back(std::make_unique<http::Listener>(io, *parseAddress("127.0.0.1:0"), limits,
-                                                         [](std::shared_ptr<http::Exchange> e) {
-                                                             http::ResponseHead head;
-                                                             head.status = 200;
-                                                             e->answer(std::move(head), "done\n");
-                                                         }));
+        doors.push_back(std::make_unique<http::Listener>(
+            io, *parseAddress("127.0.0.1:0"), limits, [](const std::shared_ptr<http::Exchange> &e) {
+                http::ResponseHead head;
+                head.status = 200;
+                e->answer(std::move(head), "done\n");
+            }));
         ListedEndpoint s;
         s.id = format(doors.back()->address()), s.build = 1;
         entries.push_back(toJson(s));
     }
     std::vector<std::shared_ptr<http::Exchange>> watchers;
     http::Listener controlPlane(
-        io, *parseAddress("127.0.0.1:0"), {}, [&](std::shared_ptr<http::Exchange> e) {
+        io, *parseAddress("127.0.0.1:0"), {}, [&](const std::shared_ptr<http::Exchange> &e) {
             http::ResponseHead head;
             head.status = 200;
             if (e->head.target.find("watch=") != std::string::npos) {
--- a/bench/sources_bench.cpp
+++ b/bench/sources_bench.cpp
@@ -120,7 +120,7 @@
         for (int k = 0; k < sources; ++k) {
             auto r = fleet(instances, now, round % instances);
             const Duration a = clock.now();
-            merge.took(std::size_t(k), std::move(r));
+            merge.took(std::size_t(k), r);
             took += clock.now() - a;
         }
         const Duration b = clock.now();
--- a/fuzz/dns_reply.cpp
+++ b/fuzz/dns_reply.cpp
@@ -14,6 +14,7 @@
 }
 }  // namespace
 
+// The name is prescribed by libFuzzer. NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *bytes, std::size_t size) {
     const auto got = dns::decode(bytes, size);
     demand(got.message.has_value() == got.fault.empty());
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -6,6 +6,7 @@
 #include <iterator>
 #include <vector>
 
+// The name is prescribed by libFuzzer. NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *bytes, std::size_t size);
 
 namespace {
--- a/fuzz/resp_message.cpp
+++ b/fuzz/resp_message.cpp
@@ -33,7 +33,7 @@
 std::vector<resp::Value> readAlike(resp::Parser::What what, std::string_view input) {
     std::string faultOfWhole;
     std::string faultOfParts;
-    const auto whole = readAll(what, input, 0, faultOfWhole);
+    auto whole = readAll(what, input, 0, faultOfWhole);
     const auto parts = readAll(what, input, input.size() / 2, faultOfParts);
     demand(faultOfWhole == faultOfParts && whole.size() == parts.size());
     for (std::size_t index = 0; index < whole.size(); ++index) {
@@ -60,6 +60,7 @@
 
 }  // namespace
 
+// The name is prescribed by libFuzzer. NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *bytes, std::size_t size) {
     const std::string_view input(reinterpret_cast<const char *>(bytes), size);
     simulator::DeploymentSettings settings;
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -103,7 +103,7 @@
     });
 }
 
-void Clients::ask(std::shared_ptr<Request> request, int avoid) {
+void Clients::ask(const std::shared_ptr<Request> &request, int avoid) {
     const auto &d = world.day;
     const Duration now = world.clock.now();
     double sum = 0;
@@ -145,9 +145,9 @@
                     {"X-Work-Ms", std::to_string(request->workMs)},
                     {"X-Remaining-Ms", std::to_string(left.count() / 1000)}};
     if (!request->tenant.empty())
-        head.headers.push_back({"X-Account", request->tenant});
+        head.headers.emplace_back("X-Account", request->tenant);
     if (request->attempts > 1)
-        head.headers.push_back({"X-Repeat", "1"});
+        head.headers.emplace_back("X-Repeat", "1");
     head.length = 5;
     world.records.clients.push_back(std::move(record));
     calls[call->no] = call;
--- a/src/fakes/clients.hpp
+++ b/src/fakes/clients.hpp
@@ -36,7 +36,7 @@
     struct Request;
     class Call;
     void arrive();
-    void ask(std::shared_ptr<Request> request, int avoid = -1);
+    void ask(const std::shared_ptr<Request> &request, int avoid = -1);
     void over(Call &call);
     void settle(const Request &request, scenarios::ClientEnd end, bool wrong, Duration at);
     double chance01() { return std::generate_canonical<double, 32>(chance); }
--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -227,7 +227,7 @@
     answer(exchange, 200, body);
 }
 
-void FakeControlPlane::watch(std::shared_ptr<http::Exchange> exchange, int gateway,
+void FakeControlPlane::watch(const std::shared_ptr<http::Exchange> &exchange, int gateway,
                              std::size_t from) {
     if (from > events.size())
         return answer(*exchange, 410, json::object());
@@ -243,7 +243,7 @@
     tell(*w);
 }
 
-void FakeControlPlane::vote(std::shared_ptr<http::Exchange> exchange) {
+void FakeControlPlane::vote(const std::shared_ptr<http::Exchange> &exchange) {
     const json said = json::parse(exchange->body, nullptr, false);
     const std::string *key = exchange->head.find("Idempotency-Key");
     if (!said.is_object() || !key)
--- a/src/fakes/control_plane.hpp
+++ b/src/fakes/control_plane.hpp
@@ -56,8 +56,8 @@
 
     void serve(std::shared_ptr<http::Exchange> exchange);
     void list(http::Exchange &exchange, int gateway);
-    void watch(std::shared_ptr<http::Exchange> exchange, int gateway, std::size_t from);
-    void vote(std::shared_ptr<http::Exchange> exchange);
+    void watch(const std::shared_ptr<http::Exchange> &exchange, int gateway, std::size_t from);
+    void vote(const std::shared_ptr<http::Exchange> &exchange);
     void publish(nlohmann::json event, Duration after);
     void tell(Watcher &watcher);
     void serveNames();
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -100,7 +100,7 @@
     const Duration now = world.clock.now();
     if (now - started >= d.warmUpTime)
         return false;
-    sentCold.push_back({now, workMs});
+    sentCold.emplace_back(now, workMs);
     while (sentCold.front().first < now - d.overloadWindow)
         sentCold.pop_front();
     double sum = 0;
@@ -110,7 +110,7 @@
                      kPushSlack * workMs;
 }
 
-void FakeEndpoint::serve(std::shared_ptr<http::Exchange> exchange) {
+void FakeEndpoint::serve(const std::shared_ptr<http::Exchange> &exchange) {
     if (exchange->head.target.starts_with("/probe"))
         return probe(*exchange);
     Job job{exchange, 0, textNumber(exchange->head, "X-Work-Ms"), world.clock.now()};
@@ -235,7 +235,7 @@
     if (fails)
         return answer(*job.exchange, 500, std::move(headers), "failed\n");
     if (faulty(job, BuildFault::wrong))
-        headers.push_back({"X-Wrong", "1"});
+        headers.emplace_back("X-Wrong", "1");
     answer(*job.exchange, 200, std::move(headers), "done\n");
 }
 
--- a/src/fakes/endpoint.hpp
+++ b/src/fakes/endpoint.hpp
@@ -65,7 +65,7 @@
         Duration came{};
         bool repeat = false;
     };
-    void serve(std::shared_ptr<http::Exchange> exchange);
+    void serve(const std::shared_ptr<http::Exchange> &exchange);
     void probe(http::Exchange &exchange);
     void begin();
     void finish(const Job &job);
--- a/src/scenarios/runner.cpp
+++ b/src/scenarios/runner.cpp
@@ -55,6 +55,7 @@
         for (const auto &fault : start.shellFaults)
             words.insert(words.end(), {"--shell-fault", fault});
         std::vector<char *> argv;
+        argv.reserve(words.size());
         for (auto &word : words)
             argv.push_back(word.data());
         argv.push_back(nullptr);
@@ -302,6 +303,7 @@
         Active a{t.at + t.lasts, nullptr, nullptr, Duration{0}};
         const auto hit = some(t);
         std::vector<EndpointId> ids;
+        ids.reserve(hit.size());
         for (const auto *i : hit)
             ids.push_back(i->id());
         // An instance may be gone when its trouble ends: it is looked up anew.
--- a/tests/path/program_test.cpp
+++ b/tests/path/program_test.cpp
@@ -7,10 +7,15 @@
 #include <csignal>
 #include <filesystem>
 #include <fstream>
+#include <sstream>
 #include <thread>
 
 #include "platform_fixture.hpp"
 
+#if defined(__SANITIZE_ADDRESS__) || defined(__SANITIZE_THREAD__)
+#define DECKCART_SANITIZED
+#endif
+
 namespace deckcart::test {
 namespace {
 
@@ -47,6 +52,22 @@
         std::ifstream in(folder + "/log");
         return {std::istreambuf_iterator<char>(in), {}};
     }
+    // When the program logged the event, as Unix time.
+    std::int64_t loggedAtMs(const std::string &event) const {
+        std::istringstream lines(logged());
+        for (std::string line; std::getline(lines, line);) {
+            const json entry = json::parse(line);
+            if (entry.at("event") == event)
+                return entry.at("t_ms").get<std::int64_t>();
+        }
+        ADD_FAILURE() << "no " << event << " in " << logged();
+        return 0;
+    }
+    static std::int64_t unixMs() {
+        return std::chrono::duration_cast<std::chrono::milliseconds>(
+                   std::chrono::system_clock::now().time_since_epoch())
+            .count();
+    }
     bool says(const std::string &event) {
         return until(
             [&] { return logged().find(R"("event":")" + event + "\"") != std::string::npos; });
@@ -91,18 +112,27 @@
 }
 
 TEST_F(Program, ARequestThatIsNeverAnsweredIsErroredBeforeTheProcessEnds) {
+    constexpr auto kKilledAfter = 3700ms;  // of the platform's page: 3 s and 0.7 s after SIGTERM
     endpoint(neverAnswer);
     launch();
     auto &c = clientOf(listens());
     c.send(request("a", "once", "3900"));
     ASSERT_TRUE(until([&] { return attempts() == 1; })) << logged();
     const auto from = std::chrono::steady_clock::now();
+    const std::int64_t signalledAtMs = unixMs();
     kill(pid, SIGTERM);
     EXPECT_TRUE(until([&] { return c.closed; }));
+    EXPECT_LT(std::chrono::steady_clock::now() - from, kKilledAfter) << "the answer has come";
     EXPECT_EQ(c.in, "-ERR failed\r\n");
     EXPECT_TRUE(until([&] { return ended(); }));
     EXPECT_EQ(status, 0) << logged();
-    EXPECT_LT(std::chrono::steady_clock::now() - from, 3700ms) << "before it is killed";
+    EXPECT_LT(std::chrono::milliseconds(loggedAtMs("ended") - signalledAtMs), kKilledAfter)
+        << "its last word comes before it is killed";
+#ifndef DECKCART_SANITIZED
+    // With sanitizers the leak check at exit comes behind the last word: 21 to 50 ms as measured,
+    // up to 168 ms beside busy processes, and 50 ms are left to the kill.
+    EXPECT_LT(std::chrono::steady_clock::now() - from, kKilledAfter) << "before it is killed";
+#endif
 }
 
 TEST_F(Program, AnAddressThatIsStillTakenIsWaitedFor) {
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -82,17 +82,17 @@
 TEST(PlatformConfiguration, NamesTheFieldThatIsWrong) {
     const std::string good = configuration();
     const std::vector<std::array<std::string, 3>> cases{
-        {"\"name\":\"n3\"", "\"name\":\"n3\",\"name\":\"n4\"", "name"},
-        {"\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"xyz\"", "seed"},
-        {"\"listen\":\"127.0.0.1:6379\"", "\"listen\":\"nowhere\"", "listen"},
+        {R"("name":"n3")", R"("name":"n3","name":"n4")", "name"},
+        {R"("seed":"8c1f30d27a5be964")", R"("seed":"xyz")", "seed"},
+        {R"("listen":"127.0.0.1:6379")", R"("listen":"nowhere")", "listen"},
         {"\"sockets\":256", "\"sockets\":-1", "sockets"},
-        {"\"memory_mb\":32", "\"memory_mb\":\"32\"", "memory_mb"},
+        {"\"memory_mb\":32", R"("memory_mb":"32")", "memory_mb"},
         {"\"ceiling\":0.28", "\"ceiling\":1.5", "ceiling"},
-        {"\"progress\":\"Progressing\"", "\"progress\":\"Sideways\"", "progress"},
-        {"\"lifecycle\":\"Ready\"", "\"lifecycle\":\"Fine\"", "lifecycle"},
+        {R"("progress":"Progressing")", R"("progress":"Sideways")", "progress"},
+        {R"("lifecycle":"Ready")", R"("lifecycle":"Fine")", "lifecycle"},
         {"\"release\":41", "\"release\":99999", "release"},
         {"\"Grades\":", "\"Grade\":", "Grades"},
-        {"\"ObjectiveS\":0.2", "\"ObjectiveS\":\"soon\"", "ObjectiveS"}};
+        {"\"ObjectiveS\":0.2", R"("ObjectiveS":"soon")", "ObjectiveS"}};
     for (const auto &[from, to, field] : cases)
         EXPECT_NE(faultOf(good, from, to).find(field), std::string::npos)
             << to << ": " << faultOf(good, from, to);
