--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -189,14 +189,14 @@
         if (const auto *ms = call.answer.find("Deckcart-Retry-Ms"))
             back = std::chrono::milliseconds(std::atoi(ms->c_str()));
         // The connection stays watched: a second answer would come on it.
-        call.connection->onIdleClosed = [this, record_ = call.record,
+        call.connection->onIdleClosed = [this, recordIndex = call.record,
                                          weak = std::weak_ptr(call.connection),
                                          here = std::weak_ptr(alive)] {
             const auto one = weak.lock();
             if (here.expired() || !one)
                 return;
             if (one->spokeUnasked())
-                ++world.records.clients[record_].answers;
+                ++world.records.clients[recordIndex].answers;
         };
         if (call.connection->spokeUnasked())
             ++record.answers;
--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -36,7 +36,7 @@
 FakeControlPlane::FakeControlPlane(asio::io_context &io, FakeEnvironment &in, std::uint64_t seed)
     : context(io), world(in), chance(seed),
       listener(io, *parseAddress("127.0.0.1:0"), {},
-               [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); }) {
+               [this](const std::shared_ptr<http::Exchange> &exchange) { serve(exchange); }) {
     now = {kFirstBuild, int(in.day.shares.size()) - 1, RolloutPhase::released, 1, Duration{0}};
     nowSince = in.clock.now() - std::chrono::hours(1);
 }
@@ -196,10 +196,10 @@
     }
 }
 
-void FakeControlPlane::serve(std::shared_ptr<http::Exchange> exchange) {
+void FakeControlPlane::serve(const std::shared_ptr<http::Exchange> &exchange) {
     const auto &target = exchange->head.target;
     if (target.starts_with("/v1/votes"))
-        return vote(std::move(exchange));
+        return vote(exchange);
     if (listFails)
         return answer(*exchange, 503, json::object());
     const std::string gateway = query(target, "gateway");
@@ -207,7 +207,7 @@
     const std::string from = query(target, "watch");
     if (from.empty())
         return list(*exchange, no);
-    watch(std::move(exchange), no, std::size_t(std::strtoull(from.c_str(), nullptr, 10)));
+    watch(exchange, no, std::size_t(std::strtoull(from.c_str(), nullptr, 10)));
 }
 
 void FakeControlPlane::list(http::Exchange &exchange, int gateway) {
--- a/src/fakes/control_plane.hpp
+++ b/src/fakes/control_plane.hpp
@@ -54,7 +54,7 @@
         std::size_t next = 0;
     };
 
-    void serve(std::shared_ptr<http::Exchange> exchange);
+    void serve(const std::shared_ptr<http::Exchange> &exchange);
     void list(http::Exchange &exchange, int gateway);
     void watch(const std::shared_ptr<http::Exchange> &exchange, int gateway, std::size_t from);
     void vote(const std::shared_ptr<http::Exchange> &exchange);
--- a/src/fakes/endpoint.cpp
+++ b/src/fakes/endpoint.cpp
@@ -35,7 +35,7 @@
     limits.idleFor = std::chrono::minutes(10);
     listener = std::make_unique<http::Listener>(
         io, *parseAddress("127.0.0.1:0"), limits,
-        [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); });
+        [this](const std::shared_ptr<http::Exchange> &exchange) { serve(exchange); });
     name = format(listener->address());
 }
 
--- a/src/fakes/name_server.cpp
+++ b/src/fakes/name_server.cpp
@@ -10,8 +10,6 @@
 using asio::ip::udp;
 using nlohmann::json;
 
-constexpr std::size_t kPlainUdpBytes = 512;  // without EDNS (RFC 1035, 4.2.1)
-
 dns::Type typeOf(const dns::Record &r) {
     if (std::holds_alternative<dns::Srv>(r.data))
         return dns::Type::srv;
@@ -323,7 +321,7 @@
     });
 }
 
-void NameServer::read(std::shared_ptr<Stream> stream) {
+void NameServer::read(const std::shared_ptr<Stream> &stream) {
     asio::async_read(
         stream->socket, asio::buffer(stream->length),
         [=, this, here = alive](asio::error_code fault, std::size_t) {
--- a/src/fakes/name_server.hpp
+++ b/src/fakes/name_server.hpp
@@ -78,7 +78,7 @@
     struct Stream;
     void receive();
     void accept();
-    void read(std::shared_ptr<Stream> stream);
+    void read(const std::shared_ptr<Stream> &stream);
     void tell(const std::vector<std::uint8_t> &bytes) const;
     void sendLater(std::vector<std::uint8_t> bytes, const asio::ip::udp::endpoint &to);
     void send(const std::vector<std::uint8_t> &bytes, const asio::ip::udp::endpoint &to);
--- a/src/scenarios/invariant_checker.cpp
+++ b/src/scenarios/invariant_checker.cpp
@@ -8,8 +8,10 @@
 namespace deckcart::scenarios {
 namespace {
 
-std::string at(Duration s) {
-    return std::to_string(double(s.count() / 1000) / 1000) + " s";
+std::string at(Duration time) {
+    const auto wholeMilliseconds =
+        double(std::chrono::duration_cast<std::chrono::milliseconds>(time).count());
+    return std::to_string(wholeMilliseconds / 1000) + " s";
 }
 
 struct Auditor {
--- a/src/scenarios/runner.cpp
+++ b/src/scenarios/runner.cpp
@@ -168,7 +168,7 @@
     void tick() {
         const Duration now = clock.now();
         switch (phase) {
-        case Phase_::starting: {
+        case RunPhase::starting: {
             bool all = true;
             for (auto &p : processes) {
                 if (p.over())
@@ -180,7 +180,7 @@
                     stop("the gateways did not get ready in time");
                 return;
             }
-            phase = Phase_::settings;
+            phase = RunPhase::settings;
             for (auto &p : processes) {
                 http::RequestHead head;
                 head.method = "PUT", head.target = "/v1/settings";
@@ -196,15 +196,15 @@
             }
             return;
         }
-        case Phase_::settings:
+        case RunPhase::settings:
             if (settled < processes.size())
                 return;
-            began = now + kBeforeDay, phase = Phase_::waiting;
+            began = now + kBeforeDay, phase = RunPhase::waiting;
             return;
-        case Phase_::waiting: {
+        case RunPhase::waiting: {
             if (now < began)
                 return;
-            phase = Phase_::day, began = now;
+            phase = RunPhase::day, began = now;
             open();
             std::vector<fakes::Clients::Place> places;
             for (const auto &p : processes)
@@ -215,17 +215,17 @@
             clients->start(began + day.lasts);
             return;
         }
-        case Phase_::day:
+        case RunPhase::day:
             controlPlane.tick();
             injectedFaults(now - began);
             revive(now);
             if (now >= began + day.lasts && clients->idle()) {
                 for (auto &p : processes)
                     p.signal(SIGCONT), p.signal(SIGTERM);
-                phase = Phase_::ending, deadline = now + kEndWithin;
+                phase = RunPhase::ending, deadline = now + kEndWithin;
             }
             return;
-        case Phase_::ending: {
+        case RunPhase::ending: {
             bool all = true;
             for (auto &p : processes)
                 all = p.over() && all;
@@ -253,23 +253,23 @@
     std::vector<fakes::FakeEndpoint *> some(const InjectedFault &t) {
         auto all = controlPlane.instances(t.where);
         std::ranges::sort(all, {}, [](const fakes::FakeEndpoint *i) { return i->id(); });
-        std::vector<fakes::FakeEndpoint *> out_;
-        while (!all.empty() && int(out_.size()) < t.count) {
+        std::vector<fakes::FakeEndpoint *> chosen;
+        while (!all.empty() && int(chosen.size()) < t.count) {
             const auto k = std::size_t(chance() % all.size());
-            out_.push_back(all[k]), all.erase(all.begin() + long(k));
+            chosen.push_back(all[k]), all.erase(all.begin() + long(k));
         }
-        return out_;
+        return chosen;
     }
     std::vector<Process *> someGateways(int count) {
-        std::vector<Process *> all, out_;
+        std::vector<Process *> all, chosen;
         for (auto &p : processes)
             if (p.ready && p.pid > 0)
                 all.push_back(&p);
-        while (!all.empty() && int(out_.size()) < count) {
+        while (!all.empty() && int(chosen.size()) < count) {
             const auto k = std::size_t(chance() % all.size());
-            out_.push_back(all[k]), all.erase(all.begin() + long(k));
+            chosen.push_back(all[k]), all.erase(all.begin() + long(k));
         }
-        return out_;
+        return chosen;
     }
 
     struct Active {
@@ -542,7 +542,7 @@
     std::deque<Process> processes;
     std::unique_ptr<fakes::Clients> clients;
     fs::path folder;
-    enum class Phase_ { starting, settings, waiting, day, ending } phase = Phase_::starting;
+    enum class RunPhase { starting, settings, waiting, day, ending } phase = RunPhase::starting;
     Duration deadline{}, began{};
     std::size_t settled = 0;
     std::vector<InjectedFault> pending;
--- a/tests/path/cells_test.cpp
+++ b/tests/path/cells_test.cpp
@@ -67,6 +67,7 @@
 struct Cell {
     std::string stage, fault;
 };
+// The name is prescribed by GoogleTest. NOLINTNEXTLINE(readability-identifier-naming)
 void PrintTo(const Cell &cell, std::ostream *out) {
     *out << "(\"" << cell.stage << "\", \"" << cell.fault << "\")";
 }
--- a/tests/path/gateway_fixture.hpp
+++ b/tests/path/gateway_fixture.hpp
@@ -133,7 +133,7 @@
     int lists = 0, votes = 0;
 
   private:
-    void serve(std::shared_ptr<http::Exchange> e) {
+    void serve(const std::shared_ptr<http::Exchange> &e) {
         http::ResponseHead head;
         head.status = fails ? 503 : 200;
         if (fails)
--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -225,7 +225,8 @@
 }
 
 TEST_F(Path, AReaderThatStopsHoldsTheInstanceBackAndIsCutOffWhileOthersGoOn) {
-    const std::string large(24'000'000, 'x');
+    std::string large;
+    large.resize(24'000'000, 'x');
     instance([&](auto, const std::string &request) {
         return says(request, "/large") ? ok(large) : ok();
     });
--- a/tests/rules/memory.cpp
+++ b/tests/rules/memory.cpp
@@ -7,6 +7,7 @@
 #include <new>
 
 static std::size_t live = 0;  // bytes; glibc tells the size of a block
+// Named by glibc. NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" std::size_t malloc_usable_size(void *) noexcept;
 void *operator new(std::size_t n) {
     void *at = std::malloc(n);
@@ -56,7 +57,7 @@
         if (second == 600)
             before = live;
         for (int k = 0; k < kASecond; ++k, now += Duration{1000000 / kASecond}) {
-            const RequestId id = RequestId(second * kASecond + k);
+            const RequestId id = RequestId(second) * kASecond + RequestId(k);
             std::vector<Action> first = give(RequestArrived{
                 id, what == "keys" ? "k" + std::to_string(id) : "k", 0, 0, now + 3s});
             for (const auto &a : first)
