--- a/tests/path/gateway_fixture.hpp
+++ b/tests/path/gateway_fixture.hpp
@@ -117,7 +117,7 @@
   public:
     explicit ScriptedControlPlane(asio::io_context &io)
         : listener(io, *parseAddress("127.0.0.1:0"), {},
-                   [this](std::shared_ptr<http::Exchange> e) { serve(std::move(e)); }) {}
+                   [this](const std::shared_ptr<http::Exchange> &e) { serve(e); }) {}
     std::string address() const { return format(listener.address()); }
     void list(const EndpointId &id, BuildNumber build = 1,
               EndpointState state = EndpointState::active) {
--- a/tests/unit/documents_test.cpp
+++ b/tests/unit/documents_test.cpp
@@ -33,7 +33,7 @@
         json document = good;
         document[json::json_pointer(where)] = what;
         const auto refused = scenarios::parseScenario(document).refused;
-        EXPECT_TRUE(std::ranges::any_of(refused, [&](const Refusal &r) { return r.path == named; }))
+        EXPECT_NE(std::ranges::find(refused, named, &Refusal::path), refused.end())
             << where << toJson(refused);
     }
 }
