--- a/src/simulator/action_codec.cpp
+++ b/src/simulator/action_codec.cpp
@@ -1,16 +1,12 @@
 #include "action_codec.hpp"
 
+#include "json_fields.hpp"
+
 namespace deckcart::simulator {
 namespace {
 
 using nlohmann::json;
 
-constexpr double kMicrosecondsPerSecond = 1e6;
-
-double seconds(Duration duration) {
-    return static_cast<double>(duration.count()) / kMicrosecondsPerSecond;
-}
-
 int voteCode(Verdict verdict) {
     switch (verdict) {
     case Verdict::none:
@@ -36,14 +32,14 @@
     json operator()(const ShedRequest &action) const {
         json command{{"m", "DENY"}, {"Req", action.requestId}};
         if (action.retryAfter > Duration{0})
-            command["RetryInS"] = seconds(action.retryAfter);
+            command["RetryInS"] = secondsOf(action.retryAfter);
         return command;
     }
     json operator()(const FailRequest &action) const {
         return {{"m", "END_FAILED"}, {"Req", action.requestId}};
     }
     json operator()(const SetTimer &action) const {
-        return {{"m", "SLEEP"}, {"SleepForS", seconds(action.delay)}, {"Handle", 0}};
+        return {{"m", "SLEEP"}, {"SleepForS", secondsOf(action.delay)}, {"Handle", 0}};
     }
     json operator()(const ProbeEndpoint &action) const {
         return {{"m", "INSPECT"}, {"Instance", action.endpoint}};
--- a/src/simulator/json_fields.cpp
+++ b/src/simulator/json_fields.cpp
@@ -15,6 +15,10 @@
 
 }  // namespace
 
+double secondsOf(Duration duration) {
+    return static_cast<double>(duration.count()) / kMicrosecondsPerSecond;
+}
+
 const json &requiredField(const json &object, const char *name) {
     const auto field = object.find(name);
     if (field == object.end() || field->is_null())
--- a/src/simulator/json_fields.hpp
+++ b/src/simulator/json_fields.hpp
@@ -33,6 +33,8 @@
 [[nodiscard]] const nlohmann::json &arrayField(const nlohmann::json &object, const char *name);
 /// The numbers of an array; null counts as 0.
 [[nodiscard]] std::vector<double> numbersField(const nlohmann::json &object, const char *name);
+/// As the protocol writes it.
+[[nodiscard]] double secondsOf(Duration duration);
 /// Fields in seconds.
 [[nodiscard]] Duration requiredDuration(const nlohmann::json &object, const char *name);
 [[nodiscard]] Duration optionalDuration(const nlohmann::json &object, const char *name);
