--- a/include/deckcart/policy.hpp
+++ b/include/deckcart/policy.hpp
@@ -1,5 +1,5 @@
-// The interface of the decision module: what can happen to a gateway, what it can do, and the one
-// entry point between the two. Types only; every decision is taken in src/policy/.
+// Interface of the decision module: events that a gateway receives, actions that it takes, and the
+// single entry point between them. Types only; the decisions are taken in src/policy/.
 #pragma once
 
 #include <chrono>
@@ -13,141 +13,145 @@
 
 namespace deckcart {
 
-// A length of time in microseconds. Points in time are durations since the clock's start.
+/// A duration in microseconds.
 using Duration = std::chrono::microseconds;
-// A point in time: the duration since the clock's start. The same type for now.
+/// A point in time, as the duration since the clock's epoch; the same type as Duration.
 using TimePoint = Duration;
-using GatewayId = std::int64_t;  // one running gateway
+/// Identifies one running gateway.
+using GatewayId = std::int64_t;
 using RequestId = std::uint64_t;
 using EndpointId = std::string;
 using BuildNumber = int;
 
-/// How an attempt, or a call to the control plane, has ended.
+/// Outcome of an attempt or of a call to the control plane.
 enum class Outcome {
     ok,
-    error,          ///< answered with an error
-    overloaded,     ///< rejected for want of capacity; not run
-    timeout,        ///< no answer in time; may have run
+    error,          ///< an error response
+    overloaded,     ///< rejected for lack of capacity; not run
+    timeout,        ///< no response in time; may have run
     connectFailed,  ///< not sent
     reset,          ///< the connection broke; may have run
-    cancelled,      ///< by the gateway itself; may have run
-    obsolete,       ///< no longer valid when it arrived; not run
-    malformed       ///< an answer began that can't be read to its end; it may have been a good one
+    cancelled,      ///< cancelled by the gateway; may have run
+    obsolete,       ///< obsolete on arrival; not run
+    malformed       ///< a response that can't be parsed to its end; may be a successful one
 };
-/// What a second run of a request does: nothing more, nothing more within the deduplication window
-/// of its key, or a second effect.
+/// Effect of running a request a second time: none, none within the deduplication window of its
+/// key, or a second effect.
 enum class Idempotency { idempotent, withKey, nonIdempotent };
-/// Which endpoints share the record of idempotency keys.
+/// Which endpoints share the deduplication records of idempotency keys: all of them, those of a
+/// zone, or those of a cell.
 enum class DeduplicationScope { all, zone, cell };
 enum class EndpointState { active, draining, removed };
-/// Who promotes a rollout to its next stage: the first vote, a number of them, or time.
+/// What promotes a rollout to its next stage: the first vote, a quorum of votes, or the passage of
+/// time.
 enum class PromotionRule { firstVote, quorum, timer };
 enum class RolloutPhase { canary, rollingBack, released, rolledBack };
 enum class Verdict { none, promote, hold, rollBack };
 
-/// A class of requests with the same objective and idempotency.
+/// A class of requests with the same latency objective and idempotency.
 struct Route {
-    Duration latencyObjective{};  // an answer is wanted within this; the deadline is apart
+    Duration latencyObjective{};  ///< desired latency; independent of the request's deadline
     Idempotency idempotency = Idempotency::idempotent;
     DeduplicationScope deduplicationScope = DeduplicationScope::all;
-    Duration deduplicationWindow{};  // from the first attempt that may have run
+    Duration deduplicationWindow{};  ///< starts with the first attempt that may have run
 };
 
-/// What a gateway is started with; does not change while it runs.
+/// Settings that a gateway starts with; constant while it runs.
 struct PolicySettings {
     std::uint64_t seed = 0;
     int gateways = 1;
     int zone = 0;
     std::vector<Route> routes;
-    std::vector<double> tenantQuotas;  // by tenant: part of the accepted requests, 0 to 1
-    // ---- what is allowed ----
+    std::vector<double> tenantQuotas;  ///< by tenant: fraction of the accepted requests, 0 to 1
+    // ---- allowed operations ----
     bool hedgingAllowed = false;
     bool cancellationAllowed = false;
-    int maxAttempts = 1;  // of a request, the first included
+    int maxAttempts = 1;  ///< per request, including the first
     Duration maxRetryAfter{};
-    Duration maxSendDelay{};  // an attempt may reach its endpoint so much later than decided
+    Duration maxSendDelay{};  ///< maximum delay from the decision to the arrival at the endpoint
     bool retryAfterSupported = false;
-    bool subscriptionRequired = false;
-    Duration subscribeWithin{};  // of the start
-    double crossZoneCost = 0;    // 0: requests may cross zones freely
-    // Index of the in-flight requests in the load that a probe reports; -1: none, or no probes.
+    bool subscriptionRequired = false;  ///< the endpoint list must be subscribed to
+    Duration subscribeWithin{};         ///< maximum time from the start to the subscription
+    double crossZoneCost = 0;           ///< relative cost of a request to another zone; 0: free
+    /// Index of the number of in-flight requests within a probe's load report; -1: not reported, or
+    /// no probes.
     int inFlightReportField = -1;
     // ---- parameters of the rules ----
-    double initialCapacity = 1;   // part of its capacity that an endpoint starts with, 0 to 1
-    Duration warmUpTime{};        // until it has all of it, at the latest
-    double overloadMultiple = 1;  // times its capacity that overload an endpoint
-    Duration overloadWindow{};    // if they come for so long
+    double initialCapacity = 1;   ///< fraction of its capacity that an endpoint starts with
+    Duration warmUpTime{};        ///< time to full capacity, at most
+    double overloadMultiple = 1;  ///< multiple of its capacity that overloads an endpoint
+    Duration overloadWindow{};    ///< time that such a load must last to overload it
     // ---- rollouts ----
     PromotionRule promotionRule = PromotionRule::firstVote;
-    bool inPlaceReplacement = false;
-    bool exposurePerRoute = false;       // the exposure limit holds for each route by itself
-    bool stickyKeys = false;             // a key that a build has answered stays with it
-    int idempotentOnlyStages = 0;        // so many first stages take idempotent requests only
-    double exposureAllowance = 0;        // attempts beyond the limit, in each window
-    Duration exposureWindow{};           // over which attempts and accepted requests are counted
-    std::vector<double> exposureLimits;  // by stage: part of the accepted requests
-    std::vector<double> stageShares;     // by stage: part of the endpoints that run the build
-    Duration minStageDuration{};         // a stage lasts so long at least; 0: not known
-    Duration voteLifetime{};             // a vote lapses after this unless it is renewed
+    bool inPlaceReplacement = false;  ///< new endpoints replace old ones instead of joining them
+    bool exposurePerRoute = false;    ///< the exposure limit applies to each route separately
+    bool stickyKeys = false;          ///< a key stays with the build that has answered it
+    int idempotentOnlyStages = 0;  ///< number of initial stages that take idempotent requests only
+    double exposureAllowance = 0;  ///< attempts allowed beyond the limit, per window
+    Duration exposureWindow{};     ///< window over which attempts and accepted requests are counted
+    std::vector<double> exposureLimits;  ///< by stage: fraction of the accepted requests, 0 to 1
+    std::vector<double> stageShares;     ///< by stage: fraction of endpoints that run the build
+    Duration minStageDuration{};         ///< minimum duration of a stage; 0: not known
+    Duration voteLifetime{};             ///< a vote lapses after this time unless it is renewed
     Duration voteTimeout{};
-    int votesToRollBack = 1;
-    double incorrectReportRate = 0;  // part of the incorrect responses that is reported
+    int votesToRollBack = 1;         ///< votes of different gateways that a roll back takes
+    double incorrectReportRate = 0;  ///< fraction of incorrect responses that are reported
 };
 
-/// An endpoint as the endpoint list describes it.
+/// An endpoint as described by the endpoint list.
 struct EndpointEntry {
     EndpointId id;
     int zone = 0;
     int cell = 0;
     BuildNumber build = 0;
     EndpointState state = EndpointState::active;
-    double weight = 1;                   // relative capacity
-    std::optional<TimePoint> startedAt;  // empty: long ago
+    double weight = 1;                   ///< relative capacity
+    std::optional<TimePoint> startedAt;  ///< empty: not known, since it was long ago
 };
 
-// ---- what happened: events ----
+// ---- events ----
 struct PolicyStarted {
     PolicySettings settings;
 };
 struct PolicyStopped {};
 struct EndpointListUpdate {
-    bool complete = false;  // endpoints that are not in it have left
+    bool complete = false;  ///< true: endpoints that are not listed have been removed
     std::vector<EndpointEntry> entries;
 };
 struct EndpointListFailed {};
 struct RequestArrived {
     RequestId requestId = 0;
-    std::string key;  // idempotency and affinity key; may be empty
+    std::string key;  ///< idempotency and affinity key; may be empty
     int route = 0;
     int tenant = 0;
-    TimePoint deadline{};  // the client gives up then
+    TimePoint deadline{};  ///< when the client gives up
 };
 struct AttemptEnded {
     RequestId requestId = 0;
-    int attemptNumber = 0;      // from 0, in the order of SendAttempt
-    bool requestEnded = false;  // its answer has gone to the client, good or not
+    int attemptNumber = 0;      ///< from 0, in the order of the SendAttempt actions
+    bool requestEnded = false;  ///< the response, successful or not, has been sent to the client
     Outcome outcome = Outcome::ok;
 };
-/// The client has given up.
+/// The client has abandoned its request.
 struct RequestAbandoned {
     RequestId requestId = 0;
 };
 struct TimerFired {};
 struct ProbeEnded {
     EndpointId endpoint;
-    std::vector<double> load;  // empty: the probe has failed
+    std::vector<double> load;  ///< empty: the probe failed
 };
-/// The stage of a rollout, pushed or in answer to a vote.
+/// Stage of a rollout, received as a push or as the reply to a vote.
 struct RolloutUpdate {
     bool isVoteReply = false;
-    Outcome outcome = Outcome::ok;  // unless ok, the rest is not valid
+    Outcome outcome = Outcome::ok;  ///< unless ok, the following fields are not valid
     BuildNumber build = 0;
     int step = 0;
     RolloutPhase phase = RolloutPhase::canary;
-    double exposureLimit = 0;  // part of the accepted requests
-    Duration age{};            // since the stage began
+    double exposureLimit = 0;  ///< fraction of the accepted requests, 0 to 1
+    Duration age{};            ///< since the start of the stage
 };
-/// Attempts of all gateways at a build, as the platform has counted them.
+/// Attempts of all gateways at a build, as counted by the platform.
 struct UsageReport {
     BuildNumber build = 0;
     int route = 0;
@@ -155,16 +159,16 @@
     int failures = 0;
     Duration age{};
 };
-/// A client found a response to be incorrect.
+/// A client reported a response as incorrect.
 struct IncorrectResponseReported {
     EndpointId endpoint;
-    Duration age{};  // since its attempt was sent
+    Duration age{};  ///< time since the attempt was sent
 };
 using Event = std::variant<PolicyStarted, PolicyStopped, EndpointListUpdate, EndpointListFailed,
                            RequestArrived, AttemptEnded, RequestAbandoned, TimerFired, ProbeEnded,
                            RolloutUpdate, UsageReport, IncorrectResponseReported>;
 
-// ---- what is to be done: actions ----
+// ---- actions ----
 struct SendAttempt {
     RequestId requestId = 0;
     EndpointId endpoint;
@@ -173,16 +177,16 @@
     RequestId requestId = 0;
     int attemptNumber = 0;
 };
-/// Answers the client that its request was not run, or may be repeated without harm.
+/// Rejects the request: tells the client that it was not run or can be repeated safely.
 struct ShedRequest {
     RequestId requestId = 0;
-    Duration retryAfter{};  // 0: not stated
+    Duration retryAfter{};  ///< 0: not sent
 };
-/// Answers the client with an error: the request may have run.
+/// Responds with an error; the request may have run.
 struct FailRequest {
     RequestId requestId = 0;
 };
-/// TimerFired is due after this delay.
+/// Requests a TimerFired event after this delay.
 struct SetTimer {
     Duration delay{};
 };
@@ -203,14 +207,14 @@
 using Action = std::variant<SendAttempt, CancelAttempt, ShedRequest, FailRequest, SetTimer,
                             ProbeEndpoint, WatchEndpoints, Vote, LogLine>;
 
-/// The decisions of the gateways that one process hosts. They share nothing. Not thread-safe.
+/// Decisions of the gateways that one process hosts; they share no state. Not thread-safe.
 class Policy {
   public:
     Policy();
     ~Policy();
-    /// What happened to this gateway at this time, in order; returns what it is to do now, in
-    /// order. `now` never falls from call to call of a gateway. Events of a gateway that has not
-    /// been started, or has stopped, are passed over.
+    /// Handles the events of a gateway, in order, and returns the actions to take, in order. `now`
+    /// must not decrease between calls for the same gateway. Events of a gateway that has not been
+    /// started, or has been stopped, are ignored.
     [[nodiscard]] std::vector<Action> decide(GatewayId gateway, TimePoint now,
                                              const std::vector<Event> &events);
 
--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -1,4 +1,4 @@
-// Pressure, adaptive throttling and tenant quotas.
+// Load pressure, adaptive throttling and tenant quotas.
 #include "admission_controller.hpp"
 
 #include <algorithm>
@@ -11,22 +11,27 @@
 
 using namespace std::chrono_literals;
 
-// Parts of the latency objective: shedding begins with half a mean's head-room and grows evenly.
-constexpr double kShedFrom = 0.45;
+// Expected mean latency as a fraction of the latency objective. Shedding starts at about half of
+// the objective, for headroom, and its probability grows linearly to 1 over the range.
+constexpr double kShedThreshold = 0.45;
 constexpr double kShedRange = 0.5;
-// Answers of this long give the throughput: some latencies, not a surge's length.
+// Throughput is measured over this time: several latencies, but shorter than a surge.
 constexpr Duration kThroughputWindow = 1s;
-// Ends of this long show an overload that feeds itself: some answers of a small gateway.
+// Adaptive throttling considers requests that ended within this time: enough requests even at a
+// small gateway.
 constexpr Duration kThrottleWindow = 4s;
-// Requests admitted for each that ends in time: a fleet that heals is found.
+// Requests admitted per request that ended in time. Above 1, so that a recovery of the fleet is
+// noticed.
 constexpr double kThrottleRatio = 2;
-// Requests in flight that are no overload.
-constexpr double kFewInFlight = 4;
-// Times its quota that are a tenant's excess.
-constexpr double kOverQuota = 1.25;
-// The fleet counts as full for this long after a request was shed: some overloads and pauses.
-constexpr Duration kFullFor = 5s;
-// Clients that repeat shed requests wait so long, or less if they can't: a surge may have passed.
+// Fewer attempts in flight than this are never an overload.
+constexpr double kMinInFlight = 4;
+// A tenant exceeds its quota from this multiple of it on.
+constexpr double kQuotaTolerance = 1.25;
+// The fleet is considered full for this long after a request was shed: covers several overloads and
+// the pauses between them.
+constexpr Duration kFleetFullPeriod = 5s;
+// Delay after which clients may repeat a shed request, if the maximum allows: a surge may have
+// passed by then.
 constexpr Duration kRetryAfter = 250ms;
 
 }  // namespace
@@ -51,20 +56,22 @@
 bool AdmissionController::shouldShed(int tenant, double usualSeconds, Duration objective,
                                      const InFlightLoad &load, RandomSource &random,
                                      TimePoint now) {
-    const double expected = usualSeconds * pressure(load, now) / toSeconds(objective);
-    // A throughput of n answers is known to one part in the root of n: few answers must not shed
-    // by chance.
-    const double doubt = 1 + 2 / std::sqrt(std::max(1.0, double(answers.size())));
-    const double from = doubt * (overQuota(tenant) ? kShedFrom / 2 : kShedFrom);
-    const double part = std::max((expected - from) / kShedRange, throttledPart(tenant, now));
-    if (part <= 0 || random.chance() >= part)
+    const double expectedLatency = usualSeconds * loadPressure(load, now) / toSeconds(objective);
+    // The relative error of a throughput of n responses is about 1/sqrt(n): a few responses must
+    // not cause shedding by chance.
+    const double uncertainty = 1 + 2 / std::sqrt(std::max(1.0, double(answerTimes.size())));
+    const double threshold =
+        uncertainty * (overQuota(tenant) ? kShedThreshold / 2 : kShedThreshold);
+    const double shedProbability =
+        std::max((expectedLatency - threshold) / kShedRange, throttledFraction(tenant, now));
+    if (shedProbability <= 0 || random.chance() >= shedProbability)
         return false;
-    shedAt = now;
+    lastShedAt = now;
     return true;
 }
 
 bool AdmissionController::shedRecently(TimePoint now) const {
-    return shedAt != TimePoint{0} && now - shedAt < kFullFor;
+    return lastShedAt != TimePoint{0} && now - lastShedAt < kFleetFullPeriod;
 }
 
 Duration AdmissionController::retryAfter() const {
@@ -72,43 +79,45 @@
                                         : Duration{0};
 }
 
-// How many times the usual it takes to answer what is in flight (Little's law).
-double AdmissionController::pressure(const InFlightLoad &load, TimePoint now) {
-    dropUntil(answers, now - kThroughputWindow);
-    if (load.attempts < kFewInFlight)
+// Time to answer the attempts in flight, as a multiple of their usual latency (Little's law).
+double AdmissionController::loadPressure(const InFlightLoad &load, TimePoint now) {
+    dropUntil(answerTimes, now - kThroughputWindow);
+    if (load.attempts < kMinInFlight)
         return 1;
-    const double throughput = std::max(1.0, double(answers.size())) / toSeconds(kThroughputWindow);
+    const double throughput =
+        std::max(1.0, double(answerTimes.size())) / toSeconds(kThroughputWindow);
     return load.attempts / throughput / (load.usualSeconds / load.attempts);
 }
 
-// Adaptive throttling where gateways are many: a few requests a second give no throughput, but show
-// that under half of a tenant's end in time. Covers overloads that feed themselves, heedless
-// retries. Harm: other failures.
-double AdmissionController::throttledPart(int tenant, TimePoint now) {
+// Adaptive throttling where gateways are many: a few requests per second give no throughput, but
+// they show when less than half of a tenant's requests end in time. Covers overloads that sustain
+// themselves and clients that retry without limit. Drawback: also reacts to failures of other
+// origin.
+double AdmissionController::throttledFraction(int tenant, TimePoint now) {
     dropUntil(finished, now - kThrottleWindow,
               [&](const FinishedRequest &request) { countFinished(request, -1); });
     if (!hasManyGateways(settings))
         return 0;
-    const FinishedCounts &counts = finishedOf[tenant];
-    return (counts.all - kThrottleRatio * counts.inTime) / (counts.all + kFewInFlight);
+    const FinishedCounts &counts = finishedByTenant[tenant];
+    return (counts.all - kThrottleRatio * counts.inTime) / (counts.all + kMinInFlight);
 }
 
 void AdmissionController::countFinished(const FinishedRequest &request, double change) {
-    FinishedCounts &counts = finishedOf[request.tenant];
+    FinishedCounts &counts = finishedByTenant[request.tenant];
     counts.all += change;
     counts.inTime += request.inTime ? change : 0;
 }
 
 void AdmissionController::countAccepted(int tenant, double change) {
-    if (tenant >= 0 && std::size_t(tenant) < acceptedOf.size())
-        acceptedOf[std::size_t(tenant)] += change;
+    if (tenant >= 0 && std::size_t(tenant) < acceptedByTenant.size())
+        acceptedByTenant[std::size_t(tenant)] += change;
 }
 
 bool AdmissionController::overQuota(int tenant) const {
-    if (tenant < 0 || std::size_t(tenant) >= acceptedOf.size() || accepted.empty())
+    if (tenant < 0 || std::size_t(tenant) >= acceptedByTenant.size() || accepted.empty())
         return false;
-    return acceptedOf[std::size_t(tenant)] >
-           kOverQuota * settings.tenantQuotas[std::size_t(tenant)] * double(accepted.size());
+    return acceptedByTenant[std::size_t(tenant)] >
+           kQuotaTolerance * settings.tenantQuotas[std::size_t(tenant)] * double(accepted.size());
 }
 
 }  // namespace deckcart::policy
--- a/src/policy/admission_controller.hpp
+++ b/src/policy/admission_controller.hpp
@@ -1,5 +1,5 @@
-// Load shedding: whether a new request is admitted, from the throughput of the last second, what
-// is in flight, each tenant's quota and how its last requests ended.
+// Load shedding: decides whether a new request is admitted, by the throughput of the last second,
+// the attempts in flight, the tenant's quota and the outcomes of its recent requests.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -16,24 +16,25 @@
 class AdmissionController {
   public:
     explicit AdmissionController(const PolicySettings &policySettings)
-        : settings(policySettings), acceptedOf(policySettings.tenantQuotas.size()) {}
+        : settings(policySettings), acceptedByTenant(policySettings.tenantQuotas.size()) {}
 
     void requestAccepted(int tenant, TimePoint now);
-    /// An attempt was answered well.
-    void attemptAnswered(TimePoint now) { answers.push_back(now); }
-    /// A request has ended, within its objective or not.
+    /// Records a successful response.
+    void attemptAnswered(TimePoint now) { answerTimes.push_back(now); }
+    /// Records the end of a request; `inTime`: answered within its latency objective.
     void requestFinished(int tenant, bool inTime, TimePoint now);
     /// Drops accepted requests that have left the overload window.
     void expire(TimePoint now);
 
-    /// Sheds while the requests in flight could not be answered in time at the throughput of the
-    /// last second, more the slower; a tenant's excess over its quota first. Covers surges, lost
-    /// endpoints, slowdowns. Harm: a rough throughput. Draws a chance if part of them is shed.
+    /// Sheds requests while those in flight could not be answered in time at the throughput of the
+    /// last second, with a probability that grows with the excess; requests of a tenant over its
+    /// quota first. Covers surges, lost endpoints and slowdowns. Drawback: the throughput is a
+    /// rough estimate. Draws a random number only if the probability is above 0.
     [[nodiscard]] bool shouldShed(int tenant, double usualSeconds, Duration objective,
                                   const InFlightLoad &load, RandomSource &random, TimePoint now);
-    /// Whether a request was shed so lately that the fleet counts as full.
+    /// Whether a request was shed so recently that the fleet is considered full.
     bool shedRecently(TimePoint now) const;
-    /// When a client may repeat a request that was shed; 0 if it can't be told.
+    /// When a client may repeat a shed request; 0 if the delay can't be communicated.
     Duration retryAfter() const;
 
   private:
@@ -50,19 +51,19 @@
         TimePoint at{};
         int tenant = 0;
     };
-    double pressure(const InFlightLoad &load, TimePoint now);
-    double throttledPart(int tenant, TimePoint now);
+    double loadPressure(const InFlightLoad &load, TimePoint now);
+    double throttledFraction(int tenant, TimePoint now);
     void countFinished(const FinishedRequest &request, double change);
     void countAccepted(int tenant, double change);
     bool overQuota(int tenant) const;
 
     const PolicySettings &settings;
-    std::deque<TimePoint> answers;
+    std::deque<TimePoint> answerTimes;
     std::deque<FinishedRequest> finished;
-    std::map<int, FinishedCounts> finishedOf;  // by tenant
+    std::map<int, FinishedCounts> finishedByTenant;
     std::deque<AcceptedRequest> accepted;
-    std::vector<double> acceptedOf;  // by tenant with a quota
-    TimePoint shedAt{};              // 0: never
+    std::vector<double> acceptedByTenant;  // by tenant, those with a quota only
+    TimePoint lastShedAt{};                // 0: never
 };
 
 }  // namespace deckcart::policy
--- a/src/policy/canary_analyzer.cpp
+++ b/src/policy/canary_analyzer.cpp
@@ -1,4 +1,4 @@
-// The steps of canary analysis.
+// Window comparison, pooled evidence, verdict on the canary.
 #include "canary_analyzer.hpp"
 
 #include <algorithm>
@@ -13,30 +13,38 @@
 
 using namespace std::chrono_literals;
 
-// A window lasts so long at least, so that both builds are seen at the same time.
-constexpr Duration kLeastWindow = 1s;
-// Latencies that a p95 rests on at least.
-constexpr int kLeastLatencies = 50;
-// Windows in a row: one may be chance, and a roll back is dearer to miss than a promotion.
-constexpr int kHealthyStreak = 3;
-constexpr int kUnhealthyStreak = 2;
-// So long without a failure of the canary promotes where windows are few.
-constexpr Duration kQuiet = 5s;
-// p95, not 1.5: at high load a build one tenth slower queues twice as long.
-constexpr double kSlowRatio = 2;
-// A p95 must also be higher by this: fast routes vary more.
-constexpr Duration kSlowMargin = 20ms;
-// Latencies are kept this long to find the least count.
+// Minimum length of a comparison window, so that both builds are observed over the same time.
+constexpr Duration kMinWindow = 1s;
+// Minimum number of latency samples for a p95.
+constexpr int kMinLatencySamples = 50;
+// Consecutive windows that are required. A single one may be chance; rolling back takes fewer,
+// since missing a bad build costs more than delaying a promotion.
+constexpr int kHealthyWindowsToPromote = 3;
+constexpr int kUnhealthyWindowsToRollBack = 2;
+// Where traffic is too low to fill windows, the canary is promoted after this time without a
+// failure.
+constexpr Duration kFailureFreePeriod = 5s;
+// The canary counts as slow if its p95 exceeds the reference p95 by this factor. 1.5 is too low: at
+// high load a build that is 10% slower queues twice as long.
+constexpr double kSlowP95Factor = 2;
+// The p95 must also exceed the reference by this much, since latencies of fast routes vary more in
+// relation to their length.
+constexpr Duration kSlowP95Margin = 20ms;
+// Latency samples are kept this long, so that the minimum count is reached.
 constexpr Duration kLatencyWindow = 10s;
-// A build is slow on most of its endpoints by this much, not on one.
-constexpr double kSlowOnMost = 1.6;
-// A promotion 2 s after the stage's clock has started; half more as we guess it.
-constexpr Duration kPromotionWait = 2500ms;
-// Slower by this factor, and by so many standard errors: no quiet; a roll back.
-constexpr double kPooledSlow = 1.4;
-constexpr double kPooledErrorsToHold = 1;
-constexpr double kPooledErrorsToRollBack = 2;
-// The canary's share of first attempts under which the baseline bears about all the requests.
+// The canary's median endpoint must be slower than the baseline's by this factor: one slow endpoint
+// is no evidence.
+constexpr double kSlowMedianEndpointFactor = 1.6;
+// Delay of the vote to promote after the start of the stage's clock: 2 s, and 0.5 s for the error
+// of our estimate of that start.
+constexpr Duration kPromotionDelay = 2500ms;
+// Pooled evidence: the canary is slower by more than this factor, and by this many standard errors
+// beyond it, to restart the failure-free period or to vote for a roll back.
+constexpr double kPooledSlownessFactor = 1.4;
+constexpr double kStandardErrorsToDelay = 1;
+constexpr double kStandardErrorsToRollBack = 2;
+// The baseline counts as serving nearly all requests while the canary's share of first attempts is
+// below this.
 constexpr double kSmallCanaryShare = 0.25;
 
 }  // namespace
@@ -44,48 +52,50 @@
 bool CanaryAnalyzer::baselineFullyLoaded(const AnalysisContext &context) const {
     if (!context.rollout.inPhase(RolloutPhase::canary))
         return true;
-    return interference.quiet() && context.canaryShare < kSmallCanaryShare;
+    return interference.idle() && context.canaryShare < kSmallCanaryShare;
 }
 
-// Whether the attempt says anything about its build.
-bool CanaryAnalyzer::tells(const AttemptSample &sample, const AnalysisContext &context) const {
-    // What can't be read is a connection's fault, of either build alike.
+// Whether the outcome is evidence for or against the build.
+bool CanaryAnalyzer::isEvidence(const AttemptSample &sample, const AnalysisContext &context) const {
+    // A malformed response is a fault of the connection and says nothing about the build.
     if (provesNotRun(sample.outcome) || sample.outcome == Outcome::malformed)
         return false;
     if (!context.rollout.underAnalysis())
         return false;
-    // Of one that was rolled back before this one came: neither the canary nor its baseline. Guards
-    // against its late failures hiding the next one's. Harm: none seen.
+    // An earlier build that was rolled back is neither the canary nor its baseline. Its late
+    // failures must not hide those of the next canary. No drawback is known.
     if (sample.build < context.rollout.current().build &&
         sample.build == context.rollout.rolledBackBuild())
         return false;
-    // An endpoint that answers nothing has a fault of its own: its silence tells nothing of the
-    // build.
+    // Timeouts and resets of an unresponsive endpoint are a fault of that endpoint and say nothing
+    // about the build.
     return !isFailure(sample.outcome) || sample.outcome == Outcome::error ||
            !sample.endpointUnresponsive;
 }
 
 void CanaryAnalyzer::recordAttempt(const AttemptSample &sample, const AnalysisContext &context) {
-    if (!tells(sample, context))
+    if (!isEvidence(sample, context))
         return;
     const TimePoint now = context.now;
-    const BuildNumber newest = context.rollout.current().build;
-    const bool ofCanary = sample.build == newest;
-    SampleWindow &window = ofCanary ? canary : baseline;
-    // An attempt cut short took at least so long; or a slow build's slowest answers would not
-    // count.
+    const BuildNumber rolloutBuild = context.rollout.current().build;
+    const bool fromCanary = sample.build == rolloutBuild;
+    SampleWindow &window = fromCanary ? canary : baseline;
+    // A cancelled or timed-out attempt took at least its elapsed time. Without these samples the
+    // slowest responses of a slow build would not be counted.
     const bool cutShort =
         sample.outcome == Outcome::cancelled || sample.outcome == Outcome::timeout;
-    const bool counts = sample.build <= newest && !sample.warmingUp && !sample.endpointUnresponsive;
-    if (cutShort && counts && sample.slowness > 1 && settings.votesToRollBack >= kPooledVotes)
+    const bool comparableEndpoint =
+        sample.build <= rolloutBuild && !sample.warmingUp && !sample.endpointUnresponsive;
+    if (cutShort && comparableEndpoint && sample.slowness > 1 &&
+        settings.votesToRollBack >= kMinVotesForPooling)
         window.slowness.push_back({now, sample.slowness});
     if (sample.outcome == Outcome::cancelled)
         return;
     recordPair(sample, context);
-    if (ofCanary)
+    if (fromCanary)
         recordCanary(sample, now);
-    if (sample.warmingUp || sample.build > newest ||
-        (sharesEvenly && sample.sentAt < sharesEvenlySince + kLeastWindow))
+    if (sample.warmingUp || sample.build > rolloutBuild ||
+        (evenShareActive && sample.sentAt < evenShareSince + kMinWindow))
         return;
     window.add(sample.route, sample.endpoint, isFailure(sample.outcome),
                sample.outcome == Outcome::error, sample.slowness);
@@ -94,21 +104,23 @@
 }
 
 void CanaryAnalyzer::recordPair(const AttemptSample &sample, const AnalysisContext &context) {
-    if (sample.outcome != Outcome::ok || !sample.errorBefore || *sample.errorBefore == sample.build)
+    if (sample.outcome != Outcome::ok || !sample.previousErrorBuild ||
+        *sample.previousErrorBuild == sample.build)
         return;
-    const BuildNumber newest = context.rollout.current().build;
-    if (*sample.errorBefore == newest)
+    const BuildNumber rolloutBuild = context.rollout.current().build;
+    if (*sample.previousErrorBuild == rolloutBuild)
         direct.recordFailedOnCanary(context.now);
-    else if (sample.build == newest)
+    else if (sample.build == rolloutBuild)
         direct.recordFailedOnBaseline();
 }
 
 void CanaryAnalyzer::recordCanary(const AttemptSample &sample, TimePoint now) {
     const bool error = sample.outcome == Outcome::error;
-    // One of many has no window to tell by that the baseline loses as well. Harm: where both are
-    // bad.
-    const bool allLose = hasManyGateways(settings) && baseline.losesMany();
-    if (isFailure(sample.outcome) && (!sample.warmingUp || error) && !allLose)
+    // With many gateways a single one rarely fills a window that would show that the baseline fails
+    // as well, so failures are not held against the canary while the baseline fails often.
+    // Drawback: hides a bad canary while the baseline is bad too.
+    const bool baselineAlsoFails = hasManyGateways(settings) && baseline.failsOften();
+    if (isFailure(sample.outcome) && (!sample.warmingUp || error) && !baselineAlsoFails)
         lastCanaryFailure = now;
     if (error)
         usage.recordOwnError();
@@ -122,12 +134,13 @@
     window.slowness.push_back({now, sample.slowness});
     while (window.slowness.front().at < now - kLatencyWindow)
         window.slowness.pop_front();
-    // A build that was released a while ago is the next one's baseline.
+    // A build that was released longer ago than this is the baseline of the next canary.
     if (&window == &canary &&
-        (rollout.isCanary(sample.build) || now - rollout.stageBegan() <= kLatencyWindow))
+        (rollout.isCanary(sample.build) || now - rollout.stageStart() <= kLatencyWindow))
         return;
     interference.recordBaseline(sample.slowness, now);
-    // Kept from before the canary if there were enough: it may slow the others early.
+    // Samples from before the canary are preferred, since the canary may slow the baseline from its
+    // first requests on.
     if (baselineFullyLoaded(context) &&
         (!rollout.isCanary(rollout.current().build) || interference.needsFullLoadSamples()))
         interference.recordFullLoad(sample.slowness);
@@ -135,7 +148,7 @@
 
 void CanaryAnalyzer::recordUsage(const UsageReport &report, const AnalysisContext &context) {
     const RolloutTracker &rollout = context.rollout;
-    if (!rollout.known() || report.age > context.now - rollout.stageBegan() ||
+    if (!rollout.known() || report.age > context.now - rollout.stageStart() ||
         report.build > rollout.current().build)
         return;
     usage.record(report, report.build == rollout.current().build);
@@ -144,15 +157,15 @@
 void CanaryAnalyzer::beginStage(bool otherBuild, TimePoint now) {
     if (otherBuild) {
         canaryFailed = false;
-        sharesEvenly = false;
+        evenShareActive = false;
         previousBaseline = SampleWindow{};
         direct.reset();
-        pooledUntil = TimePoint{0};
+        pooledRollBackUntil = TimePoint{0};
     }
     interference.reset();
     closeWindow(now);
     for (SampleWindow *window : {&canary, &baseline}) {
-        // The latest latencies stay, but for a new build.
+        // Recent latency samples are kept unless the build is new.
         TimedValues kept;
         if (!otherBuild)
             kept = std::move(window->slowness);
@@ -175,175 +188,183 @@
     messages.clear();
     if (canaryFailed || !context.rollout.underAnalysis())
         return {};
-    if (checkDirectEvidence(votes, context.now) == Progress::goOn &&
-        checkPooledEvidence(votes, context.now) == Progress::goOn &&
-        compareWindows(votes, context) == Progress::goOn &&
+    if (checkDirectEvidence(votes, context.now) == Progress::proceed &&
+        checkPooledEvidence(votes, context.now) == Progress::proceed &&
+        compareWindows(votes, context) == Progress::proceed &&
         context.rollout.inPhase(RolloutPhase::canary) &&
-        checkInterference(votes, context) == Progress::goOn)
+        checkInterference(votes, context) == Progress::proceed)
         considerPromotion(votes, context);
     return std::exchange(messages, {});
 }
 
 void CanaryAnalyzer::concludeFailed(const std::string &reason, VoteSchedule &votes, TimePoint now) {
     canaryFailed = true;
-    votes.want(Verdict::rollBack, reason, now);
+    votes.setDesired(Verdict::rollBack, reason, now);
 }
 
 CanaryAnalyzer::Progress CanaryAnalyzer::checkDirectEvidence(VoteSchedule &votes, TimePoint now) {
-    if (direct.incorrect())
+    if (direct.reportedIncorrect())
         concludeFailed("wrong answers", votes, now);
-    else if (direct.pairsFail(baselineLosses()))
+    else if (direct.pairsShowFailure(baselineCounts()))
         concludeFailed("pairs", votes, now);
     else if (usage.canaryFails())
         concludeFailed("counts", votes, now);
-    return canaryFailed ? Progress::stop : Progress::goOn;
+    return canaryFailed ? Progress::stop : Progress::proceed;
 }
 
 CanaryAnalyzer::Progress CanaryAnalyzer::checkPooledEvidence(VoteSchedule &votes, TimePoint now) {
-    if (settings.votesToRollBack >= kPooledVotes && pooledDoubts(now))
-        pooledUntil = now + settings.voteLifetime;
-    if (now < pooledUntil) {
-        votes.want(Verdict::rollBack, "pooled doubts", now);
+    if (settings.votesToRollBack >= kMinVotesForPooling && pooledEvidenceAgainstCanary(now))
+        pooledRollBackUntil = now + settings.voteLifetime;
+    if (now < pooledRollBackUntil) {
+        votes.setDesired(Verdict::rollBack, "pooled doubts", now);
         return Progress::stop;
     }
-    if (votes.wanted() == Verdict::rollBack)
-        votes.want(Verdict::none, "doubts gone", now);
-    return Progress::goOn;
+    if (votes.desired() == Verdict::rollBack)
+        votes.setDesired(Verdict::none, "doubts gone", now);
+    return Progress::proceed;
 }
 
-BaselineLosses CanaryAnalyzer::baselineLosses() const {
-    const auto both = [&](double OutcomeCounts::*what) {
-        return baseline.sum(what) + previousBaseline.sum(what);
+BaselineCounts CanaryAnalyzer::baselineCounts() const {
+    const auto sumOfWindows = [&](double OutcomeCounts::*counter) {
+        return baseline.sum(counter) + previousBaseline.sum(counter);
     };
-    return {both(&OutcomeCounts::attempts), both(&OutcomeCounts::failures),
-            both(&OutcomeCounts::errors)};
+    return {sumOfWindows(&OutcomeCounts::attempts), sumOfWindows(&OutcomeCounts::failures),
+            sumOfWindows(&OutcomeCounts::errors)};
 }
 
-// Exception where many votes are needed to roll back: one gateway of hundreds has no window in
-// time, so its vote may rest on the last vote life's few answers and lapses with them; the votes
-// are the least count. Covers errors, incorrect responses, slowness. Harm: where votes needed are
-// many but of few of the gateways.
-bool CanaryAnalyzer::pooledDoubts(TimePoint now) {
-    if (direct.recentlyBad(baselineLosses()))
+// Where a roll back needs many votes, a single gateway of hundreds may not fill a window in time.
+// Its vote may therefore rest on the few responses of the last vote lifetime and lapses with them;
+// the required number of votes replaces the minimum sample count. Covers errors, incorrect
+// responses and slowness. Drawback: the evidence is thin where many votes are required but come
+// from a small part of the gateways.
+bool CanaryAnalyzer::pooledEvidenceAgainstCanary(TimePoint now) {
+    if (direct.recentAttemptsFail(baselineCounts()))
         return true;
-    const auto ours = valuesSince(canary.slowness, now - kLatencyWindow);
-    const auto theirs = valuesSince(baseline.slowness, now - kLatencyWindow);
-    const double errors = std::min(
-        standardErrorsSlower(ours, theirs, kPooledSlow, kPooledLeast),
-        standardErrorsSlower(ours, interference.fullLoadSamples(), kPooledSlow, kPooledLeast));
-    if (errors > kPooledErrorsToHold)
-        lastCanaryFailure = now;  // a stretch with slow answers is not quiet
-    return errors > kPooledErrorsToRollBack;
+    const auto canaryRatios = valuesSince(canary.slowness, now - kLatencyWindow);
+    const auto baselineRatios = valuesSince(baseline.slowness, now - kLatencyWindow);
+    const double standardErrors =
+        std::min(standardErrorsSlower(canaryRatios, baselineRatios, kPooledSlownessFactor,
+                                      kMinPooledSamples),
+                 standardErrorsSlower(canaryRatios, interference.fullLoadSamples(),
+                                      kPooledSlownessFactor, kMinPooledSamples));
+    if (standardErrors > kStandardErrorsToDelay)
+        lastCanaryFailure = now;  // slow responses restart the failure-free period
+    return standardErrors > kStandardErrorsToRollBack;
 }
 
-// Exception: time-outs and resets alone are no build's failures unless it is slow on most of its
-// endpoints: guards against dying, silent or crowded ones. Harm: a build that drops requests
-// without a word.
-bool CanaryAnalyzer::slowOnMost(const SampleWindow &base) const {
-    return canary.typicalSlowness() > kSlowOnMost * base.typicalSlowness();
+// Timeouts and resets alone count against the build only if it is slow on most of its endpoints,
+// since dead, unresponsive or overloaded endpoints cause them too. Drawback: misses a build that
+// drops requests without a response.
+bool CanaryAnalyzer::slowOnMostEndpoints(const SampleWindow &base) const {
+    return canary.typicalSlowness() > kSlowMedianEndpointFactor * base.typicalSlowness();
 }
 
-// The design's p95 comparison. Exception: at late stages the canary's endpoints bear more and queue
-// more, so it must also be slower than the baseline under full load, and slow on most of its
-// endpoints. Guards against load, a neighbour or a pause taken for the build. Harm: a fleet slow
-// before. Empty: too few latencies to tell.
-std::optional<bool> CanaryAnalyzer::slower(const SampleWindow &base, bool previous,
-                                           const AnalysisContext &context) {
-    if (int(canary.slowness.size()) < kLeastLatencies)
+// Compares the p95 latencies. In late stages the canary's endpoints take more traffic and queue
+// more, so the canary must also be slower than the baseline was under full load, and slow on most
+// of its endpoints. Keeps load, a noisy neighbour or a pause from being attributed to the build.
+// Drawback: less sensitive if the fleet was slow before. Empty: too few latency samples to tell.
+std::optional<bool> CanaryAnalyzer::latencyRegressed(const SampleWindow &base, bool usePrevious,
+                                                     const AnalysisContext &context) {
+    if (int(canary.slowness.size()) < kMinLatencySamples)
         return std::nullopt;
-    // Of the same time: what slowed both a while ago must not stay in the older, fewer answers. At
-    // a late stage the baseline has few of them: it is reached back for as many, within the
-    // latencies' window.
-    TimePoint since = (canary.slowness.end() - kLeastLatencies)->at;
-    if (!previous && int(base.slowness.size()) >= kLeastLatencies)
+    // Both sides are compared over the same time, or an earlier slowdown of both builds would
+    // remain in the side with fewer, older samples only. In late stages the baseline has few
+    // samples, so the comparison goes back in time until it has the minimum count, within the
+    // latency window.
+    TimePoint since = (canary.slowness.end() - kMinLatencySamples)->at;
+    if (!usePrevious && int(base.slowness.size()) >= kMinLatencySamples)
         since = std::max(context.now - kLatencyWindow,
-                         std::min(since, (base.slowness.end() - kLeastLatencies)->at));
-    const auto ours = valuesSince(canary.slowness, since);
-    const auto theirs = valuesSince(base.slowness, previous ? TimePoint{0} : since);
-    canary.slowness.clear();  // the next window of a streak is compared on answers of its own
-    const double p95 = quantile(ours, 0.95);
-    const double unit = context.latencies.fastest();
-    for (const auto *reference : {&theirs, &interference.fullLoadSamples()}) {
-        if (int(reference->size()) < kLeastLatencies)
+                         std::min(since, (base.slowness.end() - kMinLatencySamples)->at));
+    const auto canaryRatios = valuesSince(canary.slowness, since);
+    const auto baselineRatios = valuesSince(base.slowness, usePrevious ? TimePoint{0} : since);
+    canary.slowness.clear();  // each window of a streak is compared on samples of its own
+    const double canaryP95 = quantile(canaryRatios, 0.95);
+    const double fastestSeconds = context.latencies.fastest();
+    for (const auto *reference : {&baselineRatios, &interference.fullLoadSamples()}) {
+        if (int(reference->size()) < kMinLatencySamples)
             return std::nullopt;
-        const double other = quantile(*reference, 0.95);
-        if (p95 <= kSlowRatio * other || (p95 - other) * unit <= toSeconds(kSlowMargin))
+        const double referenceP95 = quantile(*reference, 0.95);
+        if (canaryP95 <= kSlowP95Factor * referenceP95 ||
+            (canaryP95 - referenceP95) * fastestSeconds <= toSeconds(kSlowP95Margin))
             return false;
     }
-    return slowOnMost(base);
+    return slowOnMostEndpoints(base);
 }
 
 CanaryAnalyzer::Progress CanaryAnalyzer::compareWindows(VoteSchedule &votes,
                                                         const AnalysisContext &context) {
     const TimePoint now = context.now;
-    const bool previous = !baseline.conclusive();
-    const SampleWindow &base = previous ? previousBaseline : baseline;
-    if (now - windowBegan < kLeastWindow || !canary.conclusive() || !base.conclusive())
-        return Progress::goOn;
+    const bool usePrevious = !baseline.conclusive();
+    const SampleWindow &base = usePrevious ? previousBaseline : baseline;
+    if (now - windowStart < kMinWindow || !canary.conclusive() || !base.conclusive())
+        return Progress::proceed;
     WindowResult result;
-    result.errors = failsMore(canary, base, &OutcomeCounts::errors);
-    result.slow = slower(base, previous, context);
-    result.lost = failsMore(canary, base, &OutcomeCounts::failures) && slowOnMost(base) &&
-                  canary.typicalFailureShare() > kFailureMargin;
-    const bool slow = result.slow.value_or(false) || result.lost;
-    if (slow && !result.errors && !sharesEvenly) {
-        shareEvenly(now);
+    result.moreErrors = failsMore(canary, base, &OutcomeCounts::errors);
+    result.slow = latencyRegressed(base, usePrevious, context);
+    result.moreFailures = failsMore(canary, base, &OutcomeCounts::failures) &&
+                          slowOnMostEndpoints(base) &&
+                          canary.typicalFailureShare() > kFailureMargin;
+    const bool slow = result.slow.value_or(false) || result.moreFailures;
+    if (slow && !result.moreErrors && !evenShareActive) {
+        startEvenShare(now);
         return Progress::stop;
     }
     updateStreaks(result);
-    if (unhealthyStreak >= kUnhealthyStreak) {
+    if (unhealthyStreak >= kUnhealthyWindowsToRollBack) {
         concludeFailed(unhealthyReason, votes, now);
         return Progress::stop;
     }
-    if ((result.errors || slow) && votes.wanted() == Verdict::promote)
-        votes.want(Verdict::none, unhealthyReason, now);
+    if ((result.moreErrors || slow) && votes.desired() == Verdict::promote)
+        votes.setDesired(Verdict::none, unhealthyReason, now);
     closeWindow(now);
-    return Progress::goOn;
+    return Progress::proceed;
 }
 
 void CanaryAnalyzer::updateStreaks(const WindowResult &result) {
-    if (result.errors || result.lost || result.slow.value_or(false)) {
+    if (result.moreErrors || result.moreFailures || result.slow.value_or(false)) {
         healthyStreak = 0;
         ++unhealthyStreak;
-        const char *slowness = result.lost ? "time-outs" : "slow";
-        unhealthyReason = result.errors ? "failures" : slowness;
+        const char *slowness = result.moreFailures ? "time-outs" : "slow";
+        unhealthyReason = result.moreErrors ? "failures" : slowness;
         return;
     }
     ++healthyStreak;
-    // Without enough latencies a streak of slow windows stands.
+    // Without enough latency samples a streak of slow windows does not end.
     if (result.slow || unhealthyReason == "failures")
         unhealthyStreak = 0;
 }
 
-// Exception before slowness or time-outs are blamed on the build: an even share for each endpoint
-// first, what was sent before left out. Guards against crowded canary endpoints. Harm: a second or
-// two of a slow build.
-void CanaryAnalyzer::shareEvenly(TimePoint now) {
-    sharesEvenly = true;
-    sharesEvenlySince = now;
+// Before slowness or timeouts count against the build, the canary is limited to an even share per
+// endpoint, and the attempts sent before that are discarded. Keeps overloaded canary endpoints from
+// being mistaken for a slow build. Drawback: a slow build is detected one or two seconds later.
+void CanaryAnalyzer::startEvenShare(TimePoint now) {
+    evenShareActive = true;
+    evenShareSince = now;
     messages.emplace_back("eased: trial slow, even share first");
     canary = SampleWindow{};
     baseline = SampleWindow{};
-    windowBegan = now + kLeastWindow;
+    windowStart = now + kMinWindow;
 }
 
-// A closed window's counts are dropped; the latencies stay, so that the p95 has its least count.
+// Drops the counts of the closed window. Latency samples are kept, so that the p95 reaches its
+// minimum count.
 void CanaryAnalyzer::closeWindow(TimePoint now) {
     if (baseline.conclusive())
         previousBaseline = baseline;
     canary.close();
     baseline.close();
-    windowBegan = now;
+    windowStart = now;
 }
 
 CanaryAnalyzer::Progress CanaryAnalyzer::checkInterference(VoteSchedule &votes,
                                                            const AnalysisContext &context) {
-    const bool fleetShort = settings.inPlaceReplacement && context.fleet.anyWarmingUp;
-    const auto finding = interference.advance(context.canaryShare > 0, fleetShort, context.now);
+    const bool capacityReduced = settings.inPlaceReplacement && context.fleet.anyWarmingUp;
+    const auto finding =
+        interference.advance(context.canaryShare > 0, capacityReduced, context.now);
     if (finding.message)
         messages.emplace_back(finding.message);
     if (!finding.interferes)
-        return Progress::goOn;
+        return Progress::proceed;
     concludeFailed("slows both builds", votes, context.now);
     return Progress::stop;
 }
@@ -352,30 +373,32 @@
     const TimePoint now = context.now;
     const RolloutTracker &rollout = context.rollout;
     if (settings.promotionRule == PromotionRule::timer) {
-        const Verdict unlessUnhealthy = healthyStreak > 0 ? Verdict::none : votes.wanted();
-        votes.want(unhealthyStreak > 0 ? Verdict::hold : unlessUnhealthy, unhealthyReason, now);
+        const Verdict verdictIfNotUnhealthy = healthyStreak > 0 ? Verdict::none : votes.desired();
+        votes.setDesired(unhealthyStreak > 0 ? Verdict::hold : verdictIfNotUnhealthy,
+                         unhealthyReason, now);
         return;
     }
-    const auto clock = rollout.clockStart(context.fleet, now);
-    if (votes.wanted() == Verdict::promote || !clock ||
-        now < *clock + rollout.paced(kPromotionWait) || unhealthyStreak > 0 ||
+    const auto clockStart = rollout.stageClockStart(context.fleet, now);
+    if (votes.desired() == Verdict::promote || !clockStart ||
+        now < *clockStart + rollout.scaledToStage(kPromotionDelay) || unhealthyStreak > 0 ||
         interference.blocksPromotion(now))
         return;
-    if (healthyStreak >= kHealthyStreak)
-        votes.want(Verdict::promote, "healthy", now);
-    else if (quietLongEnough(context))
-        votes.want(Verdict::promote, "quiet", now);
+    if (healthyStreak >= kHealthyWindowsToPromote)
+        votes.setDesired(Verdict::promote, "healthy", now);
+    else if (failureFreeLongEnough(context))
+        votes.setDesired(Verdict::promote, "quiet", now);
 }
 
-// Quiet is what this gateway has observed. Guards against a promotion by one that has started
-// since, or has seen no answer of the canary in a rough time. Harm: a restart delays its vote.
-bool CanaryAnalyzer::quietLongEnough(const AnalysisContext &context) const {
+// The failure-free period covers only what this gateway has observed: one that has started since,
+// or that has seen no response of the canary while the fleet is impaired, must not vote to promote.
+// Drawback: a restart delays the gateway's vote.
+bool CanaryAnalyzer::failureFreeLongEnough(const AnalysisContext &context) const {
     const RolloutTracker &rollout = context.rollout;
-    const bool rough = baseline.losesMany() || context.shedRecently;
+    const bool impaired = baseline.failsOften() || context.shedRecently;
     const TimePoint since =
-        std::max({rollout.stageBegan(), rollout.firstHeard(), lastCanaryFailure});
-    return context.now - since >= rollout.paced(kQuiet) && !usage.suspicious() &&
-           (!rough || direct.anyRecent());
+        std::max({rollout.stageStart(), rollout.firstUpdateAt(), lastCanaryFailure});
+    return context.now - since >= rollout.scaledToStage(kFailureFreePeriod) &&
+           !usage.suspicious() && (!impaired || direct.hasRecentEvidence());
 }
 
 }  // namespace deckcart::policy
--- a/src/policy/canary_analyzer.hpp
+++ b/src/policy/canary_analyzer.hpp
@@ -1,5 +1,5 @@
-// Canary analysis: compares the canary with the baseline, window by window and by direct evidence,
-// and sets the verdict that the gateway votes for.
+// Canary analysis: compares the canary with the baseline, by comparison windows and by direct
+// evidence, and sets the verdict that the gateway votes for.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -18,25 +18,26 @@
 
 namespace deckcart::policy {
 
-// An attempt that has ended.
+/// The result of one attempt that has ended.
 struct AttemptSample {
     const EndpointId &endpoint;
     BuildNumber build = 0;
     int route = 0;
     TimePoint sentAt{};
     Outcome outcome = Outcome::ok;
-    bool warmingUp = false;                  // the endpoint was too young for evidence
-    bool endpointUnresponsive = false;       // its silence tells nothing of the build
-    double slowness = 1;                     // time taken over the route's usual latency
-    std::optional<BuildNumber> errorBefore;  // where the request's last attempt met an error
+    bool warmingUp = false;  ///< it was sent before the endpoint reached the evidence age
+    bool endpointUnresponsive = false;  ///< the endpoint is considered dead, whatever its build
+    double slowness = 1;                ///< latency as a multiple of the route's usual latency
+    /// Build of the request's previous attempt if that ended in an error.
+    std::optional<BuildNumber> previousErrorBuild;
 };
 
-// What else the analysis looks at, as of now.
+/// The state of the gateway's other modules that the analysis depends on.
 struct AnalysisContext {
     const RolloutTracker &rollout;
     const FleetSummary &fleet;
     const RouteLatencies &latencies;
-    double canaryShare = 0;  // of the first attempts
+    double canaryShare = 0;  ///< fraction of first attempts that go to the canary, 0 to 1
     bool shedRecently = false;
     TimePoint now{};
 };
@@ -44,46 +45,47 @@
 class CanaryAnalyzer {
   public:
     CanaryAnalyzer(const PolicySettings &policySettings, TimePoint now)
-        : settings(policySettings), direct(policySettings), windowBegan(now) {}
+        : settings(policySettings), direct(policySettings), windowStart(now) {}
 
     void recordAttempt(const AttemptSample &sample, const AnalysisContext &context);
     void recordIncorrectResponse(TimePoint now) { direct.recordIncorrectResponse(now); }
     void recordUsage(const UsageReport &report, const AnalysisContext &context);
 
-    /// A stage has begun; of another build if `otherBuild`. Streaks begin anew.
+    /// Starts a new stage, of another build if `otherBuild`: counts and streaks start from zero.
     void beginStage(bool otherBuild, TimePoint now);
-    /// Drops samples that are too old.
+    /// Drops samples that have left their time window.
     void expire(TimePoint now);
-    /// Drops samples of endpoints for which `known` doesn't hold.
+    /// Drops samples of endpoints for which `known` returns false.
     template <class Known>
     void forgetEndpoints(Known known) {
         for (SampleWindow *window : {&canary, &baseline, &previousBaseline})
             std::erase_if(window->endpoints, [&](const auto &item) { return !known(item.first); });
     }
 
-    /// One analysis; returns messages for the log.
+    /// Compares the builds and updates the verdict in `votes`; returns messages for the log.
     [[nodiscard]] std::vector<std::string> analyze(const AnalysisContext &context,
                                                    VoteSchedule &votes);
 
-    /// Whether the build has been found bad.
+    /// Whether the canary has been found bad.
     bool failed() const { return canaryFailed; }
     /// Whether first attempts at the canary are paused.
     bool paused() const { return interference.paused(); }
-    /// Whether the canary gets an even share for each endpoint, as a first answer to its slowness.
-    bool evenShare() const { return sharesEvenly; }
-    /// Whether the baseline bears about all that the fleet gets.
+    /// Whether the canary's share is limited to an even share per endpoint, the first reaction when
+    /// it looks slow.
+    bool evenShare() const { return evenShareActive; }
+    /// Whether the baseline serves nearly all requests.
     bool baselineFullyLoaded(const AnalysisContext &context) const;
 
   private:
-    // What the window comparison saw.
+    // Findings of one window comparison.
     struct WindowResult {
-        bool errors = false;
-        bool lost = false;
-        std::optional<bool> slow;  // empty: too few latencies to tell
+        bool moreErrors = false;
+        bool moreFailures = false;
+        std::optional<bool> slow;  // empty: too few latency samples to tell
     };
-    enum class Progress { goOn, stop };
+    enum class Progress { proceed, stop };
 
-    bool tells(const AttemptSample &sample, const AnalysisContext &context) const;
+    bool isEvidence(const AttemptSample &sample, const AnalysisContext &context) const;
     void recordPair(const AttemptSample &sample, const AnalysisContext &context);
     void recordCanary(const AttemptSample &sample, TimePoint now);
     void recordLatency(const AttemptSample &sample, const AnalysisContext &context,
@@ -95,15 +97,15 @@
     Progress compareWindows(VoteSchedule &votes, const AnalysisContext &context);
     Progress checkInterference(VoteSchedule &votes, const AnalysisContext &context);
     void considerPromotion(VoteSchedule &votes, const AnalysisContext &context) const;
-    bool quietLongEnough(const AnalysisContext &context) const;
+    bool failureFreeLongEnough(const AnalysisContext &context) const;
 
-    BaselineLosses baselineLosses() const;
-    bool pooledDoubts(TimePoint now);
-    bool slowOnMost(const SampleWindow &base) const;
-    std::optional<bool> slower(const SampleWindow &base, bool previous,
-                               const AnalysisContext &context);
+    BaselineCounts baselineCounts() const;
+    bool pooledEvidenceAgainstCanary(TimePoint now);
+    bool slowOnMostEndpoints(const SampleWindow &base) const;
+    std::optional<bool> latencyRegressed(const SampleWindow &base, bool usePrevious,
+                                         const AnalysisContext &context);
     void updateStreaks(const WindowResult &result);
-    void shareEvenly(TimePoint now);
+    void startEvenShare(TimePoint now);
     void closeWindow(TimePoint now);
 
     const PolicySettings &settings;
@@ -113,15 +115,15 @@
     SampleWindow canary;
     SampleWindow baseline;
     SampleWindow previousBaseline;
-    TimePoint windowBegan{};
+    TimePoint windowStart{};
     int healthyStreak = 0;
     int unhealthyStreak = 0;
     std::string unhealthyReason;
     TimePoint lastCanaryFailure{};
-    TimePoint pooledUntil{};  // pooled doubts hold until then
+    TimePoint pooledRollBackUntil{};  // the pooled evidence's vote to roll back stands until then
     bool canaryFailed = false;
-    bool sharesEvenly = false;
-    TimePoint sharesEvenlySince{};
+    bool evenShareActive = false;
+    TimePoint evenShareSince{};
     std::vector<std::string> messages;
 };
 
--- a/src/policy/direct_evidence.cpp
+++ b/src/policy/direct_evidence.cpp
@@ -1,4 +1,4 @@
-// Pairs of failed and answered attempts, and reports of incorrect responses.
+// Requests that failed on one build only, and reports of incorrect responses.
 #include "direct_evidence.hpp"
 
 #include <algorithm>
@@ -6,22 +6,27 @@
 namespace deckcart::policy {
 namespace {
 
-// Requests that failed on the canary only, and reports of incorrect responses, that roll back:
-// fewer may be chance.
+// Requests that failed on the canary only, and reports of incorrect responses, that lead to a roll
+// back. Fewer may be chance.
 constexpr int kPairsToRollBack = 3;
 constexpr int kReportsToRollBack = 2;
-// Of the canary's attempts failed or incorrect: two of a good build's are rare.
-constexpr double kBadShare = 0.1;
-// Under any single bad one: none is no evidence.
-constexpr double kAnyBad = 0.01;
-// A report stands for as many incorrect responses as go unreported, a hundred at most.
-constexpr double kLeastReportRate = 0.01;
+// Fraction of the canary's recent attempts that failed or were incorrect. A good build rarely has
+// two such attempts.
+constexpr double kBadShareToRollBack = 0.1;
+// Lower bound of the recent bad responses, below the weight of a single one: none at all is no
+// evidence.
+constexpr double kMinBad = 0.01;
+// Each report is weighted by the inverse of the report rate. This lower bound of the rate limits
+// the weight to 100 responses.
+constexpr double kMinReportRate = 0.01;
 
-// Whether so many bad ones of the canary's attempts are over twice what the baseline loses as well.
-// Guards against a roll back on a first few failures that both share. Harm: some seconds of a bad
-// build in a rough time.
-bool clearlyMore(double bad, double attempts, double shared, double sharedOf) {
-    return bad > kFailureRatio * (shared / std::max(1.0, sharedOf)) * (attempts + kPooledLeast);
+// Whether the canary's failure rate is more than twice the baseline's. Prevents a roll back on the
+// first failures if both builds fail. Drawback: while the baseline fails too, a bad build is
+// detected some seconds later.
+bool exceedsBaseline(double badResponses, double attempts, double baselineBad,
+                     double baselineAttempts) {
+    return badResponses > kFailureRatio * (baselineBad / std::max(1.0, baselineAttempts)) *
+                              (attempts + kMinPooledSamples);
 }
 
 }  // namespace
@@ -38,7 +43,7 @@
 
 void DirectEvidence::recordIncorrectResponse(TimePoint now) {
     ++incorrectReports;
-    recent.push_back({now, 1 / std::max(kLeastReportRate, settings.incorrectReportRate)});
+    recent.push_back({now, 1 / std::max(kMinReportRate, settings.incorrectReportRate)});
 }
 
 void DirectEvidence::expire(TimePoint now) {
@@ -53,28 +58,29 @@
     attempts = 0;
 }
 
-bool DirectEvidence::incorrect() const {
+bool DirectEvidence::reportedIncorrect() const {
     return incorrectReports >= kReportsToRollBack;
 }
 
-bool DirectEvidence::pairsFail(const BaselineLosses &losses) const {
-    // Where two or three votes are needed each rests on a pair less; the pooled ones lapse and so
-    // need one.
-    const bool fewVotes = settings.votesToRollBack > 1 && settings.votesToRollBack < kPooledVotes;
-    const int least = fewVotes ? kPairsToRollBack - 1 : kPairsToRollBack;
-    return failedOnCanary >= least && failedOnCanary > 2 * failedOnBaseline + 1 &&
-           clearlyMore(failedOnCanary, attempts, losses.errors, losses.attempts);
+bool DirectEvidence::pairsShowFailure(const BaselineCounts &baseline) const {
+    // Where two or three votes are required, each gateway needs one pair less. Pooled votes lapse
+    // and need a single pair (recentAttemptsFail).
+    const bool fewVotes =
+        settings.votesToRollBack > 1 && settings.votesToRollBack < kMinVotesForPooling;
+    const int required = fewVotes ? kPairsToRollBack - 1 : kPairsToRollBack;
+    return failedOnCanary >= required && failedOnCanary > 2 * failedOnBaseline + 1 &&
+           exceedsBaseline(failedOnCanary, attempts, baseline.errors, baseline.attempts);
 }
 
-bool DirectEvidence::recentlyBad(const BaselineLosses &losses) const {
-    double tried = 0;
-    double bad = 0;
+bool DirectEvidence::recentAttemptsFail(const BaselineCounts &baseline) const {
+    double recentAttempts = 0;
+    double badResponses = 0;
     for (const TimedValue &entry : recent) {
-        tried += entry.value == 0;
-        bad += entry.value;
+        recentAttempts += entry.value == 0;
+        badResponses += entry.value;
     }
-    return bad >= std::max(kAnyBad, kBadShare * tried) &&
-           clearlyMore(bad, tried, losses.failures, losses.attempts);
+    return badResponses >= std::max(kMinBad, kBadShareToRollBack * recentAttempts) &&
+           exceedsBaseline(badResponses, recentAttempts, baseline.failures, baseline.attempts);
 }
 
 }  // namespace deckcart::policy
--- a/src/policy/direct_evidence.hpp
+++ b/src/policy/direct_evidence.hpp
@@ -1,5 +1,5 @@
-// Evidence on the canary that needs no full window: requests that failed on one build and were
-// answered by the other, reports of incorrect responses, and the attempts they are held against.
+// Evidence on the canary that needs no full window: requests that failed on one build and succeeded
+// on the other, reports of incorrect responses, and the number of attempts to relate them to.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -8,8 +8,8 @@
 
 namespace deckcart::policy {
 
-// What the baseline loses as well, of its window and the last.
-struct BaselineLosses {
+/// Counts of the baseline, over its current and its previous window.
+struct BaselineCounts {
     double attempts = 0;
     double failures = 0;
     double errors = 0;
@@ -19,37 +19,39 @@
   public:
     explicit DirectEvidence(const PolicySettings &policySettings) : settings(policySettings) {}
 
-    /// An attempt at the canary was counted.
+    /// Counts an attempt at the canary.
     void recordAttempt(TimePoint now);
-    /// A request ended with an error on the canary and was answered by another build.
+    /// A request got an error from the canary and then succeeded on another build.
     void recordFailedOnCanary(TimePoint now);
-    /// And the reverse.
+    /// A request got an error from another build and then succeeded on the canary.
     void recordFailedOnBaseline() { ++failedOnBaseline; }
     void recordIncorrectResponse(TimePoint now);
     void expire(TimePoint now);
     void reset();
 
     /// Whether enough incorrect responses were reported to roll back.
-    bool incorrect() const;
+    bool reportedIncorrect() const;
     /// Whether enough requests failed on the canary alone to roll back.
-    bool pairsFail(const BaselineLosses &losses) const;
-    /// Whether the attempts of the last vote life hold too many bad ones.
-    bool recentlyBad(const BaselineLosses &losses) const;
-    /// Whether any of the canary's attempts is that recent.
-    bool anyRecent() const { return !recent.empty(); }
+    bool pairsShowFailure(const BaselineCounts &baseline) const;
+    /// Whether too many of the attempts within the last vote lifetime were bad.
+    bool recentAttemptsFail(const BaselineCounts &baseline) const;
+    /// Whether there is any attempt at the canary or report within the last vote lifetime.
+    bool hasRecentEvidence() const { return !recent.empty(); }
 
   private:
     const PolicySettings &settings;
-    TimedValues recent;  // attempts of the last vote life; values over 0: as many bad ones
+    // Within the last vote lifetime. A value of 0 is an attempt, above 0 a number of bad responses.
+    TimedValues recent;
     int failedOnCanary = 0;
     int failedOnBaseline = 0;
     int incorrectReports = 0;
     int attempts = 0;
 };
 
-// Where a roll back takes so many votes, each may rest on little evidence.
-constexpr int kPooledVotes = 4;
-// Answers of each build that a comparison of few needs.
-constexpr double kPooledLeast = 4;
+/// Evidence is pooled over gateways if a roll back takes at least this many votes: each vote may
+/// then rest on little evidence.
+constexpr int kMinVotesForPooling = 4;
+/// Minimum number of samples of each build for a pooled comparison.
+constexpr double kMinPooledSamples = 4;
 
 }  // namespace deckcart::policy
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -1,4 +1,4 @@
-// Endpoint records and what a new list does to them.
+// Endpoint records and updates from the endpoint list.
 #include "endpoint_table.hpp"
 
 #include <algorithm>
@@ -6,14 +6,15 @@
 namespace deckcart::policy {
 namespace {
 
-// An attempt in flight counts as this part of its time so far: it may be answered at any moment.
-constexpr double kInFlightPart = 0.5;
+// The elapsed time of an attempt in flight counts by this fraction, since it may be answered at any
+// moment.
+constexpr double kInFlightTimeFraction = 0.5;
 
-void markLeft(Endpoint &endpoint, TimePoint now) {
+void markRemoved(Endpoint &endpoint, TimePoint now) {
     if (endpoint.entry.state == EndpointState::removed)
         return;
     endpoint.entry.state = EndpointState::removed;
-    endpoint.leftAt = now;
+    endpoint.removedAt = now;
 }
 
 }  // namespace
@@ -23,8 +24,8 @@
     if (inFlight.empty())
         return estimate;
     const InFlightAttempt &oldest = *inFlight.begin();
-    return std::max(estimate,
-                    kInFlightPart * toSeconds(now - oldest.sentAt) / latencies.usual(oldest.route));
+    return std::max(estimate, kInFlightTimeFraction * toSeconds(now - oldest.sentAt) /
+                                  latencies.usual(oldest.route));
 }
 
 Endpoint *EndpointTable::find(const EndpointId &id) {
@@ -32,17 +33,17 @@
     return at == endpoints.end() ? nullptr : &at->second;
 }
 
-void EndpointTable::markAllLeft(TimePoint now) {
+void EndpointTable::markAllRemoved(TimePoint now) {
     for (auto &[id, endpoint] : endpoints)
-        markLeft(endpoint, now);
+        markRemoved(endpoint, now);
 }
 
-void EndpointTable::forgetLeft(Duration memory, TimePoint now,
-                               const std::function<bool(const Endpoint &)> &referredTo) {
+void EndpointTable::dropRemoved(Duration retention, TimePoint now,
+                                const std::function<bool(const Endpoint &)> &isReferenced) {
     std::erase_if(endpoints, [&](const auto &item) {
         const Endpoint &endpoint = item.second;
         return endpoint.entry.state == EndpointState::removed && endpoint.recentAnswers == 0 &&
-               now - endpoint.leftAt > memory && !referredTo(endpoint);
+               now - endpoint.removedAt > retention && !isReferenced(endpoint);
     });
 }
 
@@ -50,19 +51,19 @@
                            TimePoint now) {
     for (const EndpointEntry &entry : entries) {
         Endpoint &endpoint = endpoints[entry.id];
-        const bool otherBuild = endpoint.entry.build != entry.build;
-        if (endpoint.entry.startedAt != entry.startedAt || otherBuild) {
+        const bool buildChanged = endpoint.entry.build != entry.build;
+        if (endpoint.entry.startedAt != entry.startedAt || buildChanged) {
             endpoint.latency.reset();
             endpoint.health.reset();
             endpoint.slowStart.sends.clear();
             endpoint.slowStart.roundingChance = random.chance();
         }
-        if (!endpoint.entry.id.empty() && otherBuild) {
+        if (!endpoint.entry.id.empty() && buildChanged) {
             endpoint.previousBuild = endpoint.entry.build;
             endpoint.buildChangedAt = now;
         }
         if (entry.state == EndpointState::removed)
-            markLeft(endpoint, now);
+            markRemoved(endpoint, now);
         endpoint.entry = entry;
     }
     byBuild.clear();
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -1,4 +1,4 @@
-// The endpoints that a gateway knows: one record each, found by id, and the active ones by build.
+// The endpoints known to a gateway: one record each, found by id, and the active ones by build.
 // Records of endpoints that left the list stay until nothing refers to them.
 #pragma once
 
@@ -18,7 +18,7 @@
 struct InFlightAttempt {
     TimePoint sentAt{};
     RequestId requestId = 0;
-    int route = 0;  // not part of the order
+    int route = 0;  ///< not part of the order
 
     bool operator<(const InFlightAttempt &other) const {
         return sentAt != other.sentAt ? sentAt < other.sentAt : requestId < other.requestId;
@@ -26,37 +26,37 @@
 };
 
 struct ReportedLoad {
-    double inFlight = 0;  // requests that the endpoint holds, of all gateways
+    double inFlight = 0;  ///< requests in flight at the endpoint, of all gateways
     TimePoint at{};
 };
 
 struct Endpoint {
     EndpointEntry entry;
-    std::set<InFlightAttempt> inFlight;  // oldest first
+    std::set<InFlightAttempt> inFlight;  ///< in order of time, oldest first
     EndpointHealth health;
     LatencyEstimate latency;
     SlowStartBudget slowStart;
     ReportedLoad reported;
-    BuildNumber previousBuild = 0;  // the build that the id was listed with until then
+    BuildNumber previousBuild = 0;  ///< the endpoint's build before buildChangedAt
     TimePoint buildChangedAt{};
-    TimePoint leftAt{};
-    int recentAnswers = 0;  // its answers that the fleet observer still counts
+    TimePoint removedAt{};
+    int recentAnswers = 0;  ///< responses that the fleet observer still counts
 
     bool listed() const { return entry.state == EndpointState::active; }
-    /// Since its start; an hour where that was long ago.
+    /// Time since its start; one hour if it is not known because it was long ago.
     Duration age(TimePoint now) const {
         return entry.startedAt ? now - *entry.startedAt : Duration{std::chrono::hours{1}};
     }
-    /// Latency over the usual one. The oldest attempt in flight tells of an endpoint that answers
-    /// nothing before any time-out does.
+    /// Latency as a multiple of the usual. The oldest attempt in flight is taken into account, so
+    /// that an endpoint that has stopped responding is noticed before its attempts time out.
     double slowness(const RouteLatencies &latencies, TimePoint now) const;
-    /// The build that it ran at that time.
+    /// The build that it ran at the given time.
     BuildNumber buildAt(TimePoint when) const {
         return when < buildChangedAt ? previousBuild : entry.build;
     }
 };
 
-// By build; the load balancer permutes the endpoints of a build.
+/// Endpoints by build. The load balancer permutes the endpoints of a build.
 using EndpointsByBuild = std::map<BuildNumber, std::vector<Endpoint *>>;
 
 class EndpointTable {
@@ -67,14 +67,16 @@
     EndpointsByBuild &active() { return byBuild; }
     const EndpointsByBuild &active() const { return byBuild; }
 
-    /// A complete list is about to replace what is known.
-    void markAllLeft(TimePoint now);
-    /// Drops records of endpoints that left longer ago than `memory` unless they are referred to.
-    void forgetLeft(Duration memory, TimePoint now,
-                    const std::function<bool(const Endpoint &)> &referredTo);
-    /// Takes up a list's entries; draws a rounding chance for each start or new build.
+    /// Marks all endpoints as removed, before a complete list is applied.
+    void markAllRemoved(TimePoint now);
+    /// Drops records of endpoints that left longer than `retention` ago and for which
+    /// `isReferenced` returns false.
+    void dropRemoved(Duration retention, TimePoint now,
+                     const std::function<bool(const Endpoint &)> &isReferenced);
+    /// Applies the entries of a list; draws a random rounding offset for each endpoint that has
+    /// started or changed its build.
     void update(const std::vector<EndpointEntry> &entries, RandomSource &random, TimePoint now);
-    /// Ejects an endpoint after an attempt without an answer, if it is time to.
+    /// Records an attempt without a response and ejects the endpoint if the limits are reached.
     void recordUnanswered(Endpoint &endpoint, TimePoint now);
 
   private:
--- a/src/policy/exposure_limiter.cpp
+++ b/src/policy/exposure_limiter.cpp
@@ -1,10 +1,10 @@
-// Windows of accepted requests and of attempts at limited builds.
+// Sliding windows of accepted requests and of attempts at limited builds.
 #include "exposure_limiter.hpp"
 
 namespace deckcart::policy {
 
 ExposureLimiter::Times &ExposureLimiter::attemptsAt(BuildNumber build, int route) {
-    return attempts.try_emplace(build, groups()).first->second[group(route)];
+    return attempts.try_emplace(build, groupCount()).first->second[group(route)];
 }
 
 void ExposureLimiter::requestAccepted(int route, TimePoint now) {
@@ -19,10 +19,11 @@
     if (share <= 0)
         return false;
     Times &sent = attemptsAt(build, route);
-    Times &taken = accepted[group(route)];
+    Times &acceptedTimes = accepted[group(route)];
     dropUntil(sent, now - settings.exposureWindow - kHousekeepingInterval);
-    dropUntil(taken, now - settings.exposureWindow + kHousekeepingInterval);
-    return double(sent.size()) + 1 <= settings.exposureAllowance + share * double(taken.size());
+    dropUntil(acceptedTimes, now - settings.exposureWindow + kHousekeepingInterval);
+    return double(sent.size()) + 1 <=
+           settings.exposureAllowance + share * double(acceptedTimes.size());
 }
 
 bool ExposureLimiter::usesLessThan(double share, BuildNumber build, int route) const {
--- a/src/policy/exposure_limiter.hpp
+++ b/src/policy/exposure_limiter.hpp
@@ -1,5 +1,5 @@
-// The exposure rule: of the accepted requests of a window, how many attempts a limited build may
-// get, in all or by route.
+// The exposure limit: how many attempts an unreleased build may get, as a fraction of the requests
+// accepted within a window, in total or by route.
 #pragma once
 
 #include <cstddef>
@@ -15,31 +15,34 @@
 class ExposureLimiter {
   public:
     explicit ExposureLimiter(const PolicySettings &policySettings)
-        : settings(policySettings), accepted(groups()) {}
+        : settings(policySettings), accepted(groupCount()) {}
 
     void requestAccepted(int route, TimePoint now);
     void attemptSent(BuildNumber build, int route, TimePoint now);
-    /// Whether one more attempt stays within `share` of the accepted requests. Counts attempts over
-    /// one housekeeping interval more and accepted requests over one less than the window: it may
-    /// end anywhere.
+    /// Whether one more attempt stays within `share` of the accepted requests. Attempts are counted
+    /// over the window and one housekeeping interval, accepted requests over the window less one
+    /// interval, since the limit holds for windows that end at any moment.
     bool withinLimit(BuildNumber build, int route, double share, TimePoint now);
-    /// Whether the build's attempts are under `share` of the accepted requests, as last counted.
+    /// Whether the build's attempts are below `share` of the accepted requests, without dropping
+    /// expired entries first.
     bool usesLessThan(double share, BuildNumber build, int route) const;
-    /// Drops accepted requests that have left the window; while no build is limited nothing else
+    /// Drops accepted requests that have left the window. While no build is limited, no other call
     /// does.
     void expire(TimePoint now);
 
   private:
     using Times = std::deque<TimePoint>;
-    std::size_t groups() const { return settings.exposurePerRoute ? settings.routes.size() : 1; }
+    std::size_t groupCount() const {
+        return settings.exposurePerRoute ? settings.routes.size() : 1;
+    }
     std::size_t group(int route) const {
         return settings.exposurePerRoute ? std::size_t(route) : 0;
     }
     Times &attemptsAt(BuildNumber build, int route);
 
     const PolicySettings &settings;
-    std::vector<Times> accepted;                         // by route, if the limit is
-    std::map<BuildNumber, std::vector<Times>> attempts;  // likewise
+    std::vector<Times> accepted;  // one per route if the limit is per route, else a single one
+    std::map<BuildNumber, std::vector<Times>> attempts;  // same, by build
 };
 
 }  // namespace deckcart::policy
--- a/src/policy/fleet_observer.cpp
+++ b/src/policy/fleet_observer.cpp
@@ -1,4 +1,4 @@
-// Counts the active endpoints.
+// Counting of the active endpoints.
 #include "fleet_observer.hpp"
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-// Endpoints are counted and builds compared so often: nothing that they tell changes sooner.
+// Interval of counting endpoints and comparing builds: none of the results changes faster.
 constexpr Duration kCountInterval = 100ms;
 
 }  // namespace
@@ -21,39 +21,39 @@
     ++endpoint.recentAnswers;
 }
 
-void FleetObserver::add(Endpoint &endpoint, bool isNewest, TimePoint now) {
+void FleetObserver::add(Endpoint &endpoint, bool ofRolloutBuild, TimePoint now) {
     const Duration age = endpoint.age(now);
     if (settings.inPlaceReplacement ||
-        slowStart.withinBudget(endpoint.slowStart, age, perEndpoint, now))
-        (isNewest ? current.newestCapacity : current.otherCapacity) +=
+        slowStart.withinBudget(endpoint.slowStart, age, meanAnswers, now))
+        (ofRolloutBuild ? current.rolloutCapacity : current.otherCapacity) +=
             slowStart.warmUpFraction(age);
-    current.newestEndpoints += isNewest;
-    if (isNewest)
-        current.newestStart =
-            std::max(current.newestStart, endpoint.entry.startedAt.value_or(TimePoint{0}));
-    current.places += settings.inPlaceReplacement || !isNewest;
+    current.rolloutEndpoints += ofRolloutBuild;
+    if (ofRolloutBuild)
+        current.latestRolloutStart =
+            std::max(current.latestRolloutStart, endpoint.entry.startedAt.value_or(TimePoint{0}));
+    current.targetEndpoints += settings.inPlaceReplacement || !ofRolloutBuild;
     current.anyWarmingUp = current.anyWarmingUp || slowStart.warmingUp(age);
 }
 
-void FleetObserver::count(EndpointTable &table, const RouteLatencies &latencies, BuildNumber newest,
-                          TimePoint now) {
+void FleetObserver::count(EndpointTable &table, const RouteLatencies &latencies,
+                          BuildNumber rolloutBuild, TimePoint now) {
     dueAt = now + kCountInterval;
     current = {};
     std::vector<double> slowness;
     for (const auto &[build, endpoints] : table.active())
         for (Endpoint *endpoint : endpoints) {
-            add(*endpoint, build == newest, now);
+            add(*endpoint, build == rolloutBuild, now);
             if (endpoint->age(now) >= slowStart.evidenceAge() && !endpoint->health.ejected(now))
                 slowness.push_back(endpoint->slowness(latencies, now));
         }
-    // Endpoints that have left since gave some of these answers: the ones that remain did not bear
-    // them all.
+    // Responses of endpoints that have left the list since are still counted, so the mean is taken
+    // over all endpoints that responded, not only over those that remain.
     dropUntil(answers, now - settings.overloadWindow,
               [](const Answer &answer) { --answer.endpoint->recentAnswers; });
     const auto answered = std::size_t(std::ranges::count_if(
         table.all(), [](const auto &item) { return item.second.recentAnswers > 0; }));
-    const auto bearers = std::max({slowness.size(), answered, std::size_t{1}});
-    perEndpoint = double(answers.size()) / double(bearers);
+    const auto respondingEndpoints = std::max({slowness.size(), answered, std::size_t{1}});
+    meanAnswers = double(answers.size()) / double(respondingEndpoints);
     medianSlowness = std::max(1.0, quantile(std::move(slowness), 0.5));
 }
 
--- a/src/policy/fleet_observer.hpp
+++ b/src/policy/fleet_observer.hpp
@@ -1,5 +1,5 @@
-// What the active endpoints amount to at the last count: capacity by build, how warm they are, how
-// much each answers and how slow they are.
+// Summary of the active endpoints at the last count: capacity by build, warm-up, responses per
+// endpoint and latency.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -10,11 +10,16 @@
 namespace deckcart::policy {
 
 struct FleetSummary {
-    double newestCapacity = 0;  // warm-up fractions that may be sent to, of the rollout's build
-    double otherCapacity = 0;   // of all other builds
-    double newestEndpoints = 0;
-    double places = 0;  // endpoints that the rollout will replace or join
-    TimePoint newestStart{};
+    /// Sum of the warm-up fractions of endpoints that may be sent requests, of the rollout's build.
+    double rolloutCapacity = 0;
+    /// Same, of all other builds.
+    double otherCapacity = 0;
+    double rolloutEndpoints = 0;
+    /// Number of endpoints of the finished rollout: all if they are replaced in place, otherwise
+    /// one per endpoint of another build.
+    double targetEndpoints = 0;
+    /// Latest known start of an endpoint of the rollout's build.
+    TimePoint latestRolloutStart{};
     bool anyWarmingUp = false;
 };
 
@@ -23,21 +28,22 @@
     FleetObserver(const PolicySettings &policySettings, const SlowStart &slowStartRules)
         : settings(policySettings), slowStart(slowStartRules) {}
 
-    /// An endpoint that is warm has answered.
+    /// Records a response of a warm endpoint.
     void recordAnswer(Endpoint &endpoint, TimePoint now);
     bool due(TimePoint now) const { return now >= dueAt; }
-    /// Counts the endpoints anew; `newest` is the build of the rollout.
-    void count(EndpointTable &table, const RouteLatencies &latencies, BuildNumber newest,
+    /// Counts the endpoints again; `rolloutBuild` is the build of the rollout.
+    void count(EndpointTable &table, const RouteLatencies &latencies, BuildNumber rolloutBuild,
                TimePoint now);
 
     const FleetSummary &summary() const { return current; }
-    /// Answers that a warm endpoint has given to this gateway within the overload window.
-    double answersPerEndpoint() const { return perEndpoint; }
-    /// The median endpoint's slowness, 1 at least.
+    /// Mean number of responses that a warm endpoint has given to this gateway within the overload
+    /// window.
+    double answersPerEndpoint() const { return meanAnswers; }
+    /// The median over endpoints of the latency as a multiple of the usual; at least 1.
     double typicalSlowness() const { return medianSlowness; }
 
   private:
-    void add(Endpoint &endpoint, bool isNewest, TimePoint now);
+    void add(Endpoint &endpoint, bool ofRolloutBuild, TimePoint now);
 
     struct Answer {
         TimePoint at{};
@@ -48,7 +54,7 @@
     FleetSummary current;
     TimePoint dueAt{};
     std::deque<Answer> answers;
-    double perEndpoint = 0;
+    double meanAnswers = 0;
     double medianSlowness = 1;
 };
 
--- a/src/policy/forwarding.cpp
+++ b/src/policy/forwarding.cpp
@@ -1,5 +1,5 @@
-// How a request reaches an endpoint: the order of builds, two choices within a build, the gate, and
-// what becomes of a request that can't be forwarded.
+// Forwarding of a request to an endpoint: order of builds, power of two choices within a build,
+// checks before each attempt, and what happens to a request that can't be forwarded.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -8,18 +8,18 @@
 
 namespace deckcart {
 
-// The gate that holds the five rules: the one place that every send passes.
+// Checks the five forwarding rules. Every attempt passes here before it is sent.
 bool Policy::Instance::mayForward(const Request &request, Endpoint &endpoint) {
-    // every request one timely answer
+    // every request gets one response, in time
     if (request.finished || now >= request.arrival.deadline || !retries.mayAttempt(request))
         return false;
-    // no effect twice
+    // no request takes effect twice
     if (!retries.mayRepeat(request, now) || !retries.sharesDeduplication(request, endpoint))
         return false;
-    // nothing new to endpoints that drain
+    // no new attempts at draining endpoints
     if (!endpoint.listed())
         return false;
-    // exposure of unreleased builds
+    // limited exposure of unreleased builds
     const BuildNumber build = endpoint.entry.build;
     if (rollout.limited(build)) {
         if (rollout.step(build) < settings.idempotentOnlyStages &&
@@ -35,19 +35,20 @@
                                   now);
 }
 
-// The builds in the order in which this request should try them.
+// Returns the builds in the order in which this request should try them.
 std::vector<BuildNumber> Policy::Instance::buildsFor(const Request &request) const {
     bool canaryFirst = false;
     if (rollout.inPhase(RolloutPhase::canary) && !analyzer.failed()) {
         const BuildNumber canary = rollout.current().build;
         const std::string &key = request.arrival.key;
-        const double place = policy::stickyHash(
+        const double hashPosition = policy::stickyHash(
             key.empty() ? std::to_string(request.arrival.requestId) : key, std::uint64_t(canary));
-        canaryFirst = place < firstAttemptShare();
-        // A failed request's next attempt goes to the other build. Exception where keys are bound
-        // to the canary once it has answered: what fails on the baseline is not sent there beyond
-        // the share of first attempts. Guards against keys that failures bind, until they ask for
-        // more than the limit and their requests wait. Harm: fewer pairs that speak for the canary.
+        canaryFirst = hashPosition < firstAttemptShare();
+        // After a failure the next attempt goes to the other build. Where keys stick to the canary
+        // once it has answered, a request that failed on the baseline goes there only within the
+        // canary's share of first attempts: otherwise failures would bind keys until they exceed
+        // the exposure limit and their requests wait. Drawback: fewer requests show that the canary
+        // succeeds where the baseline failed.
         if (!request.attempts.empty())
             canaryFirst =
                 !rollout.isCanary(request.attempts.back().build) &&
@@ -58,19 +59,19 @@
     return policy::buildOrder(endpoints.active(), rollout, canaryFirst);
 }
 
-// As a last resort ejected endpoints, those that were tried and any zone come into question.
+// `lastResort` also admits ejected endpoints, endpoints that the request has tried, and any zone.
 std::vector<policy::Endpoint *> Policy::Instance::chooseTwo(const Request &request,
                                                             BuildNumber build, bool lastResort) {
-    const auto at = endpoints.active().find(build);
-    if (at == endpoints.active().end())
+    const auto position = endpoints.active().find(build);
+    if (position == endpoints.active().end())
         return {};
-    return balancer.chooseTwo(at->second, random, lastResort, [&](Endpoint &endpoint) {
+    return balancer.chooseTwo(position->second, random, lastResort, [&](Endpoint &endpoint) {
         return (lastResort || (!endpoint.health.ejected(now) && !request.triedAt(endpoint))) &&
                mayForward(request, endpoint);
     });
 }
 
-// Probes the two choices if their load should be known first; returns whether it did.
+// Probes the load of the two choices if required; returns whether it did.
 bool Policy::Instance::queryLoad(Request &request) {
     if (!balancer.queriesLoad())
         return false;
@@ -85,7 +86,7 @@
     return true;
 }
 
-// Returns whether an attempt went out, or the request was shed.
+// Returns whether an attempt was sent or the request was shed.
 bool Policy::Instance::dispatch(Request &request) {
     std::erase_if(request.candidates, [&](Endpoint *endpoint) {
         return endpoint->health.ejected(now) || !mayForward(request, *endpoint);
@@ -131,22 +132,22 @@
     actions.emplace_back(SendAttempt{request.arrival.requestId, entry.id});
 }
 
-void Policy::Instance::dispatchOrWait(RequestPosition at) {
-    Request &request = at->second;
+void Policy::Instance::dispatchOrWait(RequestPosition position) {
+    Request &request = position->second;
     request.awaitedLoadReports = 0;
     if (!dispatch(request))
-        waitOrGiveUp(at);
+        waitOrGiveUp(position);
     else if (request.finished)
-        dropIfDone(at);
+        dropIfDone(position);
 }
 
-// A request that can go nowhere waits while an answer in time can still be had, and no longer.
-void Policy::Instance::waitOrGiveUp(RequestPosition at) {
-    Request &request = at->second;
+// Keeps a request that can't be forwarded waiting while it can still be answered in time.
+void Policy::Instance::waitOrGiveUp(RequestPosition position) {
+    Request &request = position->second;
     if (retries.worthWaiting(request, usualLatency(request), now))
         return;
     giveUp(request);
-    dropIfDone(at);
+    dropIfDone(position);
 }
 
 bool Policy::Instance::shouldShed(const Request &request) {
@@ -155,7 +156,7 @@
                                 policy::inFlightLoad(requests, latencies, now), random, now);
 }
 
-// The final answer of a request that is given up: shed where that is true, failed else.
+// Gives up on the request: sheds it if that is safe, otherwise fails it.
 void Policy::Instance::giveUp(Request &request) {
     if (request.finished)
         return;
@@ -182,9 +183,9 @@
             actions.emplace_back(CancelAttempt{request.arrival.requestId, int(number)});
 }
 
-void Policy::Instance::dropIfDone(RequestPosition at) {
-    if (!at->second.outstanding())
-        requests.erase(at);
+void Policy::Instance::dropIfDone(RequestPosition position) {
+    if (!position->second.outstanding())
+        requests.erase(position);
 }
 
 }  // namespace deckcart
--- a/src/policy/instance.hpp
+++ b/src/policy/instance.hpp
@@ -1,5 +1,5 @@
-// One gateway's decisions: its modules, the gate that every forwarded attempt passes, and what each
-// event leads to. Policy::decide calls it; forwarding.cpp and policy.cpp hold its functions.
+// The decisions of one gateway: its modules, the checks before each attempt, and the reaction to
+// each event. Policy::decide calls it; forwarding.cpp and policy.cpp implement it.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -28,9 +28,9 @@
     Instance(const Instance &) = delete;
     Instance &operator=(const Instance &) = delete;
 
-    /// Takes up an event at that time.
+    /// Handles one event at the given time.
     void handle(const Event &event, TimePoint at);
-    /// After all events of a batch: compares the builds, votes, returns what is to be done.
+    /// Ends a batch of events: compares the builds, votes, and returns the actions.
     [[nodiscard]] std::vector<Action> finishBatch();
 
   private:
@@ -59,7 +59,7 @@
     void recordHealth(const Request &request, const Attempt &attempt, Outcome outcome);
     void recordSample(const Request &request, const Attempt &attempt, Outcome outcome);
     void retryOrGiveUp(RequestPosition at);
-    void checkSilence(Request &request);
+    void hedgeOrCancelSilent(Request &request);
     double firstAttemptShare() const;
     policy::AnalysisContext analysisContext() const;
 
@@ -88,7 +88,7 @@
     void setTimer() { actions.emplace_back(SetTimer{policy::kHousekeepingInterval}); }
     void log(const std::string &message) { actions.emplace_back(LogLine{message}); }
 
-    PolicySettings settings;  // the modules refer to it
+    PolicySettings settings;  // referenced by the modules below
     TimePoint now;
     policy::RandomSource random;
     std::vector<Action> actions;
@@ -106,8 +106,8 @@
     policy::RolloutTracker rollout;
     policy::CanaryAnalyzer analyzer;
     policy::VoteSchedule votes;
-    bool watching = false;  // the endpoint list has come
-    TimePoint watchAgainAt{};
+    bool watching = false;  // the subscription to the endpoint list works
+    TimePoint nextWatchAt{};
 };
 
 }  // namespace deckcart
--- a/src/policy/interference_detector.cpp
+++ b/src/policy/interference_detector.cpp
@@ -1,4 +1,4 @@
-// The experiment that pauses the canary when both builds are slow.
+// Pauses and resumes the canary when both builds are slow.
 #include "interference_detector.hpp"
 
 #include <cmath>
@@ -10,22 +10,25 @@
 
 using namespace std::chrono_literals;
 
-// Times its full-load median that make the baseline slow as well.
-constexpr double kFleetSlow = 1.2;
-// Over the root of the answers: about one standard error of such a median.
-constexpr double kMedianDoubt = 1.5;
-// Answers that give a median good enough for it.
-constexpr std::size_t kLeastAnswers = 15;
-// Of this long at most: the median must follow a pause of the canary.
+// The baseline counts as slow if its median exceeds that under full load by this factor.
+constexpr double kSlowMedianFactor = 1.2;
+// Divided by the root of the sample count: about one standard error of the median, added to the
+// factor above.
+constexpr double kMedianErrorFactor = 1.5;
+// Minimum number of samples for a usable median.
+constexpr std::size_t kMinSamples = 15;
+// Samples are kept this long. A short window lets the median follow a pause quickly.
 constexpr Duration kRecentWindow = 1500ms;
-// Slow for so long before a pause or blame; no new pause for so long once cleared.
-constexpr Duration kSlowFor = 700ms;
-constexpr Duration kClearFor = 8s;
-// By then no help of a pause, or no return of the slowness, clears.
-constexpr Duration kLongestPause = 4s;
-constexpr Duration kLongestResume = 6s;
-// Part of the excess that is left when a pause has helped: most has gone.
-constexpr double kExcessLeft = 0.4;
+// The baseline must be slow for this long before the canary is paused or found at fault. After a
+// pause that did not help, no new pause starts for the second time.
+constexpr Duration kMinSlowDuration = 700ms;
+constexpr Duration kNoPausePeriod = 8s;
+// The canary is cleared if a pause has not helped, or if the slowness has not returned after the
+// pause, within these times.
+constexpr Duration kMaxPause = 4s;
+constexpr Duration kMaxObservationAfterPause = 6s;
+// The pause has helped if less than this fraction of the excess latency is left.
+constexpr double kResidualExcess = 0.4;
 
 }  // namespace
 
@@ -42,57 +45,58 @@
 void InterferenceDetector::reset() {
     state = State::watching;
     slowSince = TimePoint{0};
-    clearUntil = TimePoint{0};
+    noPauseBefore = TimePoint{0};
 }
 
-InterferenceDetector::Finding InterferenceDetector::advance(bool canaryGetsTraffic, bool fleetShort,
-                                                            TimePoint now) {
-    if (recent.size() < kLeastAnswers || fullLoad.size() < kLeastAnswers)
+InterferenceDetector::Finding InterferenceDetector::advance(bool canaryGetsTraffic,
+                                                            bool capacityReduced, TimePoint now) {
+    if (recent.size() < kMinSamples || fullLoad.size() < kMinSamples)
         return {};
     const double slowness =
         quantile(valuesSince(recent, TimePoint{0}), 0.5) / quantile(fullLoad, 0.5);
-    if (slowness <= kFleetSlow + kMedianDoubt / std::sqrt(double(recent.size())))
+    if (slowness <= kSlowMedianFactor + kMedianErrorFactor / std::sqrt(double(recent.size())))
         slowSince = TimePoint{0};
     else if (slowSince == TimePoint{0})
         slowSince = now;
-    const bool lasting = slowSince != TimePoint{0} && now - slowSince >= kSlowFor && !fleetShort;
+    const bool sustained =
+        slowSince != TimePoint{0} && now - slowSince >= kMinSlowDuration && !capacityReduced;
     if (state == State::paused)
-        return duringPause(slowness, now);
+        return advancePaused(slowness, now);
     if (state == State::resumed)
-        return afterPause(slowness, lasting, now);
-    if (!lasting || now < clearUntil || !canaryGetsTraffic)
+        return advanceResumed(slowness, sustained, now);
+    if (!sustained || now < noPauseBefore || !canaryGetsTraffic)
         return {};
     slownessAtPause = slowness;
-    return enter(State::paused, "pause: both builds slow", now);
+    return transitionTo(State::paused, "pause: both builds slow", now);
 }
 
-InterferenceDetector::Finding InterferenceDetector::enter(State next, const char *message,
-                                                          TimePoint now) {
+InterferenceDetector::Finding InterferenceDetector::transitionTo(State next, const char *message,
+                                                                 TimePoint now) {
     state = next;
-    enteredAt = now;
+    stateSince = now;
     slowSince = TimePoint{0};
     return {false, message};
 }
 
 bool InterferenceDetector::mostExcessGone(double slowness) const {
-    return slowness - 1 < kExcessLeft * (slownessAtPause - 1);
+    return slowness - 1 < kResidualExcess * (slownessAtPause - 1);
 }
 
-InterferenceDetector::Finding InterferenceDetector::duringPause(double slowness, TimePoint now) {
-    if (mostExcessGone(slowness) && now - enteredAt >= kRecentWindow)
-        return enter(State::resumed, "resume: the pause has helped", now);
-    if (now - enteredAt <= kLongestPause)
+InterferenceDetector::Finding InterferenceDetector::advancePaused(double slowness, TimePoint now) {
+    if (mostExcessGone(slowness) && now - stateSince >= kRecentWindow)
+        return transitionTo(State::resumed, "resume: the pause has helped", now);
+    if (now - stateSince <= kMaxPause)
         return {};
-    clearUntil = now + kClearFor;
-    return enter(State::watching, "resume: the pause has not helped", now);
+    noPauseBefore = now + kNoPausePeriod;
+    return transitionTo(State::watching, "resume: the pause has not helped", now);
 }
 
-InterferenceDetector::Finding InterferenceDetector::afterPause(double slowness, bool lasting,
-                                                               TimePoint now) {
-    if (lasting && slowness - 1 > kExcessLeft * (slownessAtPause - 1))
+InterferenceDetector::Finding InterferenceDetector::advanceResumed(double slowness, bool sustained,
+                                                                   TimePoint now) {
+    if (sustained && slowness - 1 > kResidualExcess * (slownessAtPause - 1))
         return {true, nullptr};
-    if (now - enteredAt > kLongestResume)
-        return enter(State::watching, "cleared: not slow again", now);
+    if (now - stateSince > kMaxObservationAfterPause)
+        return transitionTo(State::watching, "cleared: not slow again", now);
     return {};
 }
 
--- a/src/policy/interference_detector.hpp
+++ b/src/policy/interference_detector.hpp
@@ -1,5 +1,5 @@
-// Finds a canary that slows the baseline as well, by an experiment: its traffic is paused, and
-// resumed if that helps.
+// Detects a canary that slows the baseline as well, by an experiment: the canary's traffic is
+// paused, and resumed to see whether the slowness follows.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -12,52 +12,56 @@
 class InterferenceDetector {
   public:
     struct Finding {
-        bool interferes = false;        // the canary slows both builds
-        const char *message = nullptr;  // for the log, if anything has changed
+        bool interferes = false;        ///< the canary slows both builds
+        const char *message = nullptr;  ///< for the log; null if the state has not changed
     };
 
-    /// Slowness of an answer of the baseline.
+    /// Records the latency of a baseline response, as a multiple of the route's usual latency.
     void recordBaseline(double ratio, TimePoint now) { recent.push_back({now, ratio}); }
-    /// Likewise, while the baseline bears about all the requests.
+    /// Same, for responses while the baseline serves nearly all requests.
     void recordFullLoad(double ratio);
-    /// Whether there is too little of that from before the canary: it may slow the others early.
+    /// Whether there are too few samples under full load from before the canary; those are
+    /// preferred, since the canary may slow the baseline from its first requests on.
     bool needsFullLoadSamples() const { return fullLoad.size() < kFullLoadSamples / 2; }
     void expire(TimePoint now);
-    /// A stage has begun.
+    /// Starts a new stage.
     void reset();
 
-    /// Exception for a build that slows the baseline too, in step with its traffic: when the
-    /// baseline's median has left its full-load figure, first attempts at the canary stop; if that
-    /// helps they resume, and if the slowness then returns the build is blamed, else cleared.
-    /// Covers shared stores, caches, locks; a shared slowdown or burst is not cured by a pause.
-    /// Harm: a good build waits if one ends then. `canaryGetsTraffic`: there is something to pause.
-    /// `fleetShort`: endpoints that are replaced in place are missed until their successors are
-    /// warm: that alone slows the rest.
-    [[nodiscard]] Finding advance(bool canaryGetsTraffic, bool fleetShort, TimePoint now);
+    /// Advances the experiment. When the baseline's median latency rises above its median under
+    /// full load, first attempts at the canary are paused. If that helps, they resume; if the
+    /// slowness then returns, the canary is at fault, otherwise it is cleared. Covers shared
+    /// stores, caches and locks; a slowdown or burst of other origin does not end with the pause.
+    /// Drawback: a good build waits if such a slowdown happens to end during the pause.
+    /// `canaryGetsTraffic`: there is traffic to pause. `capacityReduced`: endpoints are being
+    /// replaced in place and their successors still warm up, which alone slows the rest.
+    [[nodiscard]] Finding advance(bool canaryGetsTraffic, bool capacityReduced, TimePoint now);
 
     bool paused() const { return state == State::paused; }
-    bool quiet() const { return state == State::watching && slowSince == TimePoint{0}; }
+    /// Whether no experiment is running and the baseline is not slow.
+    bool idle() const { return state == State::watching && slowSince == TimePoint{0}; }
+    /// Whether the canary must not be promoted: an experiment is running or about to start.
     bool blocksPromotion(TimePoint now) const {
-        return state != State::watching || (slowSince != TimePoint{0} && now >= clearUntil);
+        return state != State::watching || (slowSince != TimePoint{0} && now >= noPauseBefore);
     }
-    /// The baseline's slowness under full load.
+    /// Latencies of the baseline under full load, as multiples of the usual latency.
     const std::vector<double> &fullLoadSamples() const { return fullLoad; }
 
   private:
     enum class State { watching, paused, resumed };
-    Finding enter(State next, const char *message, TimePoint now);
-    Finding duringPause(double slowness, TimePoint now);
-    Finding afterPause(double slowness, bool lasting, TimePoint now);
+    Finding transitionTo(State next, const char *message, TimePoint now);
+    Finding advancePaused(double slowness, TimePoint now);
+    Finding advanceResumed(double slowness, bool sustained, TimePoint now);
     bool mostExcessGone(double slowness) const;
 
-    // Samples under full load that are kept: enough for a p95, some seconds of a small gateway.
+    // Maximum number of samples under full load: enough for a p95, and some seconds of traffic at a
+    // small gateway.
     static constexpr std::size_t kFullLoadSamples = 200;
     TimedValues recent;
     std::vector<double> fullLoad;
     State state = State::watching;
-    TimePoint enteredAt{};
-    TimePoint slowSince{};   // 0: not slow
-    TimePoint clearUntil{};  // no new pause before
+    TimePoint stateSince{};
+    TimePoint slowSince{};      // 0: the baseline is not slow
+    TimePoint noPauseBefore{};  // no new pause before this time
     double slownessAtPause = 0;
 };
 
--- a/src/policy/load_balancer.cpp
+++ b/src/policy/load_balancer.cpp
@@ -1,4 +1,4 @@
-// The score of an endpoint.
+// Scores of endpoints by load, latency, weight and zone.
 #include "load_balancer.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace deckcart::policy {
 namespace {
 
-// How much the price of crossing zones raises the score.
+// Weight of the cross-zone cost in the score.
 constexpr double kCrossZoneFactor = 4;
 
 }  // namespace
@@ -36,14 +36,14 @@
 
 double LoadBalancer::score(const Endpoint &endpoint, const RouteLatencies &latencies,
                            TimePoint now) const {
-    const double distance =
+    const double zoneFactor =
         endpoint.entry.zone == settings.zone ? 1 : 1 + kCrossZoneFactor * settings.crossZoneCost;
     const double weight = endpoint.entry.weight > 0 ? endpoint.entry.weight : 1;
     const double reported =
         endpoint.reported.inFlight *
-        std::exp(-toSeconds(now - endpoint.reported.at) / LatencyEstimate::kFadeSeconds);
+        std::exp(-toSeconds(now - endpoint.reported.at) / LatencyEstimate::kDecaySeconds);
     return (std::max(double(endpoint.inFlight.size()), reported) + 1) *
-           endpoint.slowness(latencies, now) * distance /
+           endpoint.slowness(latencies, now) * zoneFactor /
            (weight * slowStart.warmUpFraction(endpoint.age(now)));
 }
 
--- a/src/policy/load_balancer.hpp
+++ b/src/policy/load_balancer.hpp
@@ -1,5 +1,5 @@
-// The choice of an endpoint within a build: the less loaded of two random ones, zones and reported
-// load considered.
+// Choice of an endpoint within a build: the less loaded of two random ones, with regard to zones
+// and reported load.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -15,15 +15,16 @@
     LoadBalancer(const PolicySettings &policySettings, const SlowStart &slowStartRules)
         : settings(policySettings), slowStart(slowStartRules) {}
 
-    /// Exception where endpoints report their load to probes and gateways are many, so that own
-    /// in-flight requests say nothing: the two choices are queried first. Covers uneven gateways,
-    /// crowded endpoints. Harm: its price and delay.
+    /// Whether the load of both choices is queried before an attempt. Done where endpoints report
+    /// their load to probes and gateways are so many that a gateway's own attempts in flight say
+    /// little about the load. Covers unequal gateways and overloaded endpoints. Drawback: the cost
+    /// and delay of the probes.
     bool queriesLoad() const;
     void recordLoad(Endpoint &endpoint, const std::vector<double> &load, TimePoint now) const;
 
-    /// Up to two random endpoints of these for which `eligible` holds, in the order drawn. Permutes
-    /// the endpoints. Unless `anyZone`, most choices in other zones are passed over where that has
-    /// a price.
+    /// Returns up to two random endpoints for which `eligible` returns true, in the order drawn.
+    /// Permutes `endpoints`. Unless `anyZone`, most endpoints of other zones are skipped where
+    /// crossing zones has a cost.
     template <class Eligible>
     std::vector<Endpoint *> chooseTwo(std::vector<Endpoint *> &endpoints, RandomSource &random,
                                       bool anyZone, Eligible eligible) const {
@@ -32,26 +33,28 @@
         for (std::size_t i = 0; i < count && chosen.size() < 2; ++i) {
             std::swap(endpoints[i], endpoints[i + random.below(count - i)]);
             Endpoint &endpoint = *endpoints[i];
-            if (!anyZone && costsCrossing(endpoint) && random.chance() < kPassedOver)
+            if (!anyZone && crossesZoneAtCost(endpoint) &&
+                random.chance() < kCrossZoneSkipProbability)
                 continue;
             if (eligible(endpoint))
                 chosen.push_back(&endpoint);
         }
         return chosen;
     }
-    /// The one with the lowest score; null if there is none.
+    /// The endpoint with the lowest score; null if there is none.
     Endpoint *leastLoaded(const std::vector<Endpoint *> &endpoints, const RouteLatencies &latencies,
                           TimePoint now) const;
-    /// (in-flight requests + 1) x decaying latency / (weight x warm-up fraction), more for other
+    /// (in-flight requests + 1) x latency estimate / (weight x warm-up fraction), higher for other
     /// zones.
     double score(const Endpoint &endpoint, const RouteLatencies &latencies, TimePoint now) const;
 
   private:
-    // Of other zones' choices: a gateway in one zone of three keeps over half of its requests.
-    static constexpr double kPassedOver = 0.6;
-    // A price on crossing zones keeps most choices at home where load is queried; the score does
-    // the rest.
-    bool costsCrossing(const Endpoint &endpoint) const {
+    // Probability of skipping an endpoint of another zone: with three zones, over half of the
+    // requests stay in their own.
+    static constexpr double kCrossZoneSkipProbability = 0.6;
+    // Where load is queried, a cost of crossing zones keeps most choices in the own zone. The score
+    // always includes the cost.
+    bool crossesZoneAtCost(const Endpoint &endpoint) const {
         return settings.crossZoneCost > 0 && queriesLoad() && endpoint.entry.zone != settings.zone;
     }
 
--- a/src/policy/outcomes.hpp
+++ b/src/policy/outcomes.hpp
@@ -1,4 +1,4 @@
-// What the outcome of an attempt proves.
+// Classification of outcomes.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -11,8 +11,8 @@
            outcome == Outcome::obsolete;
 }
 
-/// Whether it speaks against the build. Rejections and failed connects are capacity or endpoint
-/// faults; cancelled attempts were our own doing.
+/// Whether the outcome counts as a failure of the build. Rejections and failed connects are
+/// problems of capacity or of the endpoint; cancellations are the gateway's own.
 inline bool isFailure(Outcome outcome) {
     return outcome == Outcome::error || outcome == Outcome::timeout || outcome == Outcome::reset;
 }
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -1,4 +1,4 @@
-// Ejection of endpoints that don't answer.
+// Ejection of unresponsive endpoints.
 #include "outlier_detector.hpp"
 
 namespace deckcart::policy {
@@ -6,37 +6,39 @@
 
 using namespace std::chrono_literals;
 
-// Doubled each time in a row: a dead endpoint costs little, a healed one returns soon.
+// Ejection time, doubled on each consecutive ejection: a dead endpoint costs little, a recovered
+// one returns soon.
 constexpr Duration kFirstEjection = 1s;
-constexpr Duration kLongestEjection = 8s;
-// Part of a build that is ejected at most: beyond it is no machine's fault.
-constexpr double kMostEjected = 0.4;
+constexpr Duration kMaxEjection = 8s;
+// Maximum fraction of a build's endpoints that are ejected at the same time: if more fail, the
+// cause is not a single machine.
+constexpr double kMaxEjectedFraction = 0.4;
 
 }  // namespace
 
 void EndpointHealth::reset() {
-    unansweredInRow = 0;
+    consecutiveUnanswered = 0;
     ejectedUntil = Duration{0};
     ejectedFor = Duration{0};
 }
 
 void EndpointHealth::succeeded() {
-    unansweredInRow = 0;
+    consecutiveUnanswered = 0;
     ejectedFor = Duration{0};
 }
 
 bool EndpointHealth::recordUnanswered(TimePoint now) {
-    ++unansweredInRow;
+    ++consecutiveUnanswered;
     return unresponsive() && !ejected(now);
 }
 
 void EndpointHealth::eject(TimePoint now) {
-    ejectedFor = std::clamp(ejectedFor * 2, kFirstEjection, kLongestEjection);
+    ejectedFor = std::clamp(ejectedFor * 2, kFirstEjection, kMaxEjection);
     ejectedUntil = now + ejectedFor;
 }
 
 bool mayEject(double ejectedOfBuild, double endpointsOfBuild) {
-    return ejectedOfBuild + 1 <= std::max(1.0, kMostEjected * endpointsOfBuild);
+    return ejectedOfBuild + 1 <= std::max(1.0, kMaxEjectedFraction * endpointsOfBuild);
 }
 
 }  // namespace deckcart::policy
--- a/src/policy/outlier_detector.hpp
+++ b/src/policy/outlier_detector.hpp
@@ -1,5 +1,5 @@
-// Health of one endpoint as this gateway sees it: attempts without an answer, ejection and a
-// decaying estimate of its latency. The table of endpoints holds one of each per endpoint.
+// Health of one endpoint as seen by this gateway: unanswered attempts, ejection, and a decaying
+// estimate of its latency. The endpoint table holds one of each per endpoint.
 #pragma once
 
 #include <algorithm>
@@ -12,49 +12,51 @@
 
 class EndpointHealth {
   public:
-    /// Forgets failures and ejection, as of an endpoint that has started anew.
+    /// Clears failures and ejection, for an endpoint that has restarted.
     void reset();
-    /// An attempt was answered well.
+    /// Records a successful response.
     void succeeded();
-    /// Something came back, be it an error or a rejection.
-    void responded() { unansweredInRow = 0; }
-    void heardFrom(TimePoint now) { heardAt = now; }
-    /// Whether nothing has come from it since then.
-    bool silentSince(TimePoint sentAt) const { return heardAt < sentAt; }
+    /// Records a response of any kind, including errors and rejections.
+    void responded() { consecutiveUnanswered = 0; }
+    /// Sets the time of the last response.
+    void setLastResponse(TimePoint now) { lastResponseAt = now; }
+    /// Whether there has been no response since the given time.
+    bool silentSince(TimePoint sentAt) const { return lastResponseAt < sentAt; }
     bool ejected(TimePoint now) const { return now < ejectedUntil; }
-    /// Whether so many attempts in a row went unanswered that it is taken for dead.
-    bool unresponsive() const { return unansweredInRow >= kEjectAfter; }
-    /// Counts an attempt without an answer; returns whether it should now be ejected.
+    /// Whether so many consecutive attempts went unanswered that the endpoint is considered dead.
+    bool unresponsive() const { return consecutiveUnanswered >= kUnansweredToEject; }
+    /// Counts an unanswered attempt; returns whether the endpoint should now be ejected.
     [[nodiscard]] bool recordUnanswered(TimePoint now);
-    /// For 1 s, doubled each time in a row, 8 s at most.
+    /// Ejects the endpoint for 1 s, doubled on each consecutive ejection up to 8 s.
     void eject(TimePoint now);
 
   private:
-    static constexpr int kEjectAfter = 2;  // one lost answer may be chance
-    int unansweredInRow = 0;
+    // Consecutive unanswered attempts before an ejection; a single lost response may be chance.
+    static constexpr int kUnansweredToEject = 2;
+    int consecutiveUnanswered = 0;
     TimePoint ejectedUntil{};
     Duration ejectedFor{};
-    TimePoint heardAt{};
+    TimePoint lastResponseAt{};
 };
 
-/// Whether one more endpoint of a build may be ejected.
+/// Whether one more endpoint of the build may be ejected.
 bool mayEject(double ejectedOfBuild, double endpointsOfBuild);
 
-// Latency over the route's usual one, decaying to 1.
+/// Latency as a multiple of the route's usual latency, decaying to 1.
 class LatencyEstimate {
   public:
     void reset() { slowness = 1; }
     double current(TimePoint now) const {
-        return 1 + (slowness - 1) * std::exp(-toSeconds(now - measuredAt) / kFadeSeconds);
+        return 1 + (slowness - 1) * std::exp(-toSeconds(now - measuredAt) / kDecaySeconds);
     }
     void record(double ratio, TimePoint now) {
         slowness = (1 - kGain) * current(now) + kGain * ratio;
         measuredAt = now;
     }
-    static constexpr double kFadeSeconds = 4;  // until a figure has mostly faded
+    static constexpr double kDecaySeconds = 4;  ///< time constant of the decay
 
   private:
-    static constexpr double kGain = 0.25;  // of a new latency
+    static constexpr double kGain = 0.25;  // weight of a new sample
     double slowness = 1;
     TimePoint measuredAt{};
 };
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,6 +1,6 @@
-// The entry point of the decision core: events in, actions out. Callers reach it by Policy::decide,
-// once for each gateway and batch. The interface is include/deckcart/policy.hpp; the decisions are
-// in the modules beside this file.
+// Entry point of the decision module: events in, actions out. Policy::decide is called once per
+// gateway and batch of events. The interface is include/deckcart/policy.hpp; the decisions are in
+// the modules beside this file.
 #include <algorithm>
 #include <deckcart/policy.hpp>
 #include <utility>
@@ -13,12 +13,13 @@
 
 using namespace std::chrono_literals;
 
-// The endpoint list is asked for again so long after a failure.
-constexpr Duration kWatchRetry = 500ms;
-// And if it does not come: after half of the time allowed, or this at least.
-constexpr Duration kLeastWatchWait = 1s;
-// A retry is worth it while half the usual latency is left: many answers come sooner.
-constexpr double kRetryPart = 0.5;
+// Delay before subscribing to the endpoint list again after a failure.
+constexpr Duration kWatchRetryDelay = 500ms;
+// Without a list, subscribe again after half of the allowed time, but not before this.
+constexpr Duration kMinWatchTimeout = 1s;
+// A retry is sent only if this fraction of the usual latency is left before the objective: many
+// responses arrive faster than usual.
+constexpr double kMinRetryLatencyFraction = 0.5;
 
 }  // namespace
 
@@ -45,7 +46,7 @@
     }
     if (const auto vote = votes.next(rollout, now)) {
         actions.emplace_back(*vote);
-        if (votes.rollsBackAnew())
+        if (votes.startsRollBack())
             log("vote back: " + votes.reason());
     }
     return std::exchange(actions, {});
@@ -54,20 +55,21 @@
 // ---- endpoints ----
 void Policy::Instance::watchEndpoints() {
     actions.emplace_back(WatchEndpoints{true});
-    watchAgainAt = now + std::max<Duration>(settings.subscribeWithin / 2, kLeastWatchWait);
+    nextWatchAt = now + std::max<Duration>(settings.subscribeWithin / 2, kMinWatchTimeout);
 }
 
 void Policy::Instance::on(const EndpointListFailed &) {
-    watchAgainAt = now + kWatchRetry;
+    nextWatchAt = now + kWatchRetryDelay;
     watching = false;
 }
 
 void Policy::Instance::on(const EndpointListUpdate &list) {
     if (list.complete)
-        endpoints.markAllLeft(now);
-    // Who left long ago is forgotten, or addresses would add up; not before it would be warm again,
-    // so that what it was sent while warming up still counts if it returns.
-    endpoints.forgetLeft(slowStart.memory(), now, [&](const Endpoint &endpoint) {
+        endpoints.markAllRemoved(now);
+    // Drops endpoints that left long ago, so that records don't accumulate. They are kept until
+    // they would be warm again, so that requests sent during warm-up still count if the endpoint
+    // returns.
+    endpoints.dropRemoved(slowStart.retention(), now, [&](const Endpoint &endpoint) {
         return std::ranges::any_of(requests, [&](const auto &item) {
             return item.second.awaitsLoadOf(endpoint) || item.second.triedAt(endpoint);
         });
@@ -83,8 +85,8 @@
 void Policy::Instance::countFleet() {
     if (settings.stickyKeys && rollout.completed())
         affinity.bindAll(rollout.current().build);
-    // Here, since nobody may read them for long: without a canary they would grow with every
-    // request.
+    // Expired here because queries may not reach these windows for a long time: without a canary
+    // they would grow with every request.
     exposure.expire(now);
     analyzer.expire(now);
     fleet.count(endpoints, latencies, rollout.current().build, now);
@@ -133,19 +135,19 @@
     Request &request = at->second;
     Attempt &attempt = request.attempts[std::size_t(end.attemptNumber)];
     if (!attempt.inFlight)
-        return;  // reported before: it must not count twice, nor prove the contrary
+        return;  // already reported: must not be counted twice or change the recorded outcome
     attempt.inFlight = false;
     attempt.outcome = end.outcome;
     attempt.endpoint->inFlight.erase({attempt.sentAt, end.requestId, request.arrival.route});
     affinity.attemptEnded(request.arrival.key, attempt.build);
-    const bool done = end.outcome == Outcome::ok;
-    if (done)
+    const bool succeeded = end.outcome == Outcome::ok;
+    if (succeeded)
         admission.attemptAnswered(now);
     recordOutcome(request, attempt, end.outcome);
-    if (end.requestEnded || done) {
+    if (end.requestEnded || succeeded) {
         if (!request.finished)
             cancelAttempts(request);
-        finish(request, done && now <= request.arrivedAt + route(request).latencyObjective);
+        finish(request, succeeded && now <= request.arrivedAt + route(request).latencyObjective);
     }
     if (request.finished)
         dropIfDone(at);
@@ -155,7 +157,8 @@
 
 void Policy::Instance::retryOrGiveUp(RequestPosition at) {
     Request &request = at->second;
-    if (retries.inTime(request, kRetryPart * usualLatency(request), now) &&
+    if (retries.endsWithinObjective(request, kMinRetryLatencyFraction * usualLatency(request),
+                                    now) &&
         retries.mayRepeat(request, now) && retries.budgetLeft()) {
         retries.spendBudget();
         if (!dispatch(request))
@@ -166,8 +169,8 @@
     dropIfDone(at);
 }
 
-// Reads how an attempt ended: the endpoint's health and latency, the usual times, the evidence on
-// the builds.
+// Records the outcome of an attempt: session affinity, the endpoint's health and latency, the
+// route's usual latency, and the evidence on the builds.
 void Policy::Instance::recordOutcome(const Request &request, const Attempt &attempt,
                                      Outcome outcome) {
     affinity.bind(request.arrival.key, attempt.build, outcome);
@@ -196,7 +199,7 @@
         endpoints.recordUnanswered(endpoint, now);
     }
     if (responded)
-        endpoint.health.heardFrom(now);
+        endpoint.health.setLastResponse(now);
 }
 
 void Policy::Instance::recordSample(const Request &request, const Attempt &attempt,
@@ -211,11 +214,11 @@
                                  .endpointUnresponsive = endpoint.health.unresponsive(),
                                  .slowness = policy::toSeconds(now - attempt.sentAt) /
                                              usualLatency(request),
-                                 .errorBefore = {}};
+                                 .previousErrorBuild = {}};
     if (request.attempts.size() > 1) {
-        const Attempt &before = request.attempts[request.attempts.size() - 2];
-        if (!before.inFlight && before.outcome == Outcome::error)
-            sample.errorBefore = before.build;
+        const Attempt &previous = request.attempts[request.attempts.size() - 2];
+        if (!previous.inFlight && previous.outcome == Outcome::error)
+            sample.previousErrorBuild = previous.build;
     }
     analyzer.recordAttempt(sample, analysisContext());
 }
@@ -223,7 +226,7 @@
 void Policy::Instance::on(const TimerFired &) {
     setTimer();
     admission.expire(now);
-    if (settings.subscriptionRequired && !watching && now >= watchAgainAt)
+    if (settings.subscriptionRequired && !watching && now >= nextWatchAt)
         watchEndpoints();
     for (auto next = requests.begin(); next != requests.end();) {
         const auto at = next++;
@@ -231,24 +234,24 @@
         if (request.finished)
             continue;
         if (request.outstanding())
-            checkSilence(request);
+            hedgeOrCancelSilent(request);
         else if (request.awaitedLoadReports == 0 ||
                  now >= request.arrivedAt + policy::kHousekeepingInterval)
             dispatchOrWait(at);
     }
 }
 
-// An attempt at an endpoint silent since for several times the usual is hedged or cancelled, so
-// that the request can go elsewhere. Covers hung and dying endpoints, cut links. Harm: a long
-// request's work is thrown away.
-void Policy::Instance::checkSilence(Request &request) {
+// Hedges or cancels an attempt at an endpoint that has been silent for several times the usual
+// latency, so that the request can go to another endpoint. Covers hung and dying endpoints and
+// broken network links. Drawback: the work of a long request is lost.
+void Policy::Instance::hedgeOrCancelSilent(Request &request) {
     const int last = int(request.attempts.size()) - 1;
     Attempt &attempt = request.attempts.back();
-    const double usual = usualLatency(request);
-    if (!retries.silentTooLong(attempt, usual, fleet.typicalSlowness(), now))
+    const double usualSeconds = usualLatency(request);
+    if (!retries.silentTooLong(attempt, usualSeconds, fleet.typicalSlowness(), now))
         return;
     if (last + 1 >= settings.maxAttempts || !retries.mayRepeat(request, now) ||
-        !retries.budgetLeft() || !retries.inTime(request, usual, now))
+        !retries.budgetLeft() || !retries.endsWithinObjective(request, usualSeconds, now))
         return;
     attempt.abandoned = true;
     if (settings.hedgingAllowed) {
@@ -264,10 +267,11 @@
 double Policy::Instance::firstAttemptShare() const {
     if (analyzer.paused())
         return 0;
-    // At once where this gateway has shed of late (one of many sheds too seldom to know).
-    const bool even =
+    // Even without a slow canary, the share is limited if this gateway has shed recently. One of
+    // many gateways sheds too rarely to know, so the limit always applies there.
+    const bool limitToEvenShare =
         analyzer.evenShare() || policy::hasManyGateways(settings) || admission.shedRecently(now);
-    return policy::canaryShare(rollout, fleet.summary(), even);
+    return policy::canaryShare(rollout, fleet.summary(), limitToEvenShare);
 }
 
 policy::AnalysisContext Policy::Instance::analysisContext() const {
@@ -300,7 +304,7 @@
 
 void Policy::Instance::on(const IncorrectResponseReported &report) {
     const Endpoint *endpoint = endpoints.find(report.endpoint);
-    // The id may have come to run another build since that attempt was sent.
+    // The endpoint may run another build than when the attempt was sent.
     if (endpoint && rollout.known() &&
         endpoint->buildAt(now - report.age) == rollout.current().build)
         analyzer.recordIncorrectResponse(now);
--- a/src/policy/random_source.hpp
+++ b/src/policy/random_source.hpp
@@ -1,5 +1,5 @@
-// The random draws of one gateway, from its seed. Their order is part of the behaviour: replays
-// depend on it.
+// Random numbers of one gateway, from its seed. The order of draws must not change: replays depend
+// on it.
 #pragma once
 
 #include <cstddef>
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -1,4 +1,4 @@
-// The requests that a gateway has accepted and not yet finished, with their attempts.
+// Requests that a gateway has accepted and not finished, with their attempts.
 #pragma once
 
 #include <algorithm>
@@ -18,9 +18,9 @@
     int zone = 0;
     int cell = 0;
     TimePoint sentAt{};
-    bool warmingUp = false;  // the endpoint was too young for evidence
+    bool warmingUp = false;  ///< it was sent before the endpoint reached the evidence age
     bool inFlight = true;
-    bool abandoned = false;  // cancelled, or hedged, since the endpoint was silent
+    bool abandoned = false;  ///< cancelled or hedged because the endpoint was silent
     Outcome outcome = Outcome::ok;
 
     bool mayHaveRun() const { return inFlight || !provesNotRun(outcome); }
@@ -31,8 +31,8 @@
     TimePoint arrivedAt{};
     std::vector<Attempt> attempts;
     bool finished = false;
-    std::vector<Endpoint *> candidates;  // the two choices while their load is queried
-    std::size_t awaitedLoadReports = 0;  // of these
+    std::vector<Endpoint *> candidates;  ///< the two choices, while their load is queried
+    std::size_t awaitedLoadReports = 0;  ///< load reports still to come from the candidates
 
     bool outstanding() const { return std::ranges::any_of(attempts, &Attempt::inFlight); }
     /// The first attempt that may have run; null if there is none.
@@ -52,10 +52,10 @@
 
 struct InFlightLoad {
     double attempts = 0;
-    double usualSeconds = 0;  // sum of what they usually take
+    double usualSeconds = 0;  ///< sum of the usual latencies of these attempts
 };
 
-/// The attempts in flight, those at ejected endpoints left out.
+/// Attempts in flight, except those at ejected endpoints.
 inline InFlightLoad inFlightLoad(const RequestTable &requests, const RouteLatencies &latencies,
                                  TimePoint now) {
     InFlightLoad load;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -1,4 +1,4 @@
-// Retries: what may be repeated, and when it is worth it.
+// Rules of retries: which requests may be repeated, and when a retry is worth sending.
 #include "retry_policy.hpp"
 
 #include <algorithm>
@@ -6,15 +6,16 @@
 namespace deckcart::policy {
 namespace {
 
-// Further attempts a request: more would feed an overload.
+// Retries per accepted request. More would sustain an overload.
 constexpr double kBudgetPerRequest = 0.2;
-// Times the usual latency, the fleet's slowness included, that tell of silence.
-constexpr double kSilentAfter = 4;
+// An endpoint is silent for too long after this multiple of the usual latency, scaled by the
+// fleet's current slowness.
+constexpr double kSilenceFactor = 4;
 
 }  // namespace
 
 void RetryPolicy::requestAccepted() {
-    budget = std::min(kBudgetMost, budget + kBudgetPerRequest);
+    budget = std::min(kMaxBudget, budget + kBudgetPerRequest);
 }
 
 bool RetryPolicy::mayAttempt(const Request &request) const {
@@ -23,50 +24,50 @@
 }
 
 bool RetryPolicy::mayRepeat(const Request &request, TimePoint now) const {
-    const Attempt *ran = request.firstThatMayHaveRun();
-    const Route &traits = route(request);
-    if (!ran || traits.idempotency == Idempotency::idempotent)
+    const Attempt *firstRun = request.firstThatMayHaveRun();
+    const Route &routeSettings = route(request);
+    if (!firstRun || routeSettings.idempotency == Idempotency::idempotent)
         return true;
-    const TimePoint latest = ran->sentAt + traits.deduplicationWindow - settings.maxSendDelay -
-                             2 * kHousekeepingInterval;
-    return traits.idempotency == Idempotency::withKey && now <= latest;
+    const TimePoint latest = firstRun->sentAt + routeSettings.deduplicationWindow -
+                             settings.maxSendDelay - 2 * kHousekeepingInterval;
+    return routeSettings.idempotency == Idempotency::withKey && now <= latest;
 }
 
 bool RetryPolicy::sharesDeduplication(const Request &request, const Endpoint &endpoint) const {
-    const Attempt *ran = request.firstThatMayHaveRun();
-    const Route &traits = route(request);
-    if (!ran || traits.idempotency != Idempotency::withKey ||
-        traits.deduplicationScope == DeduplicationScope::all)
+    const Attempt *firstRun = request.firstThatMayHaveRun();
+    const Route &routeSettings = route(request);
+    if (!firstRun || routeSettings.idempotency != Idempotency::withKey ||
+        routeSettings.deduplicationScope == DeduplicationScope::all)
         return true;
-    if (ran->zone != endpoint.entry.zone)
+    if (firstRun->zone != endpoint.entry.zone)
         return false;
-    return traits.deduplicationScope != DeduplicationScope::cell ||
-           ran->cell == endpoint.entry.cell;
+    return routeSettings.deduplicationScope != DeduplicationScope::cell ||
+           firstRun->cell == endpoint.entry.cell;
 }
 
 bool RetryPolicy::mayShed(const Request &request) const {
-    const Route &traits = route(request);
-    return traits.idempotency == Idempotency::idempotent || !request.firstThatMayHaveRun() ||
-           (traits.idempotency == Idempotency::withKey &&
-            traits.deduplicationScope == DeduplicationScope::all);
+    const Route &routeSettings = route(request);
+    return routeSettings.idempotency == Idempotency::idempotent || !request.firstThatMayHaveRun() ||
+           (routeSettings.idempotency == Idempotency::withKey &&
+            routeSettings.deduplicationScope == DeduplicationScope::all);
 }
 
 bool RetryPolicy::worthWaiting(const Request &request, double usualSeconds, TimePoint now) const {
-    const TimePoint latest = std::min(wantedBy(request) - fromSeconds(usualSeconds),
+    const TimePoint latest = std::min(objectiveDeadline(request) - fromSeconds(usualSeconds),
                                       request.arrival.deadline - 2 * kHousekeepingInterval);
     return now < latest && int(request.attempts.size()) < settings.maxAttempts &&
            mayRepeat(request, now);
 }
 
-bool RetryPolicy::inTime(const Request &request, double seconds, TimePoint now) const {
-    return now + fromSeconds(seconds) < wantedBy(request);
+bool RetryPolicy::endsWithinObjective(const Request &request, double seconds, TimePoint now) const {
+    return now + fromSeconds(seconds) < objectiveDeadline(request);
 }
 
 bool RetryPolicy::silentTooLong(const Attempt &attempt, double usualSeconds, double fleetSlowness,
                                 TimePoint now) const {
     return attempt.inFlight && !attempt.abandoned &&
            attempt.endpoint->health.silentSince(attempt.sentAt) &&
-           now - attempt.sentAt >= fromSeconds(kSilentAfter * fleetSlowness * usualSeconds);
+           now - attempt.sentAt >= fromSeconds(kSilenceFactor * fleetSlowness * usualSeconds);
 }
 
 }  // namespace deckcart::policy
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -1,5 +1,5 @@
 // Whether a request may or should be attempted again: idempotency, deduplication window and scope,
-// the retry budget, and silent attempts that are hedged or cancelled.
+// the retry budget, and attempts at silent endpoints.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -16,20 +16,20 @@
     bool budgetLeft() const { return budget >= 1; }
     void spendBudget() { budget -= 1; }
 
-    /// The limits on the number of attempts and on attempts at the same time.
+    /// Whether the limits on the number of attempts, in total and in parallel, allow another one.
     bool mayAttempt(const Request &request) const;
-    /// Whether another attempt could have no second effect, at an endpoint that shares what the
-    /// first has stored.
+    /// Whether another attempt can't cause a second effect, provided its endpoint shares the
+    /// deduplication records of the first one's.
     bool mayRepeat(const Request &request, TimePoint now) const;
-    /// Whether that endpoint shares it.
+    /// Whether the endpoint shares these records.
     bool sharesDeduplication(const Request &request, const Endpoint &endpoint) const;
-    /// Whether the client may be told that the request can be repeated.
+    /// Whether the client may be told that it can safely repeat the request.
     bool mayShed(const Request &request) const;
 
-    /// Whether a request that can go nowhere can still be answered in time if it waits.
+    /// Whether a request that can't be forwarded now can still be answered in time if it waits.
     bool worthWaiting(const Request &request, double usualSeconds, TimePoint now) const;
-    /// Whether an attempt of this part of the usual time would still end within the objective.
-    bool inTime(const Request &request, double seconds, TimePoint now) const;
+    /// Whether an attempt that takes this many seconds ends within the latency objective.
+    bool endsWithinObjective(const Request &request, double seconds, TimePoint now) const;
     /// Whether the attempt's endpoint has been silent for several times the usual latency.
     bool silentTooLong(const Attempt &attempt, double usualSeconds, double fleetSlowness,
                        TimePoint now) const;
@@ -38,14 +38,14 @@
     const Route &route(const Request &request) const {
         return settings.routes.at(std::size_t(request.arrival.route));
     }
-    TimePoint wantedBy(const Request &request) const {
+    TimePoint objectiveDeadline(const Request &request) const {
         return request.arrivedAt + route(request).latencyObjective;
     }
 
-    // Saved up for a burst of failures.
-    static constexpr double kBudgetMost = 10;
+    // Maximum number of retries that are saved up for a burst of failures.
+    static constexpr double kMaxBudget = 10;
     const PolicySettings &settings;
-    double budget = kBudgetMost;
+    double budget = kMaxBudget;
 };
 
 }  // namespace deckcart::policy
--- a/src/policy/rollout_tracker.cpp
+++ b/src/policy/rollout_tracker.cpp
@@ -1,4 +1,4 @@
-// Stages, exposure and clock of the rollout.
+// Stages, exposure limits and stage clock of the rollout.
 #include "rollout_tracker.hpp"
 
 #include <algorithm>
@@ -9,19 +9,22 @@
 
 using namespace std::chrono_literals;
 
-// Updates are late by less: what still tells of a passed stage after that offers it again.
-constexpr Duration kOvertaken = 8s;
-// The clock of a stage starts so long after its last endpoint, as the platform sees it later.
-constexpr Duration kClockLag = 1s;
-// And so long after the stage at the latest.
-constexpr Duration kEndpointsLate = 8s;
-// The waits on a stage rest on a least stage of this; shorter ones shrink them.
-constexpr Duration kStageTuned = 1500ms;
-// Half an endpoint: the part of a stage need not be a whole number of them.
+// Updates arrive with less delay than this. An update to an earlier stage that arrives later than
+// this after the stage's start means that the stage is offered again.
+constexpr Duration kUpdateDelay = 8s;
+// The platform starts the clock of a stage this much later than the last endpoint of the stage,
+// since it learns of the endpoint later.
+constexpr Duration kStageClockDelay = 1s;
+// The clock starts this long after the stage's start at the latest, even if endpoints are missing.
+constexpr Duration kMaxEndpointWait = 8s;
+// The waits of a stage are meant for a minimum stage duration of this; shorter stages scale them
+// down.
+constexpr Duration kReferenceStageDuration = 1500ms;
+// Half an endpoint of tolerance: the stage's share need not be a whole number of endpoints.
 constexpr double kHalfEndpoint = 0.5;
 
-// A build passes through the phases one way.
-int rank(RolloutPhase phase) {
+// Order of the phases; a build never goes back to an earlier one.
+int phaseOrder(RolloutPhase phase) {
     switch (phase) {
     case RolloutPhase::canary:
         return 0;
@@ -35,10 +38,10 @@
     return 0;
 }
 
-bool precedes(const RolloutUpdate &one, const RolloutUpdate &other) {
-    if (one.phase != other.phase)
-        return rank(one.phase) < rank(other.phase);
-    return one.step < other.step;
+bool precedes(const RolloutUpdate &left, const RolloutUpdate &right) {
+    if (left.phase != right.phase)
+        return phaseOrder(left.phase) < phaseOrder(right.phase);
+    return left.step < right.step;
 }
 
 }  // namespace
@@ -51,17 +54,17 @@
     const bool changed =
         otherBuild || update.step != furthest.step || update.phase != furthest.phase;
     if (!received)
-        heardSince = now;
+        firstUpdateReceivedAt = now;
     received = true;
-    // An update that a later one has overtaken, as the answer to a vote does: the stage passed does
-    // not come back with its limit and its streaks. Harm: a number offered again is taken for an
-    // old update for some seconds.
-    if (!otherBuild && precedes(update, furthest) && now < began + kOvertaken)
+    // Ignores an outdated update, such as a vote reply that was overtaken by a later update: the
+    // previous stage must not return with its limit and its streaks. Drawback: a build number that
+    // is offered again is mistaken for an old update for some seconds.
+    if (!otherBuild && precedes(update, furthest) && now < stageStartedAt + kUpdateDelay)
         return RolloutChange::none;
     furthest = update;
     if (!changed)
         return RolloutChange::none;
-    began = now - update.age;
+    stageStartedAt = now - update.age;
     if (update.phase == RolloutPhase::rollingBack || update.phase == RolloutPhase::rolledBack)
         rolledBack = update.build;
     return otherBuild ? RolloutChange::build : RolloutChange::stage;
@@ -97,19 +100,19 @@
     return step < settings.stageShares.size() ? settings.stageShares[step] : 1;
 }
 
-Duration RolloutTracker::paced(Duration wait) const {
-    const Duration least = settings.minStageDuration;
-    if (least <= Duration{0} || least >= kStageTuned)
+Duration RolloutTracker::scaledToStage(Duration wait) const {
+    const Duration minDuration = settings.minStageDuration;
+    if (minDuration <= Duration{0} || minDuration >= kReferenceStageDuration)
         return wait;
-    return Duration{wait.count() * least.count() / kStageTuned.count()};
+    return Duration{wait.count() * minDuration.count() / kReferenceStageDuration.count()};
 }
 
-std::optional<TimePoint> RolloutTracker::clockStart(const FleetSummary &fleet,
-                                                    TimePoint now) const {
-    if (fleet.newestEndpoints + kHalfEndpoint >= stageShare() * fleet.places)
-        return std::max(began, fleet.newestStart) + paced(kClockLag);
-    if (now - began > kEndpointsLate)
-        return began + kEndpointsLate;
+std::optional<TimePoint> RolloutTracker::stageClockStart(const FleetSummary &fleet,
+                                                         TimePoint now) const {
+    if (fleet.rolloutEndpoints + kHalfEndpoint >= stageShare() * fleet.targetEndpoints)
+        return std::max(stageStartedAt, fleet.latestRolloutStart) + scaledToStage(kStageClockDelay);
+    if (now - stageStartedAt > kMaxEndpointWait)
+        return stageStartedAt + kMaxEndpointWait;
     return std::nullopt;
 }
 
--- a/src/policy/sample_window.cpp
+++ b/src/policy/sample_window.cpp
@@ -1,4 +1,4 @@
-// The outcomes of one build within a comparison window.
+// Counts and medians of a comparison window.
 #include "sample_window.hpp"
 
 #include <algorithm>
@@ -10,14 +10,16 @@
 namespace deckcart::policy {
 namespace {
 
-// The least count of attempts for a comparison.
-constexpr int kLeastAttempts = 20;
-// Of a build's attempts, and at least so many: then failures are not the other build's alone.
-constexpr double kManyLost = 0.2;
-constexpr double kLeastLost = 4;
-// Answers that an endpoint must have given to be counted among the endpoints.
-constexpr double kLeastAnswersPerEndpoint = 4;
-// Just under a half: the lower of the two middle endpoints.
+// Minimum number of attempts for a comparison.
+constexpr int kMinAttempts = 20;
+// A build fails often if this fraction of its attempts fails, and at least this number: failures
+// can't be attributed to the other build then.
+constexpr double kHighFailureShare = 0.2;
+constexpr double kMinFrequentFailures = 4;
+// Minimum number of responses (for the failure share: attempts) of an endpoint to be included in
+// the medians.
+constexpr double kMinAnswersPerEndpoint = 4;
+// Slightly below 0.5: selects the lower of the two middle endpoints.
 constexpr double kLowerMedian = 0.499;
 
 }  // namespace
@@ -48,25 +50,26 @@
         counts.halve();
 }
 
-double SampleWindow::sum(double OutcomeCounts::*what) const {
+double SampleWindow::sum(double OutcomeCounts::*counter) const {
     double total = 0;
     for (const auto &[route, counts] : routes)
-        total += counts.*what;
+        total += counts.*counter;
     return total;
 }
 
 bool SampleWindow::conclusive() const {
-    return count() >= kLeastAttempts;
+    return count() >= kMinAttempts;
 }
 
-bool SampleWindow::losesMany() const {
-    return sum(&OutcomeCounts::failures) >= std::max(kLeastLost, kManyLost * count());
+bool SampleWindow::failsOften() const {
+    return sum(&OutcomeCounts::failures) >=
+           std::max(kMinFrequentFailures, kHighFailureShare * count());
 }
 
 double SampleWindow::typicalSlowness() const {
     std::vector<double> means;
     for (const auto &[id, counts] : endpoints)
-        if (counts.attempts - counts.failures >= kLeastAnswersPerEndpoint)
+        if (counts.attempts - counts.failures >= kMinAnswersPerEndpoint)
             means.push_back(counts.slowness / (counts.attempts - counts.failures));
     return quantile(std::move(means), kLowerMedian);
 }
@@ -74,21 +77,24 @@
 double SampleWindow::typicalFailureShare() const {
     std::vector<double> shares;
     for (const auto &[id, counts] : endpoints)
-        if (counts.attempts >= kLeastAnswersPerEndpoint)
+        if (counts.attempts >= kMinAnswersPerEndpoint)
             shares.push_back(counts.failures / counts.attempts);
     return quantile(std::move(shares), kLowerMedian);
 }
 
-bool failsMore(const SampleWindow &ours, const SampleWindow &theirs, double OutcomeCounts::*what) {
-    double lost = 0;
+bool failsMore(const SampleWindow &subject, const SampleWindow &reference,
+               double OutcomeCounts::*counter) {
+    double observed = 0;
     double expected = 0;
-    for (const auto &[route, counts] : ours.routes) {
-        lost += counts.*what;
-        const auto other = theirs.routes.find(route);
-        if (other != theirs.routes.end() && other->second.attempts > 0)
-            expected += counts.attempts * other->second.failures / other->second.attempts;
+    for (const auto &[route, counts] : subject.routes) {
+        observed += counts.*counter;
+        const auto referenceRoute = reference.routes.find(route);
+        if (referenceRoute != reference.routes.end() && referenceRoute->second.attempts > 0)
+            expected +=
+                counts.attempts * referenceRoute->second.failures / referenceRoute->second.attempts;
     }
-    return lost > expected + kFailureMargin * ours.count() && lost > kFailureRatio * expected;
+    return observed > expected + kFailureMargin * subject.count() &&
+           observed > kFailureRatio * expected;
 }
 
 }  // namespace deckcart::policy
--- a/src/policy/sample_window.hpp
+++ b/src/policy/sample_window.hpp
@@ -1,5 +1,5 @@
-// The outcomes of one build within a comparison window, by route and by endpoint, and the
-// comparison of two such windows.
+// Outcomes of one build within a comparison window, by route and by endpoint, and the comparison of
+// two such windows.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -9,12 +9,12 @@
 
 namespace deckcart::policy {
 
-// Sums of attempts. Doubles: a closed window's counts by endpoint are halved.
+/// Sums over attempts. Fractional, since counts by endpoint are halved when a window closes.
 struct OutcomeCounts {
     double attempts = 0;
     double failures = 0;
     double errors = 0;
-    double slowness = 0;  // sum over the completed attempts
+    double slowness = 0;  ///< sum over completed attempts of the latency as a multiple of the usual
 
     void add(bool failed, bool error, double ratio);
     void halve();
@@ -23,32 +23,37 @@
 struct SampleWindow {
     std::map<int, OutcomeCounts> routes;
     std::map<EndpointId, OutcomeCounts> endpoints;
-    TimedValues slowness;  // of completed attempts: latency over the route's usual one
+    /// Latencies of completed attempts, as multiples of the route's usual latency.
+    TimedValues slowness;
 
     void add(int route, const EndpointId &endpoint, bool failed, bool error, double ratio);
-    /// Drops the counts by route and halves those by endpoint; the latencies stay, so that their
-    /// p95 has its least count.
+    /// Drops the counts by route and halves those by endpoint. Latency samples are kept, so that
+    /// the p95 reaches its minimum count.
     void close();
 
-    double sum(double OutcomeCounts::*what) const;
+    double sum(double OutcomeCounts::*counter) const;
     double count() const { return sum(&OutcomeCounts::attempts); }
     /// Whether there are enough attempts to compare.
     bool conclusive() const;
-    /// Whether so much fails that failures are not the other build's alone.
-    bool losesMany() const;
-    /// Of the endpoints with some answers, the lower median one's mean slowness.
+    /// Whether so many attempts fail that failures can't be attributed to the other build alone.
+    bool failsOften() const;
+    /// The lower median over endpoints of the mean slowness; endpoints with few responses are left
+    /// out.
     double typicalSlowness() const;
-    /// Likewise, its share of failed attempts.
+    /// The lower median over endpoints of the fraction of failed attempts; endpoints with few
+    /// attempts are left out.
     double typicalFailureShare() const;
 };
 
-/// Whether `ours` has clearly more of `what` (failures or errors) than `theirs` has failures, the
-/// latter weighed by our mix of routes.
-bool failsMore(const SampleWindow &ours, const SampleWindow &theirs, double OutcomeCounts::*what);
+/// Whether `subject` has clearly more of `counter` (failures or errors) than expected from the
+/// failure rates of `reference`, weighted by the subject's mix of routes.
+bool failsMore(const SampleWindow &subject, const SampleWindow &reference,
+               double OutcomeCounts::*counter);
 
-// Failures count as more only if they are over this many times the other build's rate.
+/// Failures count as more than the reference's only if they exceed the expected number by this
+/// factor.
 constexpr double kFailureRatio = 2;
-// And over it by this part of the attempts.
+/// They must also exceed the expected number by this fraction of the attempts.
 constexpr double kFailureMargin = 0.05;
 
 }  // namespace deckcart::policy
--- a/src/policy/session_affinity.cpp
+++ b/src/policy/session_affinity.cpp
@@ -1,4 +1,4 @@
-// Session affinity of keys to the newest build that may have answered them.
+// Binding of keys to the newest build that may have answered them.
 #include "session_affinity.hpp"
 
 #include <algorithm>
@@ -13,9 +13,9 @@
 }
 
 void SessionAffinity::attemptEnded(const std::string &key, BuildNumber build) {
-    const auto at = inFlight.find({key, build});
-    if (at != inFlight.end() && --at->second == 0)
-        inFlight.erase(at);
+    const auto found = inFlight.find({key, build});
+    if (found != inFlight.end() && --found->second == 0)
+        inFlight.erase(found);
 }
 
 void SessionAffinity::bind(const std::string &key, BuildNumber build, Outcome outcome) {
@@ -45,13 +45,13 @@
     const auto boundTo = bound.find(key);
     if (boundTo != bound.end() && build < boundTo->second)
         return false;
-    // Nor while an attempt is at a newer build: its answer may be written and not read. Guards
-    // against answers that are late, or lost on a connection that fell silent. Harm: such requests
-    // wait for the newer build's exposure limit.
-    for (auto at = inFlight.upper_bound({key, build}); at != inFlight.end(); ++at) {
-        if (at->first.key != key)
+    // Not allowed either while an attempt is in flight at a newer build, which may have written its
+    // response already. Covers responses that arrive late or are lost on a broken connection.
+    // Drawback: such requests wait for the newer build's exposure limit.
+    for (auto found = inFlight.upper_bound({key, build}); found != inFlight.end(); ++found) {
+        if (found->first.key != key)
             break;
-        if (at->first.build != rolledBack)
+        if (found->first.build != rolledBack)
             return false;
     }
     return true;
--- a/src/policy/session_affinity.hpp
+++ b/src/policy/session_affinity.hpp
@@ -1,4 +1,4 @@
-// Affinity keys that a newer build has answered: they don't go back to an earlier one.
+// Session affinity: a key that a newer build has answered does not go back to an older one.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -11,22 +11,23 @@
   public:
     explicit SessionAffinity(const PolicySettings &policySettings) : settings(policySettings) {}
 
-    /// An attempt with this key has been sent to that build.
+    /// Records that an attempt with this key was sent to the build.
     void attemptSent(const std::string &key, BuildNumber build);
-    /// It has ended, however.
+    /// Records the end of such an attempt, whatever its outcome.
     void attemptEnded(const std::string &key, BuildNumber build);
-    /// What ended unread may have been answered well all the same: its key is bound as well. An
-    /// error is an answer, and no good one. Guards against a key that goes back to an earlier
-    /// build. Harm: keys bound to a bad build.
+    /// Binds the key to the build unless the outcome proves that it was not answered. An attempt
+    /// without a readable response may have succeeded, so its key is bound; an error response binds
+    /// nothing. Prevents a key from going back to an older build. Drawback: keys get bound to a bad
+    /// build.
     void bind(const std::string &key, BuildNumber build, Outcome outcome);
-    /// Once no build below the released one is listed, one number stands for all the keys, or they
-    /// would add up for ever. Harm: earlier endpoints that return unannounced get nothing until
-    /// the build is rolled back.
+    /// Binds all keys to the build. Used once no build older than the released one is listed: a
+    /// single number replaces the keys, which would accumulate otherwise. Drawback: older endpoints
+    /// that return unannounced get no requests until the build is rolled back.
     void bindAll(BuildNumber build);
     /// Unbinds the keys of a build that is rolled back.
     void release(BuildNumber build);
-    /// Whether a request with this key may go to that build; attempts at the rolled-back build do
-    /// not count.
+    /// Whether a request with this key may go to the build. Attempts in flight at the rolled-back
+    /// build are ignored.
     bool allows(const std::string &key, BuildNumber build, BuildNumber rolledBack) const;
 
   private:
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -1,4 +1,4 @@
-// Warm-up fraction and budget of endpoints that have just started.
+// Warm-up fractions and send budgets of endpoints that have just started.
 #include "slow_start.hpp"
 
 #include <algorithm>
@@ -8,12 +8,12 @@
 
 using namespace std::chrono_literals;
 
-// An endpoint's start may become known so late.
-constexpr Duration kStartMargin = 1s;
-// Answers of endpoints younger than this are no evidence, where the settings allow so long.
-constexpr Duration kEvidenceAge = 5s;
-// The part of the overload multiple that is used: unequal gateways add up.
-constexpr double kUsedPart = 0.5;
+// Maximum delay of the notice of an endpoint's start.
+constexpr Duration kStartNoticeDelay = 1s;
+// Upper bound of the evidence age, used as it is if there is no warm-up.
+constexpr Duration kMaxEvidenceAge = 5s;
+// Fraction of the overload multiple that is used, since the sends of unequal gateways add up.
+constexpr double kUsedOverloadFraction = 0.5;
 
 }  // namespace
 
@@ -26,33 +26,35 @@
 }
 
 bool SlowStart::warmingUp(Duration age) const {
-    return age < settings.warmUpTime + kStartMargin;
+    return age < settings.warmUpTime + kStartNoticeDelay;
 }
 
 Duration SlowStart::evidenceAge() const {
     return settings.warmUpTime > Duration{0}
-               ? std::min(kEvidenceAge, settings.warmUpTime + kStartMargin)
-               : kEvidenceAge;
+               ? std::min(kMaxEvidenceAge, settings.warmUpTime + kStartNoticeDelay)
+               : kMaxEvidenceAge;
 }
 
-Duration SlowStart::memory() const {
-    return settings.warmUpTime + settings.overloadWindow + kStartMargin;
+Duration SlowStart::retention() const {
+    return settings.warmUpTime + settings.overloadWindow + kStartNoticeDelay;
 }
 
-// Guards an endpoint that is warming up against all gateways together: over the stated window, as
-// far as it has run, each sends a part of the overload multiple x its warm-up fraction x what a
-// warm endpoint has answered of this gateway's requests (no burst raises that); the broken part of
-// a request by a chance drawn once a start. Harm: small stages.
+// Limits the requests of all gateways together to an endpoint that is warming up. Within the
+// overload window, or the part of it since the endpoint's start, each gateway sends at most a
+// fraction of the overload multiple x the warm-up fraction x the responses of a warm endpoint to
+// this gateway (which a burst does not raise). The limit is rounded by a random offset drawn once
+// per start. Drawback: stages with few endpoints get little traffic.
 bool SlowStart::withinBudget(SlowStartBudget &budget, Duration age, double answersPerEndpoint,
                              TimePoint now) const {
     if (!warmingUp(age))
         return true;
     dropUntil(budget.sends, now - settings.overloadWindow);
-    const double run = toSeconds(std::clamp(age, Duration{0}, settings.overloadWindow)) /
-                       toSeconds(settings.overloadWindow);
+    const double elapsedFraction =
+        toSeconds(std::clamp(age, Duration{0}, settings.overloadWindow)) /
+        toSeconds(settings.overloadWindow);
     return double(budget.sends.size()) + 1 <=
-           budget.roundingChance + settings.overloadMultiple * kUsedPart * warmUpFraction(age) *
-                                       run * answersPerEndpoint;
+           budget.roundingChance + settings.overloadMultiple * kUsedOverloadFraction *
+                                       warmUpFraction(age) * elapsedFraction * answersPerEndpoint;
 }
 
 }  // namespace deckcart::policy
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,5 +1,5 @@
-// How far an endpoint has warmed up since its start, and how many requests it may be sent while
-// it has not. The table of endpoints holds one budget for each.
+// Warm-up fraction of an endpoint since its start, and the number of requests that it may be sent
+// while warming up. The endpoint table holds one budget per endpoint.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -10,24 +10,24 @@
 namespace deckcart::policy {
 
 struct SlowStartBudget {
-    std::deque<TimePoint> sends;  // while warming up
-    double roundingChance = 0;    // rounds the broken part of what may be sent
+    std::deque<TimePoint> sends;  ///< attempts sent while warming up
+    double roundingChance = 0;  ///< random offset, 0 to 1, that rounds the budget to a whole number
 };
 
 class SlowStart {
   public:
     explicit SlowStart(const PolicySettings &policySettings) : settings(policySettings) {}
 
-    /// The part of its capacity that an endpoint of this age has, on the slowest path that the
-    /// settings allow.
+    /// The fraction of its capacity that an endpoint of this age has, if it warms up as slowly as
+    /// the settings allow.
     double warmUpFraction(Duration age) const;
-    /// Whether it may be warming up, with a margin for late word of its start.
+    /// Whether it may be warming up, with a margin for late notice of its start.
     bool warmingUp(Duration age) const;
-    /// Answers of younger endpoints are no evidence on their build.
+    /// Responses of endpoints younger than this are no evidence on their build.
     Duration evidenceAge() const;
-    /// An endpoint that left the list is remembered for this long: until it would be warm again.
-    Duration memory() const;
-    /// Whether one more request may be sent; drops what has left the window.
+    /// How long a removed endpoint is remembered: until it would be warm again.
+    Duration retention() const;
+    /// Whether one more request may be sent; drops sends that have left the window.
     bool withinBudget(SlowStartBudget &budget, Duration age, double answersPerEndpoint,
                       TimePoint now) const;
 
--- a/src/policy/statistics.cpp
+++ b/src/policy/statistics.cpp
@@ -1,4 +1,4 @@
-// Statistics of small samples: quantiles and the comparison of two means.
+// Quantiles and the comparison of two means.
 #include "statistics.hpp"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace deckcart::policy {
 namespace {
 
-// Guards the logarithm against latencies of zero.
+// Lower bound of the ratios, since the logarithm of 0 is not defined.
 constexpr double kSmallestRatio = 0.01;
 
 struct LogMean {
@@ -17,7 +17,7 @@
     double mean = 0;
 };
 
-// Welford's update; the squares of both samples are pooled in one sum.
+// Welford's algorithm. The squared deviations of both samples are pooled in `squares`.
 LogMean logMean(const std::vector<double> &ratios, double &squares) {
     LogMean result;
     for (const double ratio : ratios) {
@@ -32,24 +32,25 @@
 
 }  // namespace
 
-double quantile(std::vector<double> values, double part) {
+double quantile(std::vector<double> values, double fraction) {
     if (values.empty())
         return 0;
-    const auto at = std::min(values.size() - 1, std::size_t(part * double(values.size())));
-    std::nth_element(values.begin(), values.begin() + std::ptrdiff_t(at), values.end());
-    return values[at];
+    const auto index = std::min(values.size() - 1, std::size_t(fraction * double(values.size())));
+    std::nth_element(values.begin(), values.begin() + std::ptrdiff_t(index), values.end());
+    return values[index];
 }
 
-double standardErrorsSlower(const std::vector<double> &ours, const std::vector<double> &theirs,
-                            double factor, double least) {
+double standardErrorsSlower(const std::vector<double> &sample, const std::vector<double> &reference,
+                            double factor, double minCount) {
     double squares = 0;
-    const LogMean own = logMean(ours, squares);
-    const LogMean other = logMean(theirs, squares);
-    if (own.count < least || other.count < least)
+    const LogMean sampleMean = logMean(sample, squares);
+    const LogMean referenceMean = logMean(reference, squares);
+    if (sampleMean.count < minCount || referenceMean.count < minCount)
         return 0;
-    const double error =
-        std::sqrt(squares / (own.count + other.count - 2) * (1 / own.count + 1 / other.count));
-    return (own.mean - other.mean - std::log(factor)) / std::max(error, 1e-9);
+    const double standardError = std::sqrt(squares / (sampleMean.count + referenceMean.count - 2) *
+                                           (1 / sampleMean.count + 1 / referenceMean.count));
+    return (sampleMean.mean - referenceMean.mean - std::log(factor)) /
+           std::max(standardError, 1e-9);
 }
 
 }  // namespace deckcart::policy
--- a/src/policy/statistics.hpp
+++ b/src/policy/statistics.hpp
@@ -1,16 +1,16 @@
-// Statistics of small samples, for the comparisons of canary analysis.
+// Statistics of small samples, for canary analysis.
 #pragma once
 
 #include <vector>
 
 namespace deckcart::policy {
 
-/// The value below which this part (0 to 1) of the values lies; 0 if there are none.
-double quantile(std::vector<double> values, double part);
+/// The quantile of the values at `fraction` (0 to 1); 0 if there are no values.
+double quantile(std::vector<double> values, double fraction);
 
-/// By how many standard errors `ours` is slower than `theirs` beyond that factor, in the mean of
-/// the logarithms; 0 if either has fewer values than `least`.
-double standardErrorsSlower(const std::vector<double> &ours, const std::vector<double> &theirs,
-                            double factor, double least);
+/// By how many standard errors the mean logarithm of `sample` exceeds that of `reference` plus
+/// log(`factor`); 0 if either has fewer than `minCount` values.
+double standardErrorsSlower(const std::vector<double> &sample, const std::vector<double> &reference,
+                            double factor, double minCount);
 
 }  // namespace deckcart::policy
--- a/src/policy/time_window.hpp
+++ b/src/policy/time_window.hpp
@@ -1,4 +1,4 @@
-// Time arithmetic and queues in order of time, for every module of the decision core.
+// Time conversions and time-ordered queues.
 #pragma once
 
 #include <chrono>
@@ -9,8 +9,8 @@
 
 namespace deckcart::policy {
 
-// Housekeeping runs this often: well under the shortest wait that it decides on. Windows and
-// deadlines keep this margin, since an action may be decided one interval late.
+/// Interval of housekeeping, well below the shortest wait that depends on it. Windows and deadlines
+/// keep this margin, since an action may be decided one interval late.
 constexpr Duration kHousekeepingInterval = std::chrono::milliseconds{20};
 
 inline double toSeconds(Duration duration) {
@@ -34,8 +34,8 @@
     return entry.at;
 }
 
-/// Drops the entries up to and including that time from a queue in order of time; `dropped` sees
-/// each of them first.
+/// Drops the entries up to and including `until` from a time-ordered queue; `dropped` is called
+/// with each of them first.
 template <class Entry, class Dropped>
 void dropUntil(std::deque<Entry> &queue, TimePoint until, Dropped dropped) {
     while (!queue.empty() && timeOf(queue.front()) <= until) {
@@ -48,6 +48,7 @@
     dropUntil(queue, until, [](const Entry &) {});
 }
 
+/// The values recorded at `since` or later.
 inline std::vector<double> valuesSince(const TimedValues &queue, TimePoint since) {
     std::vector<double> values;
     for (const TimedValue &entry : queue)
--- a/src/policy/traffic_splitter.cpp
+++ b/src/policy/traffic_splitter.cpp
@@ -1,4 +1,4 @@
-// Sticky hash, canary share and the order of builds.
+// Sticky hash, canary share and order of builds.
 #include "traffic_splitter.hpp"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 
 namespace deckcart::policy {
 
-// FNV-1a with a salt, then mixed so that short keys spread; the upper 53 bits make the fraction.
+// FNV-1a with a salt and a final mix that spreads short keys; the upper 53 bits form the fraction.
 double stickyHash(const std::string &key, std::uint64_t salt) {
     std::uint64_t hash = 0xcbf29ce484222325u ^ (salt * 0x9e3779b97f4a7c15u);
     for (const char letter : key)
@@ -18,13 +18,13 @@
 }
 
 double canaryShare(const RolloutTracker &rollout, const FleetSummary &fleet, bool evenShare) {
-    const double stageEndpoints = std::max(1.0, rollout.stageShare() * fleet.places);
+    const double stageEndpoints = std::max(1.0, rollout.stageShare() * fleet.targetEndpoints);
     const double share = kFirstAttemptShare * rollout.current().exposureLimit *
-                         std::min(1.0, fleet.newestCapacity / stageEndpoints);
+                         std::min(1.0, fleet.rolloutCapacity / stageEndpoints);
     if (!evenShare)
         return share;
-    const double capacity = std::max(1.0, fleet.newestCapacity + fleet.otherCapacity);
-    return std::min(share, fleet.newestCapacity / capacity);
+    const double capacity = std::max(1.0, fleet.rolloutCapacity + fleet.otherCapacity);
+    return std::min(share, fleet.rolloutCapacity / capacity);
 }
 
 BuildNumber baselineBuild(const EndpointsByBuild &builds, const RolloutTracker &rollout) {
--- a/src/policy/usage_comparison.cpp
+++ b/src/policy/usage_comparison.cpp
@@ -1,16 +1,16 @@
-// Windows of the platform's aggregated counters.
+// Comparison windows from the platform's aggregated counters.
 #include "usage_comparison.hpp"
 
 namespace deckcart::policy {
 namespace {
 
-// Unhealthy windows in a row: one may be chance.
-constexpr int kUnhealthyStreak = 2;
+// Consecutive unhealthy windows that are required, since a single one may be chance.
+constexpr int kUnhealthyWindowsToFail = 2;
 
 }  // namespace
 
-void UsageComparison::record(const UsageReport &report, bool ofCanary) {
-    OutcomeCounts &counts = (ofCanary ? canary : baseline).routes[report.route];
+void UsageComparison::record(const UsageReport &report, bool fromCanary) {
+    OutcomeCounts &counts = (fromCanary ? canary : baseline).routes[report.route];
     counts.attempts += report.attempts;
     counts.failures += report.failures;
 }
@@ -19,9 +19,9 @@
     if (!canary.conclusive() || !baseline.conclusive())
         return false;
     const bool unhealthy =
-        !baseline.losesMany() && failsMore(canary, baseline, &OutcomeCounts::failures);
+        !baseline.failsOften() && failsMore(canary, baseline, &OutcomeCounts::failures);
     unhealthyStreak = unhealthy ? unhealthyStreak + 1 : 0;
-    if (ownErrors > 0 && unhealthyStreak >= kUnhealthyStreak)
+    if (ownErrors > 0 && unhealthyStreak >= kUnhealthyWindowsToFail)
         return true;
     canary = SampleWindow{};
     baseline = SampleWindow{};
--- a/src/policy/usage_comparison.hpp
+++ b/src/policy/usage_comparison.hpp
@@ -1,4 +1,5 @@
-// Compares the platform's aggregated counters of both builds, where own outcomes are few.
+// Comparison of the platform's aggregated counters of both builds, for gateways with few outcomes
+// of their own.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -7,20 +8,21 @@
 
 namespace deckcart::policy {
 
-/// Exception where the platform counts attempts, the same for all: they are windows where own
-/// outcomes are few. They hold rejections, dead endpoints and requests that have failed on the
-/// baseline, so an error of the canary must have been met here, and the baseline must lose few.
-/// Covers bad builds at small gateways. Harm: bad ones in an overload.
+/// Where the platform counts the attempts of all gateways, its counters form comparison windows for
+/// gateways with few outcomes of their own. The counters include rejections, dead endpoints and
+/// requests that failed on the baseline first, so this gateway must also have seen an error of the
+/// canary, and the baseline must not fail often. Covers bad builds at small gateways. Drawback:
+/// misses bad builds during an overload.
 class UsageComparison {
   public:
-    void record(const UsageReport &report, bool ofCanary);
-    /// Own attempt at the canary ended with an error.
+    void record(const UsageReport &report, bool fromCanary);
+    /// An attempt of this gateway at the canary ended in an error.
     void recordOwnError() { ++ownErrors; }
-    /// Compares once both have enough; returns whether the canary has failed.
+    /// Compares once both builds have enough attempts; returns whether the canary has failed.
     [[nodiscard]] bool canaryFails();
-    /// Whether the last comparison was to the canary's disadvantage.
+    /// Whether the last comparison was unfavourable to the canary.
     bool suspicious() const { return unhealthyStreak > 0; }
-    /// A stage has begun; of another build if `otherBuild`.
+    /// Starts a new stage, of another build if `otherBuild`.
     void reset(bool otherBuild);
 
   private:
--- a/src/policy/vote_schedule.cpp
+++ b/src/policy/vote_schedule.cpp
@@ -1,4 +1,4 @@
-// When votes are sent: at once if the verdict changes, renewed before they lapse, again after a
+// Timing of votes: sent at once if the verdict changes, renewed before they lapse, repeated after a
 // failure.
 #include "vote_schedule.hpp"
 
@@ -7,18 +7,19 @@
 
 using namespace std::chrono_literals;
 
-// The stage has passed or is young: its update is on its way.
+// Retry delay after an obsolete vote: the stage has ended or just begun, and its update is about to
+// arrive.
 constexpr Duration kObsoleteRetry = 1s;
-// The vote was rejected or lost.
+// Retry delay after a rejected or lost vote.
 constexpr Duration kFailedRetry = 250ms;
 
 }  // namespace
 
-void VoteSchedule::want(Verdict verdict, const std::string &grounds, TimePoint now) {
-    if (verdict == verdictWanted)
+void VoteSchedule::setDesired(Verdict verdict, const std::string &reasonText, TimePoint now) {
+    if (verdict == desiredVerdict)
         return;
-    verdictWanted = verdict;
-    reasonWanted = grounds;
+    desiredVerdict = verdict;
+    desiredReason = reasonText;
     dueAt = now;
 }
 
@@ -26,14 +27,14 @@
     replyPending = false;
     if (outcome == Outcome::ok) {
         acknowledged = lastSent;
-        dueAt = now + renewAfter();
+        dueAt = now + renewalInterval();
     } else {
         dueAt = now + (outcome == Outcome::obsolete ? kObsoleteRetry : kFailedRetry);
     }
 }
 
 void VoteSchedule::restart(Verdict verdict, TimePoint now) {
-    verdictWanted = verdict;
+    desiredVerdict = verdict;
     acknowledged = Verdict::none;
     dueAt = now;
     replyPending = false;
@@ -42,22 +43,22 @@
 bool VoteSchedule::due(const RolloutTracker &rollout, TimePoint now) const {
     if (now < dueAt || (replyPending && now < sentAt + settings.voteTimeout + kFailedRetry))
         return false;
-    if (verdictWanted == Verdict::none && acknowledged == Verdict::none)
+    if (desiredVerdict == Verdict::none && acknowledged == Verdict::none)
         return false;
     return rollout.inPhase(RolloutPhase::canary) ||
-           (rollout.inPhase(RolloutPhase::released) && verdictWanted == Verdict::rollBack);
+           (rollout.inPhase(RolloutPhase::released) && desiredVerdict == Verdict::rollBack);
 }
 
 std::optional<Vote> VoteSchedule::next(const RolloutTracker &rollout, TimePoint now) {
     if (!due(rollout, now))
         return std::nullopt;
-    newRollBack = verdictWanted == Verdict::rollBack &&
-                  (lastSent != verdictWanted || acknowledged != verdictWanted);
-    lastSent = verdictWanted;
+    isNewRollBack = desiredVerdict == Verdict::rollBack &&
+                    (lastSent != desiredVerdict || acknowledged != desiredVerdict);
+    lastSent = desiredVerdict;
     replyPending = true;
     sentAt = now;
-    dueAt = now + renewAfter();
-    return Vote{rollout.current().build, rollout.current().step, verdictWanted};
+    dueAt = now + renewalInterval();
+    return Vote{rollout.current().build, rollout.current().step, desiredVerdict};
 }
 
 }  // namespace deckcart::policy
--- a/src/policy/vote_schedule.hpp
+++ b/src/policy/vote_schedule.hpp
@@ -1,5 +1,5 @@
-// The vote of a gateway on the rollout: what it wants, what was acknowledged, and when to send it
-// again.
+// The vote of a gateway on the rollout: the desired verdict, the acknowledged one, and when to send
+// it again.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -14,31 +14,31 @@
   public:
     explicit VoteSchedule(const PolicySettings &policySettings) : settings(policySettings) {}
 
-    /// A changed verdict is sent at once; `grounds` tell why, for the log.
-    void want(Verdict verdict, const std::string &grounds, TimePoint now);
-    Verdict wanted() const { return verdictWanted; }
-    /// A vote was answered.
+    /// Sets the desired verdict; a change is sent at once. `reasonText` is for the log.
+    void setDesired(Verdict verdict, const std::string &reasonText, TimePoint now);
+    Verdict desired() const { return desiredVerdict; }
+    /// Handles the reply to a vote.
     void replied(Outcome outcome, TimePoint now);
-    /// A stage has begun: no vote stands.
+    /// Starts a new stage, in which no vote has been acknowledged.
     void restart(Verdict verdict, TimePoint now);
 
-    /// The vote to send now, if any. It counts as sent.
+    /// Returns the vote to send now, if any, and marks it as sent.
     [[nodiscard]] std::optional<Vote> next(const RolloutTracker &rollout, TimePoint now);
-    /// Whether the vote just sent is a new one to roll back.
-    bool rollsBackAnew() const { return newRollBack; }
-    const std::string &reason() const { return reasonWanted; }
+    /// Whether the last vote sent was a new vote to roll back, not a renewal.
+    bool startsRollBack() const { return isNewRollBack; }
+    const std::string &reason() const { return desiredReason; }
 
   private:
     bool due(const RolloutTracker &rollout, TimePoint now) const;
-    Duration renewAfter() const { return settings.voteLifetime * 6 / 10; }
+    Duration renewalInterval() const { return settings.voteLifetime * 6 / 10; }
 
     const PolicySettings &settings;
-    Verdict verdictWanted = Verdict::none;
-    std::string reasonWanted;
+    Verdict desiredVerdict = Verdict::none;
+    std::string desiredReason;
     Verdict acknowledged = Verdict::none;
     Verdict lastSent = Verdict::none;
     bool replyPending = false;
-    bool newRollBack = false;
+    bool isNewRollBack = false;
     TimePoint dueAt{};
     TimePoint sentAt{};
 };
--- a/tests/unit/policy_canary_analyzer_test.cpp
+++ b/tests/unit/policy_canary_analyzer_test.cpp
@@ -17,22 +17,22 @@
 }
 
 TEST(PolicySamples, MoreFailuresThanTheBaselinesAreWeighedByRoute) {
-    const SampleWindow ours = window(20, 4);
-    SampleWindow theirs = window(20, 1);
+    const SampleWindow subject = window(20, 4);
+    SampleWindow reference = window(20, 1);
     for (int attempt = 0; attempt < 20; ++attempt)
-        theirs.add(1, "b", true, false, 1);
-    EXPECT_TRUE(failsMore(ours, theirs, &OutcomeCounts::failures));
-    EXPECT_FALSE(failsMore(ours, theirs, &OutcomeCounts::errors));
-    EXPECT_TRUE(theirs.losesMany());
+        reference.add(1, "b", true, false, 1);
+    EXPECT_TRUE(failsMore(subject, reference, &OutcomeCounts::failures));
+    EXPECT_FALSE(failsMore(subject, reference, &OutcomeCounts::errors));
+    EXPECT_TRUE(reference.failsOften());
 }
 
 TEST(PolicySamples, AClosedWindowKeepsHalfOfTheCountsByEndpoint) {
-    SampleWindow ours = window(20, 4);
-    EXPECT_TRUE(ours.conclusive());
+    SampleWindow subject = window(20, 4);
+    EXPECT_TRUE(subject.conclusive());
     EXPECT_FALSE(window(19, 4).conclusive());
-    ours.close();
-    EXPECT_FALSE(ours.conclusive());
-    EXPECT_EQ(ours.endpoints.at("a").attempts, 10);
+    subject.close();
+    EXPECT_FALSE(subject.conclusive());
+    EXPECT_EQ(subject.endpoints.at("a").attempts, 10);
 }
 
 TEST(PolicySamples, OneSlowEndpointIsNotTypical) {
@@ -60,32 +60,32 @@
 
 TEST_F(DirectEvidenceTest, ThreePairsCountUnlessTheBaselineFailsAlike) {
     pairs(2);
-    EXPECT_FALSE(direct.pairsFail({100, 0, 0}));
+    EXPECT_FALSE(direct.pairsShowFailure({100, 0, 0}));
     pairs(1);
-    EXPECT_TRUE(direct.pairsFail({100, 0, 0}));
-    EXPECT_FALSE(direct.pairsFail({100, 30, 30}));
+    EXPECT_TRUE(direct.pairsShowFailure({100, 0, 0}));
+    EXPECT_FALSE(direct.pairsShowFailure({100, 30, 30}));
     direct.recordFailedOnBaseline();
-    EXPECT_FALSE(direct.pairsFail({100, 0, 0}));
+    EXPECT_FALSE(direct.pairsShowFailure({100, 0, 0}));
 }
 
 TEST_F(DirectEvidenceTest, BadAttemptsLapseWithAVotesLife) {
     pairs(1);
-    EXPECT_TRUE(direct.recentlyBad({100, 0, 0}));
-    EXPECT_TRUE(direct.anyRecent());
+    EXPECT_TRUE(direct.recentAttemptsFail({100, 0, 0}));
+    EXPECT_TRUE(direct.hasRecentEvidence());
     direct.expire(106s);
-    EXPECT_FALSE(direct.recentlyBad({100, 0, 0}));
-    EXPECT_FALSE(direct.anyRecent());
+    EXPECT_FALSE(direct.recentAttemptsFail({100, 0, 0}));
+    EXPECT_FALSE(direct.hasRecentEvidence());
 }
 
 TEST(PolicyDirectEvidence, TwoReportsOfIncorrectResponsesCount) {
     const PolicySettings settings;
     DirectEvidence direct(settings);
     direct.recordIncorrectResponse(100s);
-    EXPECT_FALSE(direct.incorrect());
+    EXPECT_FALSE(direct.reportedIncorrect());
     direct.recordIncorrectResponse(100s);
-    EXPECT_TRUE(direct.incorrect());
+    EXPECT_TRUE(direct.reportedIncorrect());
     direct.reset();
-    EXPECT_FALSE(direct.incorrect());
+    EXPECT_FALSE(direct.reportedIncorrect());
 }
 
 // Whether a window that is to the canary's disadvantage makes it fail.
@@ -115,12 +115,12 @@
 
 struct InterferenceTest : testing::Test {
     // Both builds' answers for so long; returns the last message.
-    std::string answers(double slowness, Duration duration) {
+    std::string runBaseline(double slowness, Duration duration) {
         std::string message;
         for (const TimePoint until = now + duration; now < until; now += 50ms) {
             detector.recordBaseline(slowness, now);
             detector.expire(now);
-            const auto finding = detector.advance(true, fleetShort, now);
+            const auto finding = detector.advance(true, capacityReduced, now);
             if (finding.message)
                 message = finding.message;
             interferes = interferes || finding.interferes;
@@ -133,32 +133,32 @@
     }
     InterferenceDetector detector;
     TimePoint now = 100s;
-    bool fleetShort = false;
+    bool capacityReduced = false;
     bool interferes = false;
 };
 
 TEST_F(InterferenceTest, ABuildThatSlowsTheBaselineAgainAfterAPauseIsBlamed) {
-    EXPECT_EQ(answers(1, 2s), "");
-    EXPECT_EQ(answers(3, 3s), "pause: both builds slow");
+    EXPECT_EQ(runBaseline(1, 2s), "");
+    EXPECT_EQ(runBaseline(3, 3s), "pause: both builds slow");
     EXPECT_TRUE(detector.paused());
-    EXPECT_EQ(answers(1, 3s), "resume: the pause has helped");
+    EXPECT_EQ(runBaseline(1, 3s), "resume: the pause has helped");
     EXPECT_FALSE(interferes);
-    answers(3, 3s);
+    runBaseline(3, 3s);
     EXPECT_TRUE(interferes);
 }
 
 TEST_F(InterferenceTest, APauseThatDoesNotHelpClearsForAWhile) {
-    EXPECT_EQ(answers(3, 3s), "pause: both builds slow");
-    EXPECT_EQ(answers(3, 4s), "resume: the pause has not helped");
-    EXPECT_EQ(answers(3, 4s), "");
+    EXPECT_EQ(runBaseline(3, 3s), "pause: both builds slow");
+    EXPECT_EQ(runBaseline(3, 4s), "resume: the pause has not helped");
+    EXPECT_EQ(runBaseline(3, 4s), "");
     EXPECT_FALSE(detector.blocksPromotion(now));
     EXPECT_FALSE(interferes);
 }
 
 TEST_F(InterferenceTest, AFleetThatIsShortIsNoReasonToPause) {
-    fleetShort = true;
-    EXPECT_EQ(answers(3, 5s), "");
-    EXPECT_FALSE(detector.quiet());
+    capacityReduced = true;
+    EXPECT_EQ(runBaseline(3, 5s), "");
+    EXPECT_FALSE(detector.idle());
 }
 
 struct CanaryAnalyzerTest : testing::Test {
@@ -172,23 +172,23 @@
     }
     AnalysisContext context() const { return {rollout, fleet, latencies, 0.07, false, now}; }
     // Answers of both builds for a second, 40 each; so many of the canary's are errors.
-    std::vector<std::string> second(int errors, double slowness = 1, double canarySlowness = 1) {
+    std::vector<std::string> runSecond(int errors, double slowness = 1, double canarySlowness = 1) {
         std::vector<std::string> messages;
         for (int attempt = 0; attempt < 40; ++attempt) {
             now += 25ms;
             const Outcome outcome = attempt < errors ? Outcome::error : Outcome::ok;
             record("c", 2, outcome, canarySlowness);
             record("b", 1, Outcome::ok, slowness);
-            const auto more = analyzer.analyze(context(), votes);
-            messages.insert(messages.end(), more.begin(), more.end());
+            const auto batch = analyzer.analyze(context(), votes);
+            messages.insert(messages.end(), batch.begin(), batch.end());
         }
         return messages;
     }
-    std::vector<std::string> slowSeconds(int count) {
+    std::vector<std::string> runSlowSeconds(int count) {
         std::vector<std::string> messages;
         for (int elapsed = 0; elapsed < count; ++elapsed) {
-            const auto more = second(0, 1, 5);
-            messages.insert(messages.end(), more.begin(), more.end());
+            const auto batch = runSecond(0, 1, 5);
+            messages.insert(messages.end(), batch.begin(), batch.end());
         }
         return messages;
     }
@@ -198,42 +198,42 @@
                                 .sentAt = now - 10ms,
                                 .outcome = outcome,
                                 .slowness = slowness,
-                                .errorBefore = {}},
+                                .previousErrorBuild = {}},
                                context());
     }
     PolicySettings settings;
     TimePoint now = 100s;
     RolloutTracker rollout{settings};
-    FleetSummary fleet{.newestEndpoints = 1, .places = 1};
+    FleetSummary fleet{.rolloutEndpoints = 1, .targetEndpoints = 1};
     RouteLatencies latencies{{{400ms, {}, {}, {}}}};
     VoteSchedule votes{settings};
     CanaryAnalyzer analyzer{settings, now};
 };
 
 TEST_F(CanaryAnalyzerTest, TwoWindowsWithErrorsRollBack) {
-    second(20);
+    runSecond(20);
     EXPECT_FALSE(analyzer.failed());
-    second(20);
-    second(20);
+    runSecond(20);
+    runSecond(20);
     EXPECT_TRUE(analyzer.failed());
-    EXPECT_EQ(votes.wanted(), Verdict::rollBack);
+    EXPECT_EQ(votes.desired(), Verdict::rollBack);
     EXPECT_EQ(votes.reason(), "failures");
 }
 
 TEST_F(CanaryAnalyzerTest, HealthyWindowsPromoteOnceTheStagesClockAllowsIt) {
     for (int seconds = 0; seconds < 3; ++seconds)
-        second(0);
-    EXPECT_EQ(votes.wanted(), Verdict::none);
-    second(0);
-    EXPECT_EQ(votes.wanted(), Verdict::promote);
+        runSecond(0);
+    EXPECT_EQ(votes.desired(), Verdict::none);
+    runSecond(0);
+    EXPECT_EQ(votes.desired(), Verdict::promote);
     EXPECT_EQ(votes.reason(), "healthy");
 }
 
 TEST_F(CanaryAnalyzerTest, ASlowBuildFirstGetsAnEvenShare) {
-    EXPECT_EQ(slowSeconds(3).size(), 1U);
+    EXPECT_EQ(runSlowSeconds(3).size(), 1U);
     EXPECT_TRUE(analyzer.evenShare());
     EXPECT_FALSE(analyzer.failed());
-    EXPECT_TRUE(slowSeconds(9).empty());
+    EXPECT_TRUE(runSlowSeconds(9).empty());
     EXPECT_TRUE(analyzer.failed());
     EXPECT_EQ(votes.reason(), "slow");
 }
--- a/tests/unit/policy_endpoint_table_test.cpp
+++ b/tests/unit/policy_endpoint_table_test.cpp
@@ -28,13 +28,13 @@
 
 TEST_F(EndpointTableTest, AnEndpointThatLeftIsForgottenAfterAWhileUnlessReferredTo) {
     table.update({entry("a", 1)}, random, 100s);
-    table.markAllLeft(100s);
+    table.markAllRemoved(100s);
     const auto never = [](const Endpoint &) { return false; };
-    table.forgetLeft(5s, 105s, never);
+    table.dropRemoved(5s, 105s, never);
     EXPECT_TRUE(table.contains("a"));
-    table.forgetLeft(5s, 106s, [](const Endpoint &) { return true; });
+    table.dropRemoved(5s, 106s, [](const Endpoint &) { return true; });
     EXPECT_TRUE(table.contains("a"));
-    table.forgetLeft(5s, 106s, never);
+    table.dropRemoved(5s, 106s, never);
     EXPECT_FALSE(table.contains("a"));
 }
 
--- a/tests/unit/policy_outlier_detector_test.cpp
+++ b/tests/unit/policy_outlier_detector_test.cpp
@@ -49,7 +49,7 @@
 
 TEST(PolicyOutliers, SilenceIsCountedFromTheAttempt) {
     EndpointHealth health;
-    health.heardFrom(100s);
+    health.setLastResponse(100s);
     EXPECT_FALSE(health.silentSince(100s));
     EXPECT_TRUE(health.silentSince(100s + 1us));
 }
--- a/tests/unit/policy_retry_policy_test.cpp
+++ b/tests/unit/policy_retry_policy_test.cpp
@@ -44,12 +44,12 @@
 }
 
 TEST_F(RetryPolicyTest, ARepeatStaysWithinTheScopeOfDeduplication) {
-    Endpoint far;
-    far.entry.zone = 1;
+    Endpoint otherZone;
+    otherZone.entry.zone = 1;
     EXPECT_TRUE(retries.sharesDeduplication(request(1, Outcome::reset), endpoint));
-    EXPECT_FALSE(retries.sharesDeduplication(request(1, Outcome::reset), far));
-    EXPECT_TRUE(retries.sharesDeduplication(request(3, Outcome::reset), far));
-    EXPECT_TRUE(retries.sharesDeduplication(request(1, Outcome::overloaded), far));
+    EXPECT_FALSE(retries.sharesDeduplication(request(1, Outcome::reset), otherZone));
+    EXPECT_TRUE(retries.sharesDeduplication(request(3, Outcome::reset), otherZone));
+    EXPECT_TRUE(retries.sharesDeduplication(request(1, Outcome::overloaded), otherZone));
     settings.routes[1].deduplicationScope = DeduplicationScope::cell;
     Endpoint otherCell;
     otherCell.entry.cell = 1;
@@ -89,8 +89,8 @@
 TEST_F(RetryPolicyTest, ARequestWaitsWhileAnAnswerInTimeCanBeHad) {
     EXPECT_TRUE(retries.worthWaiting(request(0), 0.1, 100'299ms));
     EXPECT_FALSE(retries.worthWaiting(request(0), 0.1, 100'300ms));
-    EXPECT_TRUE(retries.inTime(request(0), 0.1, 100'299ms));
-    EXPECT_FALSE(retries.inTime(request(0), 0.1, 100'300ms));
+    EXPECT_TRUE(retries.endsWithinObjective(request(0), 0.1, 100'299ms));
+    EXPECT_FALSE(retries.endsWithinObjective(request(0), 0.1, 100'300ms));
 }
 
 TEST_F(RetryPolicyTest, SilenceIsFourTimesTheUsual) {
@@ -100,7 +100,7 @@
     EXPECT_FALSE(retries.silentTooLong(attempt, 0.1, 1, 100'399ms));
     EXPECT_TRUE(retries.silentTooLong(attempt, 0.1, 1, 100'400ms));
     EXPECT_FALSE(retries.silentTooLong(attempt, 0.1, 2, 100'400ms)) << "a slow fleet";
-    endpoint.health.heardFrom(100'200ms);
+    endpoint.health.setLastResponse(100'200ms);
     EXPECT_FALSE(retries.silentTooLong(attempt, 0.1, 1, 100'400ms));
 }
 
--- a/tests/unit/policy_rollout_tracker_test.cpp
+++ b/tests/unit/policy_rollout_tracker_test.cpp
@@ -66,24 +66,24 @@
 
 TEST_F(RolloutTest, TheClockStartsWithTheLastEndpointOfTheStage) {
     EXPECT_EQ(update(2, 0, RolloutPhase::canary, 0.1), RolloutChange::build);
-    FleetSummary fleet{.newestEndpoints = 1, .places = 10, .newestStart = 103s};
-    EXPECT_FALSE(rollout.clockStart(fleet, 104s));
-    EXPECT_EQ(rollout.clockStart(fleet, 109s), TimePoint{108s}) << "endpoints stay missing";
-    fleet.newestEndpoints = 2;
-    EXPECT_EQ(rollout.clockStart(fleet, 104s), TimePoint{104s});
+    FleetSummary fleet{.rolloutEndpoints = 1, .targetEndpoints = 10, .latestRolloutStart = 103s};
+    EXPECT_FALSE(rollout.stageClockStart(fleet, 104s));
+    EXPECT_EQ(rollout.stageClockStart(fleet, 109s), TimePoint{108s}) << "endpoints stay missing";
+    fleet.rolloutEndpoints = 2;
+    EXPECT_EQ(rollout.stageClockStart(fleet, 104s), TimePoint{104s});
 }
 
 TEST_F(RolloutTest, ShorterStagesShrinkTheWaits) {
-    EXPECT_EQ(rollout.paced(3s), 3s);
+    EXPECT_EQ(rollout.scaledToStage(3s), 3s);
     settings.minStageDuration = 500ms;
-    EXPECT_EQ(rollout.paced(3s), 1s);
+    EXPECT_EQ(rollout.scaledToStage(3s), 1s);
 }
 
 TEST_F(RolloutTest, TheCanarysShareFollowsItsWarmCapacity) {
     EXPECT_EQ(update(2, 0, RolloutPhase::canary, 0.1), RolloutChange::build);
-    FleetSummary fleet{.newestCapacity = 1, .otherCapacity = 19, .places = 10};
+    FleetSummary fleet{.rolloutCapacity = 1, .otherCapacity = 19, .targetEndpoints = 10};
     EXPECT_DOUBLE_EQ(canaryShare(rollout, fleet, false), 0.7 * 0.1 * 0.5);
-    fleet.newestCapacity = 2;
+    fleet.rolloutCapacity = 2;
     EXPECT_DOUBLE_EQ(canaryShare(rollout, fleet, false), 0.7 * 0.1);
     fleet.otherCapacity = 98;
     EXPECT_DOUBLE_EQ(canaryShare(rollout, fleet, true), 0.02);
@@ -112,7 +112,7 @@
     VoteSchedule votes(settings);
     EXPECT_EQ(update(2, 1, RolloutPhase::canary, 0.4), RolloutChange::build);
     EXPECT_FALSE(votes.next(rollout, 100s));
-    votes.want(Verdict::promote, "healthy", 100s);
+    votes.setDesired(Verdict::promote, "healthy", 100s);
     const auto vote = votes.next(rollout, 100s);
     ASSERT_TRUE(vote);
     EXPECT_EQ(vote->verdict, Verdict::promote);
@@ -128,11 +128,11 @@
 TEST_F(RolloutTest, AReleasedBuildIsVotedOnOnlyToRollItBack) {
     VoteSchedule votes(settings);
     EXPECT_EQ(update(2, 2, RolloutPhase::released, 1), RolloutChange::build);
-    votes.want(Verdict::promote, "healthy", 100s);
+    votes.setDesired(Verdict::promote, "healthy", 100s);
     EXPECT_FALSE(votes.next(rollout, 100s));
-    votes.want(Verdict::rollBack, "failures", 100s);
+    votes.setDesired(Verdict::rollBack, "failures", 100s);
     EXPECT_TRUE(votes.next(rollout, 100s));
-    EXPECT_TRUE(votes.rollsBackAnew());
+    EXPECT_TRUE(votes.startsRollBack());
     EXPECT_EQ(votes.reason(), "failures");
 }
 
--- a/tests/unit/policy_test.cpp
+++ b/tests/unit/policy_test.cpp
@@ -124,12 +124,12 @@
     m.v.minStageDuration = minStageDuration;
     m.start(18, 2);
     m.now += 3s;  // the trial's machines are long there
-    const Duration began = m.now;
+    const Duration stageStartedAt = m.now;
     m.tell(RolloutUpdate{false, Outcome::ok, 3, 0, RolloutPhase::canary, 0.12, 0s});
     m.list.entries[18].build = m.list.entries[19].build = 3;
     m.tell(m.list);
     m.tick(12s);
-    return m.onAt - began;
+    return m.onAt - stageStartedAt;
 }
 
 TEST(PolicyPace, ShorterStagesShortenTheWaitsForThem) {
