--- a/src/policy/instance.hpp
+++ b/src/policy/instance.hpp
@@ -1,5 +1,5 @@
-// One gateway's decisions: its modules, the gate that every forwarded attempt passes, and what each
-// event leads to. Policy::decide calls it; forwarding.cpp and policy.cpp hold its functions.
+// The decisions of one gateway: its modules, the checks before each attempt, and the reaction to
+// each event. Policy::decide calls it; forwarding.cpp and policy.cpp implement it.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -23,14 +23,15 @@
 
 namespace deckcart {
 
+/// The state of one gateway.
 struct Policy::Instance {
     Instance(const PolicySettings &policySettings, TimePoint startedAt);
     Instance(const Instance &) = delete;
     Instance &operator=(const Instance &) = delete;
 
-    /// Takes up an event at that time.
-    void handle(const Event &event, TimePoint at);
-    /// After all events of a batch: compares the builds, votes, returns what is to be done.
+    /// Handles one event at the given time.
+    void handle(const Event &event, TimePoint time);
+    /// Ends a batch of events: compares the builds, votes, and returns the actions.
     [[nodiscard]] std::vector<Action> finishBatch();
 
   private:
@@ -58,8 +59,8 @@
     void recordOutcome(const Request &request, const Attempt &attempt, Outcome outcome);
     void recordHealth(const Request &request, const Attempt &attempt, Outcome outcome);
     void recordSample(const Request &request, const Attempt &attempt, Outcome outcome);
-    void retryOrGiveUp(RequestPosition at);
-    void checkSilence(Request &request);
+    void retryOrGiveUp(RequestPosition position);
+    void hedgeOrCancelSilent(Request &request);
     double firstAttemptShare() const;
     policy::AnalysisContext analysisContext() const;
 
@@ -69,26 +70,27 @@
     std::vector<Endpoint *> chooseTwo(const Request &request, BuildNumber build, bool lastResort);
     bool queryLoad(Request &request);
     bool dispatch(Request &request);
-    bool dispatchAmong(Request &request, const std::vector<Endpoint *> &endpoints);
+    bool dispatchAmong(Request &request, const std::vector<Endpoint *> &candidates);
     void send(Request &request, Endpoint &endpoint);
-    void dispatchOrWait(RequestPosition at);
-    void waitOrGiveUp(RequestPosition at);
+    void dispatchOrWait(RequestPosition position);
+    void waitOrGiveUp(RequestPosition position);
     bool shouldShed(const Request &request);
     void giveUp(Request &request);
     void finish(Request &request, bool inTime);
     void cancelAttempts(const Request &request);
-    void dropIfDone(RequestPosition at);
+    void dropIfDone(RequestPosition position);
 
     const Route &route(const Request &request) const {
         return settings.routes.at(std::size_t(request.arrival.route));
     }
+    // In seconds.
     double usualLatency(const Request &request) const {
         return latencies.usual(request.arrival.route);
     }
     void setTimer() { actions.emplace_back(SetTimer{policy::kHousekeepingInterval}); }
     void log(const std::string &message) { actions.emplace_back(LogLine{message}); }
 
-    PolicySettings settings;  // the modules refer to it
+    PolicySettings settings;  // referenced by the modules below
     TimePoint now;
     policy::RandomSource random;
     std::vector<Action> actions;
@@ -106,8 +108,8 @@
     policy::RolloutTracker rollout;
     policy::CanaryAnalyzer analyzer;
     policy::VoteSchedule votes;
-    bool watching = false;  // the endpoint list has come
-    TimePoint watchAgainAt{};
+    bool watching = false;  // the subscription to the endpoint list works
+    TimePoint nextWatchAt{};
 };
 
 }  // namespace deckcart
