--- a/src/platform/commands.cpp
+++ b/src/platform/commands.cpp
@@ -11,62 +11,64 @@
 namespace {
 
 constexpr std::size_t kMaxIdBytes = 128;
-constexpr double kMaxWaitMs = 1e9;
+constexpr double kMaxTimeoutMs = 1e9;
 
-// Where the parts stand in a command; a body may follow.
+// Positions of the arguments in a command; an optional body follows.
 constexpr std::size_t kKeyArgument = 1;
 constexpr std::size_t kIdArgument = 2;
-constexpr std::size_t kListArgument = 3;
-constexpr std::size_t kLeastArguments = 4;
+constexpr std::size_t kFieldsArgument = 3;
+constexpr std::size_t kMinArguments = 4;
 constexpr std::size_t kMaxArguments = 5;
 
-// The text of an error; null: there is none. Not an exception, as floods of bad commands come.
+// Text of an error reply; null if there is no error. Not an exception, because invalid commands may
+// arrive at a high rate.
 using ErrorText = const char *;
 
-// The list of names and values of a command. Views into the argument.
-struct RequestList {
+// The name=value fields of a command that the gateway reads, as views into the argument. A name
+// without a member here is forwarded without being interpreted.
+struct RequestFields {
     std::optional<std::string_view> route;
     std::optional<std::string_view> tenant;
-    std::optional<std::string_view> wait;
+    std::optional<std::string_view> clientTimeout;
     std::optional<std::string_view> idempotencyKey;
 
-    std::optional<std::string_view> *named(std::string_view name) {
+    std::optional<std::string_view> *find(std::string_view name) {
         if (name == "c")
             return &route;
         if (name == "t")
             return &tenant;
         if (name == "d")
-            return &wait;
+            return &clientTimeout;
         if (name == "k")
             return &idempotencyKey;
         return nullptr;
     }
 };
 
-// Digits, without an exponent.
+// Accepts no exponent.
 std::optional<double> parseDecimal(std::string_view text) {
     return wholeNumber(text, std::chars_format::fixed);
 }
 
 ErrorText checkArguments(const std::vector<std::string> &arguments) {
-    if (arguments.size() < kLeastArguments || arguments.size() > kMaxArguments)
+    if (arguments.size() < kMinArguments || arguments.size() > kMaxArguments)
         return "wrong number of arguments";
     if (arguments[kKeyArgument].size() > kMaxArgumentBytes)
         return "the key is too long";
     if (arguments[kIdArgument].empty() || arguments[kIdArgument].size() > kMaxIdBytes)
         return "no id, or a longer one than ids are";
-    if (arguments[kListArgument].size() > kMaxArgumentBytes)
+    if (arguments[kFieldsArgument].size() > kMaxArgumentBytes)
         return "the list of names and values is too long";
     return nullptr;
 }
 
-ErrorText parseList(std::string_view text, RequestList &list) {
+ErrorText parseFields(std::string_view text, RequestFields &requestFields) {
     ErrorText error = "a name without a value";
-    const bool paired =
+    const bool wellFormed =
         forEachNameValue(text, ',', [&](std::string_view name, std::string_view value) {
-            auto *field = list.named(name);
+            auto *field = requestFields.find(name);
             if (!field)
-                return true;  // others are forwarded as they are
+                return true;  // unknown fields are forwarded unchanged
             if (*field) {
                 error = "a name stands twice";
                 return false;
@@ -74,33 +76,33 @@
             *field = value;
             return true;
         });
-    if (!paired)
+    if (!wellFormed)
         return error;
-    if (!list.route || !list.wait)
+    if (!requestFields.route || !requestFields.clientTimeout)
         return "no class, or no time to wait";
     return nullptr;
 }
 
-ErrorText parseAttributes(const RequestList &list, bool isAsk,
+ErrorText parseAttributes(const RequestFields &requestFields, bool isIdempotentCommand,
                           const simulator::DeploymentSettings &settings,
                           RequestAttributes &attributes) {
-    const auto route = std::ranges::find(settings.routes, *list.route);
+    const auto route = std::ranges::find(settings.routes, *requestFields.route);
     if (route == settings.routes.end())
         return "no such class";
     attributes.route = std::size_t(route - settings.routes.begin());
     const Idempotency idempotency = settings.start.routes[attributes.route].idempotency;
-    if (isAsk != (idempotency == Idempotency::idempotent))
+    if (isIdempotentCommand != (idempotency == Idempotency::idempotent))
         return "not the command of this class";
-    const bool hasKey = list.idempotencyKey && !list.idempotencyKey->empty();
+    const bool hasKey = requestFields.idempotencyKey && !requestFields.idempotencyKey->empty();
     if (idempotency == Idempotency::withKey && !hasKey)
         return "no mark against repeats";
-    const auto waitMs = parseDecimal(*list.wait);
-    if (!waitMs || *waitMs < 0 || *waitMs > kMaxWaitMs)
+    const auto timeoutMs = parseDecimal(*requestFields.clientTimeout);
+    if (!timeoutMs || *timeoutMs < 0 || *timeoutMs > kMaxTimeoutMs)
         return "the time to wait is no number";
-    const Duration wait{std::llround(*waitMs * 1000)};
-    attributes.wait = std::min(settings.routeTimeouts[attributes.route], wait);
-    if (list.tenant)
-        attributes.tenant = tenantIndex(settings.tenants, *list.tenant);
+    const Duration clientTimeout{std::llround(*timeoutMs * 1000)};
+    attributes.wait = std::min(settings.routeTimeouts[attributes.route], clientTimeout);
+    if (requestFields.tenant)
+        attributes.tenant = tenantIndex(settings.tenants, *requestFields.tenant);
     return nullptr;
 }
 
@@ -113,29 +115,31 @@
 ParsedCommand parseCommand(std::vector<std::string> arguments,
                            const simulator::DeploymentSettings &settings) {
     ParsedCommand parsed;
-    RequestList list;
+    RequestFields requestFields;
     ErrorText error = checkArguments(arguments);
     if (!error)
-        error = parseList(arguments[kListArgument], list);
+        error = parseFields(arguments[kFieldsArgument], requestFields);
     if (!error)
-        error = parseAttributes(list, arguments[0] == "Q.ASK", settings, parsed.attributes);
+        error =
+            parseAttributes(requestFields, arguments[0] == "Q.ASK", settings, parsed.attributes);
     if (error) {
         parsed.error = std::string("ERR ") + error;
         return parsed;
     }
-    parsed.command.waitOffset = std::size_t(list.wait->data() - arguments[kListArgument].data());
-    parsed.command.waitLength = list.wait->size();
+    parsed.command.timeoutOffset =
+        std::size_t(requestFields.clientTimeout->data() - arguments[kFieldsArgument].data());
+    parsed.command.timeoutLength = requestFields.clientTimeout->size();
     parsed.attributes.key = arguments[kKeyArgument];
     parsed.attributes.name = arguments[kIdArgument];
     parsed.command.arguments = std::move(arguments);
     return parsed;
 }
 
-std::string forwardedCommand(const Command &command, Duration wait) {
+std::string forwardedCommand(const RequestCommand &command, Duration remainingTime) {
     std::vector<std::string> arguments = command.arguments;
-    const auto waitMs = std::max<std::int64_t>(1, wait.count() / 1000);
-    arguments[kListArgument].replace(command.waitOffset, command.waitLength,
-                                     std::to_string(waitMs));
+    const auto remainingMs = std::max<std::int64_t>(1, remainingTime.count() / 1000);
+    arguments[kFieldsArgument].replace(command.timeoutOffset, command.timeoutLength,
+                                       std::to_string(remainingMs));
     return resp::command(arguments);
 }
 
@@ -145,7 +149,7 @@
         const bool overloaded = reply.text == "BUSY" || reply.text.starts_with("BUSY ");
         return {overloaded ? Outcome::overloaded : Outcome::error, {}};
     }
-    // The value, null, the load report or null.
+    // A success reply has three items: the value, null, and the load report or null.
     const bool wellFormed =
         reply.kind == Kind::array && reply.items.size() == 3 && reply.items[0] && !reply.items[1];
     if (!wellFormed)
@@ -157,7 +161,7 @@
                                     const std::vector<std::string> &fields) {
     std::vector<double> load(fields.size());
     std::vector<bool> present(fields.size());
-    const bool readable =
+    const bool wellFormed =
         forEachNameValue(report, ',', [&](std::string_view name, std::string_view text) {
             const auto value = parseDecimal(text);
             if (!value || *value < 0)
@@ -169,7 +173,7 @@
             }
             return true;
         });
-    if (!readable || std::ranges::find(present, false) != present.end())
+    if (!wellFormed || std::ranges::find(present, false) != present.end())
         return {};
     return load;
 }
--- a/src/platform/commands.hpp
+++ b/src/platform/commands.hpp
@@ -1,6 +1,6 @@
-// The platform's commands and replies in terms of the gateway: a client's command to a request's
-// attributes, a request to an endpoint's command, an endpoint's reply to an outcome. Called by the
-// downstream and the upstream pool. Pure.
+// Translates between the platform's RESP2 commands and the gateway's types: a client's command into
+// request attributes, a request into the command for an endpoint, an endpoint's reply into an
+// outcome. Used by RespDownstream and RespUpstreamPool. Performs no I/O.
 #pragma once
 
 #include "../gateway/transport.hpp"
@@ -9,45 +9,52 @@
 
 namespace deckcart::platform {
 
-/// Of a command's key, and of its list of names and values.
+/// Upper bound on a command's key, and on its list of name=value fields.
 constexpr std::size_t kMaxArgumentBytes = 4096;
 
-/// A command as the client sent it. Key, id and body are forwarded unchanged, and so is the list of
-/// names and values but for the time to wait.
-struct Command {
+/// A request command as the client sent it. It is forwarded unchanged except for the value of the
+/// timeout field ("d"), which is replaced by the remaining time.
+struct RequestCommand {
     std::vector<std::string> arguments;
-    std::size_t waitOffset = 0;  ///< where the time to wait stands in the list
-    std::size_t waitLength = 0;
+    std::size_t timeoutOffset = 0;  ///< position of the timeout value in the fields argument
+    std::size_t timeoutLength = 0;  ///< length of the timeout value in bytes
 };
 
+/// The result of parseCommand().
 struct ParsedCommand {
     RequestAttributes attributes;
-    Command command;
-    std::string error;  ///< not empty: the text of the error reply; the others mean nothing
+    RequestCommand command;
+    std::string
+        error;  ///< text of the error reply; if not empty, the other members are unspecified
 };
 
-/// Whether it is one of the platform's requests, whatever else may be wrong with it.
-/// @param arguments  at least the command's name
+/// Whether the command name is that of a request (Q.ASK or Q.DO). Checks nothing else.
+/// @param arguments  at least the command name
 bool isRequestCommand(const std::vector<std::string> &arguments);
 
-/// Reads and checks a request command; see isRequestCommand().
+/// Parses and validates a request command; see isRequestCommand(). Invalid input is reported in
+/// ParsedCommand::error.
 ParsedCommand parseCommand(std::vector<std::string> arguments,
                            const simulator::DeploymentSettings &settings);
 
-/// The command's bytes for an endpoint. `wait`: what is left of the client's time, sent as whole
-/// milliseconds, at least one.
-std::string forwardedCommand(const Command &command, Duration wait);
+/// Encodes the command for an endpoint.
+/// @param remainingTime  time left until the client gives up; sent in whole milliseconds, at least
+/// 1
+std::string forwardedCommand(const RequestCommand &command, Duration remainingTime);
 
+/// The result of parseReply().
 struct ParsedReply {
     Outcome outcome = Outcome::error;
-    std::string value;
+    std::string value;  ///< set for Outcome::ok only
 };
 
-/// Reads an endpoint's reply to a request. A reply of another shape is Outcome::malformed.
+/// Interprets an endpoint's reply to a request. A reply that is neither an error nor of the
+/// expected structure is Outcome::malformed.
 ParsedReply parseReply(resp::Value reply);
 
-/// Reads a load report: the numbers in the order of `fields`. Empty where it can't be read or lacks
-/// one of them.
+/// Parses a load report of name=value pairs.
+/// @param fields  names of the values to return, in this order; other names are ignored
+/// @return empty if the report is malformed or lacks one of the fields
 std::vector<double> parseLoadReport(std::string_view report,
                                     const std::vector<std::string> &fields);
 
--- a/src/platform/configuration.cpp
+++ b/src/platform/configuration.cpp
@@ -8,31 +8,31 @@
 namespace deckcart::platform {
 namespace {
 
-// What a machine may state: guards against a unit that was mixed up.
-constexpr double kLeastCores = 0.001;
+// Plausible range of each resource limit: rejects a value given in the wrong unit.
+constexpr double kMinCores = 0.001;
 constexpr double kMaxCores = 1024;
-constexpr double kLeastMemoryMb = 8;
+constexpr double kMinMemoryMb = 8;
 constexpr double kMaxMemoryMb = 1e9;
-constexpr double kLeastSockets = 64;
+constexpr double kMinSockets = 64;
 constexpr double kMaxSockets = 1e9;
-constexpr int kHexadecimal = 16;
+constexpr int kHexBase = 16;
 
 std::uint64_t parseSeed(const JsonFields &fields) {
     const std::string text = fields.text("seed");
     const char *end = text.data() + text.size();
     std::uint64_t seed = 0;
-    const auto read = std::from_chars(text.data(), end, seed, kHexadecimal);
-    if (read.ec != std::errc{} || read.ptr != end)
-        fields.fail("seed", "is no hexadecimal number of 64 bits");
+    const auto result = std::from_chars(text.data(), end, seed, kHexBase);
+    if (result.ec != std::errc{} || result.ptr != end)
+        fields.fail("seed", "is not a 64-bit hexadecimal number");
     return seed;
 }
 
-// Reads a section of the document with its own reader; an error gets the section's name in front.
-auto parseSection(const char *section, auto read) {
+// Calls the parser of one section of the document and prefixes its errors with the section's name.
+auto parseSection(const char *section, auto parse) {
     try {
-        return read();
-    } catch (const std::exception &fault) {
-        throw ParseError(section, std::string(section) + ": " + fault.what());
+        return parse();
+    } catch (const std::exception &error) {
+        throw ParseError(section, std::string(section) + ": " + error.what());
     }
 }
 
@@ -41,30 +41,31 @@
 PlatformConfiguration parseConfiguration(const std::string &text) {
     const nlohmann::json document = parseUniqueKeys(text);
     const JsonFields fields(document);
-    PlatformConfiguration out;
-    out.name = fields.text("name");
-    out.listen = fields.address("listen");
-    out.discovery = fields.address("discovery");
-    out.seed = parseSeed(fields);
+    PlatformConfiguration configuration;
+    configuration.name = fields.text("name");
+    configuration.listen = fields.address("listen");
+    configuration.discovery = fields.address("discovery");
+    configuration.seed = parseSeed(fields);
 
     const JsonFields limits(fields.required("limits"), "limits");
-    out.cores = limits.number("cores", kLeastCores, kMaxCores);
-    out.memoryMb = std::size_t(limits.number("memory_mb", kLeastMemoryMb, kMaxMemoryMb));
-    out.sockets = std::size_t(limits.number("sockets", kLeastSockets, kMaxSockets));
+    configuration.cores = limits.number("cores", kMinCores, kMaxCores);
+    configuration.memoryMb = std::size_t(limits.number("memory_mb", kMinMemoryMb, kMaxMemoryMb));
+    configuration.sockets = std::size_t(limits.number("sockets", kMinSockets, kMaxSockets));
 
     const nlohmann::json &control = fields.required("platform");
-    out.control = JsonFields(control, "platform").address("address");
+    configuration.control = JsonFields(control, "platform").address("address");
 
     const nlohmann::json &settings = fields.required("settings");
-    out.settings =
-        parseSection("settings", [&] { return simulator::readSettings(settings, out.seed); });
+    configuration.settings = parseSection(
+        "settings", [&] { return simulator::readSettings(settings, configuration.seed); });
     const auto rollout = control.find("news");
     if (rollout != control.end() && !rollout->is_null())
-        out.knownRollout =
+        configuration.knownRollout =
             parseSection("platform.news", [&] { return parseRolloutUpdate(*rollout); });
-    out.knownEndpoints = parseSection(
-        "known", [&] { return parseDiscoveryList(fields.required("known"), out.settings.zones); });
-    return out;
+    configuration.knownEndpoints = parseSection("known", [&] {
+        return parseDiscoveryList(fields.required("known"), configuration.settings.zones);
+    });
+    return configuration;
 }
 
 }  // namespace deckcart::platform
--- a/src/platform/discovery_list.cpp
+++ b/src/platform/discovery_list.cpp
@@ -7,7 +7,7 @@
 namespace deckcart::platform {
 namespace {
 
-constexpr std::size_t kMaxEndpoints = 20000;  // beyond it it is no list of a site
+constexpr std::size_t kMaxEndpoints = 20000;  // more than any site has
 constexpr std::size_t kMaxIdBytes = 256;
 constexpr double kMaxCell = 1e9;
 constexpr double kMaxWeight = 1e9;
@@ -21,7 +21,7 @@
         return EndpointState::draining;
     if (state == "Gone")
         return EndpointState::removed;
-    fields.fail("lifecycle", "holds an unknown word");
+    fields.fail("lifecycle", "has an unknown value");
 }
 
 DiscoveredEndpoint parseEndpoint(const nlohmann::json &document,
@@ -33,7 +33,7 @@
     if (entry.id.empty() || entry.id.size() > kMaxIdBytes)
         fields.fail("instanceId", "is empty or too long");
     entry.state = parseState(fields);
-    // A removed one may be listed with its id alone.
+    // A removed endpoint may be listed with its id alone.
     const bool removed = entry.state == EndpointState::removed;
     if (!removed || fields.has("hostPort"))
         endpoint.address = fields.address("hostPort");
@@ -55,7 +55,7 @@
 DiscoveryList parseDiscoveryList(const nlohmann::json &document,
                                  const std::vector<std::string> &zones) {
     const JsonFields fields(document);
-    // All three must be there before any of them is looked at.
+    // Report a missing field before checking the values of the others.
     for (const char *name : {"generation", "reset", "instances"})
         (void)fields.required(name);
     DiscoveryList list;
@@ -63,7 +63,7 @@
     list.complete = fields.boolean("reset");
     const nlohmann::json &endpoints = fields.required("instances");
     if (!endpoints.is_array() || endpoints.size() > kMaxEndpoints)
-        fields.fail("instances", "is no list");
+        fields.fail("instances", "is not an array, or has too many entries");
     for (const auto &endpoint : endpoints)
         list.endpoints.push_back(parseEndpoint(endpoint, zones));
     return list;
--- a/src/platform/discovery_list.hpp
+++ b/src/platform/discovery_list.hpp
@@ -1,5 +1,6 @@
-// Discovery's endpoint list, whole or as a change, read from its JSON document. Used by the control
-// plane client and by the configuration, which holds the list as last known. Pure.
+// Parses the discovery service's endpoint list, complete or incremental, from its JSON document.
+// Used by PlatformControlPlaneClient and by the configuration, which holds the last known list.
+// Performs no I/O.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -12,21 +13,22 @@
 
 namespace deckcart::platform {
 
+/// One endpoint of a list.
 struct DiscoveredEndpoint {
-    EndpointEntry entry;  ///< without startedAt, which is on the gateway's clock
-    std::optional<asio::ip::tcp::endpoint> address;  ///< empty only for a removed one
-    std::int64_t startedAtUnixMs = 0;                ///< 0: long ago
+    EndpointEntry entry;  ///< startedAt is unset, since it counts on the gateway's clock
+    std::optional<asio::ip::tcp::endpoint> address;  ///< may be empty for a removed endpoint only
+    std::int64_t startedAtUnixMs = 0;                ///< Unix time in ms; 0: long ago
 };
 
+/// A complete list, or the endpoints that changed since the previous generation.
 struct DiscoveryList {
-    std::int64_t generation = 0;  ///< grows with each change
-    bool complete = false;        ///< the whole list; else only what has changed
+    std::int64_t generation = 0;  ///< increases with each change
+    bool complete = false;        ///< false: holds changed endpoints only
     std::vector<DiscoveredEndpoint> endpoints;
 };
 
-/// @param zones  names in the order of their numbers; a zone that is not among them gets the number
-///   past their end
-/// Throws ParseError with the field's place.
+/// @param zones  zone names by index; an unknown zone gets the index zones.size()
+/// @throws ParseError with the path of the invalid field
 DiscoveryList parseDiscoveryList(const nlohmann::json &document,
                                  const std::vector<std::string> &zones);
 
--- a/src/platform/downstream.cpp
+++ b/src/platform/downstream.cpp
@@ -6,15 +6,15 @@
 
 class RespRequest : public DownstreamRequest {
   public:
-    RespRequest(const Clock &clockOfIds, std::shared_ptr<resp::Exchange> commandExchange,
+    RespRequest(const Clock &gatewayClock, std::shared_ptr<resp::Exchange> commandExchange,
                 ParsedCommand parsed, std::shared_ptr<RequestIdRegistry> ids)
-        : command(std::move(parsed.command)), clock(clockOfIds),
+        : command(std::move(parsed.command)), clock(gatewayClock),
           exchange(std::move(commandExchange)), requestIds(std::move(ids)) {
         attributes = std::move(parsed.attributes);
         exchange->onGone = [this] {
             releaseId();
-            if (const auto notify = onGone)
-                notify();
+            if (const auto notifyGateway = onGone)
+                notifyGateway();
         };
     }
     ~RespRequest() override {
@@ -35,14 +35,14 @@
     }
     void errored(const std::string &, bool) override { answer(resp::error("ERR failed")); }
     void completed(UpstreamCall &, std::string_view value) override { answer(resp::bulk(value)); }
-    // Values are bounded and passed on whole: nothing is streamed.
+    // Nothing is streamed: values are of bounded size and passed on whole by completed().
     void begin(UpstreamCall &) override {}
     void write(std::string_view) override {}
     void end() override {}
     void abort() override { exchange->abort(); }
     std::size_t waiting() const override { return 0; }
 
-    const Command command;
+    const RequestCommand command;
 
   private:
     void answer(std::string bytes) {
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-const Command &commandOf(const DownstreamRequest &request) {
+const RequestCommand &commandOf(const DownstreamRequest &request) {
     return static_cast<const RespRequest &>(request).command;
 }
 
--- a/src/platform/downstream.hpp
+++ b/src/platform/downstream.hpp
@@ -1,5 +1,5 @@
-// Clients' commands over RESP2 as requests of the gateway; implements Downstream of
-// gateway/transport.hpp. Made by PlatformTransport.
+// Accepts clients' commands over RESP2 and hands them to the gateway as requests; implements
+// Downstream of gateway/transport.hpp. Created by PlatformTransport.
 #pragma once
 
 #include "../base/clock.hpp"
@@ -9,19 +9,20 @@
 
 namespace deckcart::platform {
 
-/// Listens from its construction on; accepts from open() on. One thread, that of its io_context.
+/// Listens once constructed, but accepts connections only after open(). Not thread-safe: all calls
+/// are made on the io_context's thread.
 class RespDownstream : public Downstream {
   public:
-    /// @param clock,settings  outlive this
-    /// Throws std::system_error where it can't listen at the address.
+    /// @param clock,settings  must outlive this object
+    /// @throws std::system_error if it cannot listen on the address
     RespDownstream(asio::io_context &context, const Clock &clock,
                    const asio::ip::tcp::endpoint &address, const resp::ListenerLimits &limits,
                    const simulator::DeploymentSettings &settings, DownstreamHandler handler);
 
-    /// Accepts connections, those among them that were made before. Call it once.
+    /// Starts accepting, including connections already in the listen queue. Call once.
     void open() { listener.open(); }
     asio::ip::tcp::endpoint address() const override { return listener.address(); }
-    void limit() override {}  // the limits stand for the life of the process
+    void limit() override {}  // the limits are fixed for the life of the process
     void drain(std::function<void()> ended) override { listener.drain(std::move(ended)); }
     std::size_t connections() const override { return listener.connections(); }
 
@@ -36,7 +37,8 @@
     resp::Listener listener;
 };
 
-/// The client's command of a request that a RespDownstream has handed on.
-const Command &commandOf(const DownstreamRequest &request);
+/// The command behind a request.
+/// @param request  must have been created by a RespDownstream
+const RequestCommand &commandOf(const DownstreamRequest &request);
 
 }  // namespace deckcart::platform
--- a/src/platform/endpoint_directory.hpp
+++ b/src/platform/endpoint_directory.hpp
@@ -1,5 +1,5 @@
-// The address that discovery gives beside each endpoint's id. Filled by the control plane client,
-// read by the upstream pool; the decision module knows ids alone.
+// Maps endpoint ids to the addresses that discovery lists for them. Updated by
+// PlatformControlPlaneClient, read by RespUpstreamPool; the decision module knows ids only.
 #pragma once
 
 #include <map>
@@ -8,20 +8,21 @@
 
 namespace deckcart::platform {
 
-/// The present incarnation of each listed endpoint.
+/// Holds the current incarnation of each listed endpoint.
 class EndpointDirectory {
   public:
-    /// One run of an endpoint's process at an address. A connection to another incarnation of the
-    /// same id is not used any more.
+    /// One run of an endpoint's process at one address. A connection to an earlier incarnation of
+    /// the same id must not be reused.
     struct Incarnation {
         asio::ip::tcp::endpoint address;
         BuildNumber build = 0;
-        std::int64_t startedAtUnixMs = 0;
+        std::int64_t startedAtUnixMs = 0;  ///< 0: long ago
         bool operator==(const Incarnation &) const = default;
     };
 
+    /// Replaces the content with a complete list, or merges an incremental one.
     void apply(const DiscoveryList &list);
-    /// Null where no endpoint of this id is listed. Valid until the next apply().
+    /// @return null if no endpoint with this id is listed; valid until the next apply()
     [[nodiscard]] const Incarnation *find(const EndpointId &id) const;
 
   private:
--- a/src/platform/form.cpp
+++ b/src/platform/form.cpp
@@ -10,27 +10,27 @@
 namespace deckcart::platform {
 namespace {
 
-// An event of the platform is some hundred bytes. Guards against one that never ends.
+// Events of the platform have a few hundred bytes. Bounds the memory for an event that never ends.
 constexpr std::size_t kMaxEventBytes = 64 * 1024;
-constexpr int kHexadecimal = 16;
+constexpr int kHexBase = 16;
 constexpr std::size_t kEscapeDigits = 2;
 
-std::string decoded(std::string_view encoded) {
+std::string percentDecoded(std::string_view encoded) {
     std::string plain;
-    for (std::size_t at = 0; at < encoded.size(); ++at) {
-        if (encoded[at] != '%') {
-            plain.push_back(encoded[at] == '+' ? ' ' : encoded[at]);
+    for (std::size_t position = 0; position < encoded.size(); ++position) {
+        if (encoded[position] != '%') {
+            plain.push_back(encoded[position] == '+' ? ' ' : encoded[position]);
             continue;
         }
-        const std::string_view digits = encoded.substr(at + 1, kEscapeDigits);
+        const std::string_view digits = encoded.substr(position + 1, kEscapeDigits);
         const char *end = digits.data() + digits.size();
         unsigned value = 0;
-        const bool whole = digits.size() == kEscapeDigits &&
-                           std::from_chars(digits.data(), end, value, kHexadecimal).ptr == end;
-        if (!whole)
-            throw ParseError({}, "a form holds a bad escape");
+        const bool valid = digits.size() == kEscapeDigits &&
+                           std::from_chars(digits.data(), end, value, kHexBase).ptr == end;
+        if (!valid)
+            throw ParseError({}, "form data contains an invalid percent escape");
         plain.push_back(char(value));
-        at += kEscapeDigits;
+        position += kEscapeDigits;
     }
     return plain;
 }
@@ -39,7 +39,7 @@
 
 void Form::add(std::string name, std::string value) {
     if (values.contains(name))
-        throw ParseError(name, "a form holds a name twice");
+        throw ParseError(name, "form data contains a duplicate name");
     set(std::move(name), std::move(value));
 }
 
@@ -54,26 +54,26 @@
     return found->second;
 }
 
-double Form::number(const char *name, double least, double most) const {
+double Form::number(const char *name, double minimum, double maximum) const {
     const auto number = wholeNumber(text(name));
-    if (!number || !(*number >= least && *number <= most))
+    if (!number || !(*number >= minimum && *number <= maximum))
         throwFieldError(name, "is out of range");
     return *number;
 }
 
 Form parseForm(std::string_view text) {
     Form form;
-    const bool paired =
+    const bool wellFormed =
         forEachNameValue(text, '&', [&](std::string_view name, std::string_view value) {
-            form.add(decoded(name), decoded(value));
+            form.add(percentDecoded(name), percentDecoded(value));
             return true;
         });
-    if (!paired)
-        throw ParseError({}, "a form holds a name without a value");
+    if (!wellFormed)
+        throw ParseError({}, "form data contains a name without a value");
     return form;
 }
 
-std::optional<ServerSentEvent> ServerSentEventParser::feedLine(std::string_view line) {
+std::optional<ServerSentEvent> ServerSentEventParser::consumeLine(std::string_view line) {
     if (line.ends_with('\r'))
         line.remove_suffix(1);
     if (line.empty()) {
@@ -91,7 +91,7 @@
         value.remove_prefix(1);
     const std::string_view field = line.substr(0, colon);
     if (pending.data.size() + value.size() > kMaxEventBytes)
-        throw ParseError("data", "an event is too long");
+        throw ParseError("data", "event exceeds the size limit");
     if (field == "event")
         pending.type = value;
     else if (field == "data")
--- a/src/platform/form.hpp
+++ b/src/platform/form.hpp
@@ -1,5 +1,6 @@
-// Forms (application/x-www-form-urlencoded) and server-sent events, as the platform's control
-// service streams them. Used by the control plane client. Pure; throws ParseError.
+// Parsers of form bodies (application/x-www-form-urlencoded) and of server-sent events
+// (text/event-stream), the formats of the platform's control service. Used by
+// PlatformControlPlaneClient. Performs no I/O.
 #pragma once
 
 #include <map>
@@ -9,38 +10,39 @@
 
 namespace deckcart::platform {
 
-/// Named values, decoded. A name stands once.
+/// Decoded form fields with unique names.
 class Form {
   public:
-    /// Throws ParseError where the name is set already.
+    /// @throws ParseError if the name is already set
     void add(std::string name, std::string value);
     /// Sets or replaces.
     void set(std::string name, std::string value);
-    /// Throws ParseError where there is no such name.
+    /// @throws ParseError if the field is missing
     [[nodiscard]] const std::string &text(const char *name) const;
-    /// Throws ParseError where it is no number, or not from `least` to `most`.
-    [[nodiscard]] double number(const char *name, double least, double most) const;
+    /// @throws ParseError if the field is missing, not a number, or outside [minimum, maximum]
+    [[nodiscard]] double number(const char *name, double minimum, double maximum) const;
 
   private:
     std::map<std::string, std::string> values;
 };
 
-/// Reads name=value&name=value with %XX and + for a space. Throws ParseError at a bad escape, a
-/// part without "=" and a name that stands twice.
+/// Parses name=value&name=value with percent-encoding and "+" for a space.
+/// @throws ParseError on an invalid escape, a pair without "=" or a duplicate name
 Form parseForm(std::string_view text);
 
+/// One event of a stream; either member may be empty, but not both.
 struct ServerSentEvent {
     std::string type;
-    std::string data;
+    std::string data;  ///< data lines joined by line feeds
 };
 
-/// Puts the lines of an event stream (text/event-stream) together to events.
+/// Assembles events from the lines of an event stream.
 class ServerSentEventParser {
   public:
-    /// @param line  without its line feed
+    /// @param line  without its line feed; a trailing carriage return is ignored
     /// @return the event that this line completes, if any
-    /// Throws ParseError where an event is over 64 KiB.
-    [[nodiscard]] std::optional<ServerSentEvent> feedLine(std::string_view line);
+    /// @throws ParseError if an event exceeds 64 KiB
+    [[nodiscard]] std::optional<ServerSentEvent> consumeLine(std::string_view line);
 
   private:
     ServerSentEvent pending;
--- a/src/platform/json_fields.cpp
+++ b/src/platform/json_fields.cpp
@@ -9,17 +9,17 @@
 
 using nlohmann::json;
 
-void throwFieldError(const std::string &place, const std::string &what) {
-    throw ParseError(place, "field " + place + " " + what);
+void throwFieldError(const std::string &fieldPath, const std::string &problem) {
+    throw ParseError(fieldPath, "field " + fieldPath + " " + problem);
 }
 
-void JsonFields::fail(const char *name, const std::string &what) const {
-    throwFieldError(path.empty() ? name : path + "." + name, what);
+void JsonFields::fail(const char *name, const std::string &problem) const {
+    throwFieldError(path.empty() ? name : path + "." + name, problem);
 }
 
 const json &JsonFields::required(const char *name) const {
     if (!object.is_object())
-        throwFieldError(path.empty() ? name : path, "is no object");
+        throwFieldError(path.empty() ? name : path, "is not an object");
     const auto found = object.find(name);
     if (found == object.end())
         fail(name, "is missing");
@@ -29,16 +29,16 @@
 std::string JsonFields::text(const char *name) const {
     const json &value = required(name);
     if (!value.is_string())
-        fail(name, "is no string");
+        fail(name, "is not a string");
     return value.get<std::string>();
 }
 
-double JsonFields::number(const char *name, double least, double most) const {
+double JsonFields::number(const char *name, double minimum, double maximum) const {
     const json &value = required(name);
     if (!value.is_number())
-        fail(name, "is no number");
+        fail(name, "is not a number");
     const auto number = value.get<double>();
-    if (!(number >= least && number <= most))
+    if (!(number >= minimum && number <= maximum))
         fail(name, "is out of range");
     return number;
 }
@@ -46,14 +46,14 @@
 bool JsonFields::boolean(const char *name) const {
     const json &value = required(name);
     if (!value.is_boolean())
-        fail(name, "is neither true nor false");
+        fail(name, "is not a boolean");
     return value.get<bool>();
 }
 
 std::int64_t JsonFields::integer(const char *name) const {
     const json &value = required(name);
     if (!value.is_number_integer())
-        fail(name, "is no whole number");
+        fail(name, "is not an integer");
     return value.get<std::int64_t>();
 }
 
@@ -83,7 +83,7 @@
     if (document.is_discarded())
         throw ParseError({}, "the configuration is not JSON");
     if (!duplicate.empty())
-        throwFieldError(duplicate, "stands twice");
+        throwFieldError(duplicate, "appears more than once");
     return document;
 }
 
--- a/src/platform/json_object_splitter.cpp
+++ b/src/platform/json_object_splitter.cpp
@@ -17,29 +17,29 @@
     return byte >= '0' && byte <= '9';
 }
 
-// Of a number, true, false or null.
-bool isWordByte(char byte) {
+// A byte of a number, true, false or null.
+bool isScalarByte(char byte) {
     return isDigit(byte) || (byte >= 'a' && byte <= 'z') || byte == '+' || byte == '-' ||
            byte == '.' || byte == 'E';
 }
 
-[[noreturn]] void fail(const char *what) {
-    throw ParseError({}, what);
+[[noreturn]] void fail(const char *message) {
+    throw ParseError({}, message);
 }
 
 }  // namespace
 
-std::vector<std::string> JsonObjectSplitter::feed(std::string_view bytes) {
+std::vector<std::string> JsonObjectSplitter::consume(std::string_view bytes) {
     std::vector<std::string> objects;
     for (const char byte : bytes) {
         if (object.empty() && isSpace(byte))
             continue;
         if (object.empty() && byte != '{')
-            fail("what comes is no JSON object");
+            fail("expected a JSON object");
         if (object.size() >= maxBytes)
-            fail("a value is too long");
+            fail("JSON object exceeds the size limit");
         object.push_back(byte);
-        consume(byte);
+        consumeByte(byte);
         if (!openBrackets.empty())
             continue;
         objects.push_back(std::exchange(object, {}));
@@ -48,13 +48,13 @@
     return objects;
 }
 
-void JsonObjectSplitter::consume(char byte) {
+void JsonObjectSplitter::consumeByte(char byte) {
     if (token == Token::string || token == Token::escape)
         return consumeInString(byte);
-    if (token == Token::word) {
-        if (isWordByte(byte))
+    if (token == Token::scalar) {
+        if (isScalarByte(byte))
             return;
-        endWord();
+        endScalar();
     }
     if (!isSpace(byte))
         beginToken(byte);
@@ -66,7 +66,7 @@
         return;
     }
     if (static_cast<unsigned char>(byte) < kFirstPrintable)
-        fail("a string holds a control character");
+        fail("JSON string contains an unescaped control character");
     if (byte == '\\') {
         token = Token::escape;
     } else if (byte == '"') {
@@ -86,11 +86,11 @@
         expected = Expected::value;
     } else if (byte == ',' && expected == Expected::commaOrEnd) {
         expected = openBrackets.back() == '{' ? Expected::key : Expected::value;
-    } else if (isWordByte(byte) && mayBeValue) {
-        token = Token::word;
-        wordBegin = object.size() - 1;
+    } else if (isScalarByte(byte) && mayBeValue) {
+        token = Token::scalar;
+        scalarBegin = object.size() - 1;
     } else {
-        fail("what comes is no JSON");
+        fail("unexpected character in JSON");
     }
 }
 
@@ -116,20 +116,20 @@
     return true;
 }
 
-// A string, a word or what brackets hold has ended: a key waits for its value, all else for more or
-// the end.
+// Called at the end of a string, object or array. After a key a colon must follow, after a value a
+// comma or the closing bracket.
 void JsonObjectSplitter::endValueOrKey() {
     const bool keyExpected = expected == Expected::key || expected == Expected::keyOrEnd;
     const bool isKey = keyExpected && object.back() == '"';
     expected = isKey ? Expected::colon : Expected::commaOrEnd;
 }
 
-void JsonObjectSplitter::endWord() {
-    const std::string_view word =
-        std::string_view(object).substr(wordBegin, object.size() - 1 - wordBegin);
-    const bool isNumber = word[0] == '-' || isDigit(word[0]);
-    if (!isNumber && word != "true" && word != "false" && word != "null")
-        fail("a word is no JSON");
+void JsonObjectSplitter::endScalar() {
+    const std::string_view scalar =
+        std::string_view(object).substr(scalarBegin, object.size() - 1 - scalarBegin);
+    const bool isNumber = scalar[0] == '-' || isDigit(scalar[0]);
+    if (!isNumber && scalar != "true" && scalar != "false" && scalar != "null")
+        fail("invalid JSON literal");
     token = Token::none;
     expected = Expected::commaOrEnd;
 }
--- a/src/platform/json_object_splitter.hpp
+++ b/src/platform/json_object_splitter.hpp
@@ -1,5 +1,5 @@
-// Splits a byte stream into whole JSON objects, whatever the white space between their parts and
-// wherever the bytes are cut. Used for discovery's watch. Pure.
+// Splits a byte stream into complete JSON objects, independent of white space and of how the bytes
+// are divided into reads. Used for the watch on the endpoint list. Performs no I/O.
 #pragma once
 
 #include <string>
@@ -8,38 +8,40 @@
 
 namespace deckcart::platform {
 
-/// What can't become an object is found at the byte that shows it, not at the object's end, which
-/// may never come. Checks the structure; a JSON parser reads the values.
+/// Reports invalid input at the first byte that cannot belong to an object, rather than at the end
+/// of the object, which may never arrive. Checks the structure only; the values are left to a JSON
+/// parser.
 class JsonObjectSplitter {
   public:
-    /// @param maxObjectBytes  of one object
+    /// @param maxObjectBytes  upper bound on the size of one object
     explicit JsonObjectSplitter(std::size_t maxObjectBytes) : maxBytes(maxObjectBytes) {}
 
+    /// Appends bytes of the stream.
     /// @return the objects that these bytes complete, in order
-    /// Throws ParseError at a byte that fits no object, or past the bound; the state is undefined
-    /// from then on.
-    [[nodiscard]] std::vector<std::string> feed(std::string_view bytes);
-    /// An object has begun and has not ended.
+    /// @throws ParseError at an invalid byte, or if an object exceeds the bound; the splitter must
+    ///   not be used afterwards
+    [[nodiscard]] std::vector<std::string> consume(std::string_view bytes);
+    /// Whether an object has begun but is not complete yet.
     [[nodiscard]] bool insideObject() const { return !object.empty(); }
 
   private:
     enum class Expected { value, valueOrEnd, key, keyOrEnd, colon, commaOrEnd };
-    enum class Token { none, string, escape, word };
+    enum class Token { none, string, escape, scalar };
 
-    void consume(char byte);
+    void consumeByte(char byte);
     void consumeInString(char byte);
     void beginToken(char byte);
     bool openBracket(char byte);
     bool closeBracket(char byte);
     void endValueOrKey();
-    void endWord();
+    void endScalar();
 
     std::size_t maxBytes;
-    std::string object;  // the present one, as far as it has come
+    std::string object;  // the bytes of the incomplete object
     std::string openBrackets;
     Expected expected = Expected::value;
     Token token = Token::none;
-    std::size_t wordBegin = 0;
+    std::size_t scalarBegin = 0;
 };
 
 }  // namespace deckcart::platform
--- a/src/platform/name_value_list.hpp
+++ b/src/platform/name_value_list.hpp
@@ -1,5 +1,5 @@
-// Lists of names and values, name=value with a separator between: forms, the list of a command's
-// names and values, load reports. Pure.
+// Iterates over lists of name=value pairs with a separator in between: form bodies, the fields of a
+// command, load reports. Performs no I/O.
 #pragma once
 
 #include <algorithm>
@@ -7,16 +7,16 @@
 
 namespace deckcart::platform {
 
-/// Calls `visit(name, value)` with each pair in order until it returns false.
-/// @return false where `visit` did, or at a part without "="
+/// Calls `visit(name, value)` for each pair in order until it returns false.
+/// @return false if `visit` returned false or a pair has no "="
 template <class Visit>
 [[nodiscard]] bool forEachNameValue(std::string_view text, char separator, Visit visit) {
     while (!text.empty()) {
-        const auto part = text.substr(0, text.find(separator));
-        text.remove_prefix(std::min(text.size(), part.size() + 1));
-        const auto equals = part.find('=');
+        const auto pair = text.substr(0, text.find(separator));
+        text.remove_prefix(std::min(text.size(), pair.size() + 1));
+        const auto equals = pair.find('=');
         if (equals == std::string_view::npos ||
-            !visit(part.substr(0, equals), part.substr(equals + 1)))
+            !visit(pair.substr(0, equals), pair.substr(equals + 1)))
             return false;
     }
     return true;
--- a/src/platform/platform_control_plane.cpp
+++ b/src/platform/platform_control_plane.cpp
@@ -6,7 +6,7 @@
 
 namespace deckcart::platform {
 
-// A list of the largest site is a fraction of it. Guards against a value that never ends.
+// Several times the list of the largest site. Bounds the memory for a document that never ends.
 constexpr std::size_t kMaxListBytes = 8 * 1024 * 1024;
 
 EndpointListUpdate toEndpointListUpdate(const DiscoveryList &list) {
@@ -21,42 +21,43 @@
 
 PlatformControlPlaneClient::PlatformControlPlaneClient(
     asio::io_context &ioContext, EndpointDirectory &endpointDirectory,
-    const simulator::DeploymentSettings &deployment, const PlatformAddresses &services,
-    std::uint64_t seed, Log log, std::int64_t knownGeneration, ControlPlaneObserver gatewayObserver)
-    : context(ioContext), directory(endpointDirectory), settings(deployment), addresses(services),
-      observer(std::move(gatewayObserver)), generation(knownGeneration),
-      listStream(context, listWatch(seed), log),
-      rolloutStream(context, rolloutWatch(seed + 1), std::move(log)) {
+    const simulator::DeploymentSettings &deploymentSettings,
+    const PlatformAddresses &platformAddresses, std::uint64_t seed, Log log,
+    std::int64_t knownGeneration, ControlPlaneObserver gatewayObserver)
+    : context(ioContext), directory(endpointDirectory), settings(deploymentSettings),
+      addresses(platformAddresses), observer(std::move(gatewayObserver)),
+      generation(knownGeneration), listStream(context, listWatchOptions(seed), log),
+      rolloutStream(context, rolloutWatchOptions(seed + 1), std::move(log)) {
     listStream.connectTo(addresses.discovery);
     rolloutStream.connectTo(addresses.control);
 }
 
-// Each connect asks from the generation that is known then.
-WatchStream::Options PlatformControlPlaneClient::listWatch(std::uint64_t seed) {
+// The target is computed at each connect, so that a reconnect continues from the last generation.
+WatchStream::Options PlatformControlPlaneClient::listWatchOptions(std::uint64_t seed) {
     const auto target = [this] {
         return "/discovery/hosts?stream=1&index=" + std::to_string(generation);
     };
     const auto makeReader = [this]() -> WatchStream::Reader {
         const auto splitter = std::make_shared<JsonObjectSplitter>(kMaxListBytes);
         return [this, splitter](std::string_view bytes) {
-            const auto documents = splitter->feed(bytes);
+            const auto documents = splitter->consume(bytes);
             for (const auto &text : documents)
                 onList(parseDiscoveryList(nlohmann::json::parse(text), settings.zones));
-            // White space between two lists is the platform's heartbeat.
+            // The platform sends white space between two lists as a heartbeat.
             return !documents.empty() || !splitter->insideObject();
         };
     };
     return {"discovery", listTimeouts(), http::Fetch::Cut::nowhere, seed, target, makeReader};
 }
 
-WatchStream::Options PlatformControlPlaneClient::rolloutWatch(std::uint64_t seed) {
+WatchStream::Options PlatformControlPlaneClient::rolloutWatchOptions(std::uint64_t seed) {
     const auto target = [] { return std::string("/apis/fleet/bulletin"); };
     const auto makeReader = [this]() -> WatchStream::Reader {
         const auto parser = std::make_shared<ServerSentEventParser>();
         return [this, parser](std::string_view line) {
-            if (const auto event = parser->feedLine(line))
+            if (const auto event = parser->consumeLine(line))
                 onRolloutEvent(*event);
-            return true;  // each line, a comment among them, is a sign of life
+            return true;  // any line proves that the peer is alive, including a comment
         };
     };
     return {"bulletin", rolloutTimeouts(), http::Fetch::Cut::atLines, seed, target, makeReader};
@@ -81,7 +82,7 @@
 
 void PlatformControlPlaneClient::onList(const DiscoveryList &list) {
     if (list.generation < generation)
-        return;  // overtaken by a newer one
+        return;  // a newer list has been applied already
     generation = list.generation;
     directory.apply(list);
     observer.tell(toEndpointListUpdate(list));
@@ -95,7 +96,7 @@
     const auto onReply = [this](const http::Fetched &reply) {
         if (reply.inTime && reply.outcome == CallEnd::complete)
             return observer.tell(parseVoteReply(reply.head.status, reply.body));
-        // Not carried out where nothing was handed over; else it may have been.
+        // The vote cannot have counted if nothing was sent; otherwise it may have.
         observer.tell(voteFailed(reply.startedSending ? Outcome::timeout : Outcome::error));
     };
     voteCalls.add(
--- a/src/platform/platform_control_plane.hpp
+++ b/src/platform/platform_control_plane.hpp
@@ -1,7 +1,7 @@
-// The gateway's client of the platform's discovery and control service: endpoint list, rollout
-// updates, usage reports and votes. Made by PlatformTransport; wire forms in
-// docs/design-platform.md and in the platform's own pages. When to vote is the decision module's
-// business.
+// The gateway's client for the platform's discovery and control services: endpoint list, rollout
+// updates, usage reports and votes. Created by PlatformTransport. The wire formats are described in
+// docs/design-platform.md and in the platform's documentation. The decision module decides when to
+// vote.
 #pragma once
 
 #include "../base/log.hpp"
@@ -14,35 +14,39 @@
 
 namespace deckcart::platform {
 
-/// Where the platform's two services listen.
+/// Addresses of the platform's two services.
 struct PlatformAddresses {
     asio::ip::tcp::endpoint discovery;
     asio::ip::tcp::endpoint control;
 };
 
-/// Watches both services from its construction on and turns their documents into events. One
-/// thread, that of its io_context.
+/// Watches both services once constructed and converts their documents into events. Not
+/// thread-safe: all calls and callbacks are made on the io_context's thread.
 class PlatformControlPlaneClient : public ControlPlaneClient {
   public:
-    /// @param directory  gets the addresses of each list, before the list is handed on
-    /// @param settings  outlive this client
-    /// @param knownGeneration  of the list that the gateway starts with; older lists are dropped
+    /// @param directory  updated from each list before the observer is told of it; must outlive
+    /// this
+    ///   object
+    /// @param settings  must outlive this object
+    /// @param seed  of the reconnect jitter
+    /// @param knownGeneration  generation of the list that the gateway starts with; older lists are
+    ///   ignored
     PlatformControlPlaneClient(asio::io_context &context, EndpointDirectory &directory,
                                const simulator::DeploymentSettings &settings,
                                const PlatformAddresses &addresses, std::uint64_t seed, Log log,
                                std::int64_t knownGeneration, ControlPlaneObserver observer);
 
-    /// Does nothing: the streams are always kept, as the platform sends by itself.
+    /// Does nothing: both watches are always open, and the platform pushes updates unasked.
     void follow(bool active) override;
-    /// Sends the vote once. Its outcome comes as a RolloutUpdate, Outcome::error where nothing was
-    /// sent and Outcome::timeout where it may have counted.
+    /// Sends the vote once, without retries. The result is reported as a RolloutUpdate:
+    /// Outcome::error if nothing was sent, Outcome::timeout if the vote may have counted.
     void vote(const Vote &vote, Duration within) override;
-    /// Moves each stream whose address has changed; see WatchStream::connectTo().
+    /// Reconnects each watch whose address has changed; see WatchStream::connectTo().
     void setAddresses(const PlatformAddresses &addresses);
 
   private:
-    WatchStream::Options listWatch(std::uint64_t seed);
-    WatchStream::Options rolloutWatch(std::uint64_t seed);
+    WatchStream::Options listWatchOptions(std::uint64_t seed);
+    WatchStream::Options rolloutWatchOptions(std::uint64_t seed);
     void onList(const DiscoveryList &list);
     void onRolloutEvent(const ServerSentEvent &event);
 
@@ -57,7 +61,7 @@
     http::Fetches voteCalls;
 };
 
-/// The list as an event, its start times on the gateway's clock.
+/// Converts a list into an event, with start times on the gateway's clock.
 EndpointListUpdate toEndpointListUpdate(const DiscoveryList &list);
 
 }  // namespace deckcart::platform
--- a/src/platform/request_ids.hpp
+++ b/src/platform/request_ids.hpp
@@ -1,6 +1,6 @@
-// Ids of requests in flight, and of those that ended a short while ago. Used by the downstream: an
-// id that comes again is another client's; endpoints know the ids too and answer with errors, which
-// would count against a build. Pure.
+// Detects duplicate request ids. Used by RespDownstream, which rejects a request whose id was seen
+// recently: endpoints track ids as well and answer a duplicate with an error, which would count
+// against a build. Performs no I/O.
 #pragma once
 
 #include <deque>
@@ -11,15 +11,17 @@
 
 namespace deckcart::platform {
 
+/// The ids of requests in flight and of requests that ended recently.
 class RequestIdRegistry {
   public:
-    /// @param retainedFor  how long an id stays known after its request has ended
-    explicit RequestIdRegistry(Duration retainedFor) : retention(retainedFor) {}
+    /// @param retentionTime  how long an id is kept after its request has ended
+    explicit RequestIdRegistry(Duration retentionTime) : retention(retentionTime) {}
 
-    /// @return false where the id is known already: the request is not to be taken
+    /// @return false if the id is already known; the request must then be rejected
     [[nodiscard]] bool add(const std::string &id, TimePoint now);
-    /// Once for each id that was added.
+    /// Starts the retention time of an id. Call once for each id that was added.
     void markEnded(const std::string &id, TimePoint now);
+    /// Number of known ids.
     [[nodiscard]] std::size_t size() const { return knownIds.size(); }
 
   private:
@@ -32,7 +34,7 @@
 
     Duration retention;
     std::unordered_set<std::string> knownIds;
-    std::deque<EndedRequest> ended;  // the oldest first
+    std::deque<EndedRequest> ended;  // oldest first
 };
 
 }  // namespace deckcart::platform
--- a/src/platform/resource_limits.hpp
+++ b/src/platform/resource_limits.hpp
@@ -1,31 +1,37 @@
-// Divides what a gateway's machine allows, sockets and memory, between its uses. Called once by the
-// process at its start. Pure.
+// Divides the sockets and the memory that a gateway may use between their purposes. Called once at
+// startup. Performs no I/O.
 #pragma once
 
 #include "../resp/connection_admission.hpp"
 
 namespace deckcart::platform {
 
+/// The resulting limits.
 struct ResourceLimits {
     std::size_t clientConnections = 0;
-    std::size_t upstreamConnections = 0;  ///< to endpoints, probes among them
-    std::size_t reservedSockets = 0;  ///< discovery, control, signals, logs, what is being closed
+    std::size_t upstreamConnections = 0;  ///< to endpoints, including probes
+    /// For discovery, control service, signals, logs and connections being closed.
+    std::size_t reservedSockets = 0;
     std::size_t maxRequestsInFlight = 0;
-    std::size_t valueBytes = 0;      ///< of an endpoint's answer at most
-    std::size_t bodyBytes = 0;       ///< of a client's command at most
-    Duration upstreamIdleTimeout{};  ///< an idle connection to an endpoint is kept so long
-    Duration idleSweepInterval{};    ///< how often idle connections are looked through
-    /// An idle connection is not used again sooner: what comes behind an answer shows itself.
+    std::size_t valueBytes = 0;      ///< maximum size of the value in an endpoint's reply
+    std::size_t bodyBytes = 0;       ///< maximum size of the body of a client's command
+    Duration upstreamIdleTimeout{};  ///< how long an idle connection to an endpoint is kept
+    Duration idleSweepInterval{};    ///< how often idle connections are checked
+    /// Minimum idle time before a connection is reused: surplus bytes behind a reply are detected
+    /// meanwhile.
     Duration reuseDelay{};
 };
 
-/// @param sockets  that the process may hold open
-/// @param maxRequestsInFlight  that the settings allow; a small memory allows fewer
-/// @param keepAlive  how long endpoints' machines keep an idle connection
+/// @param sockets  number of sockets that the process may hold open
+/// @param memoryMb  memory of the process in MiB
+/// @param maxRequestsInFlight  limit of the settings; lowered if the memory is too small for it
+/// @param keepAlive  how long endpoints keep an idle connection open
 ResourceLimits divideResources(std::size_t sockets, std::size_t memoryMb,
                                std::size_t maxRequestsInFlight, Duration keepAlive);
 
+/// Limits for the client listener.
 resp::ListenerLimits listenerLimits(const ResourceLimits &limits);
+/// Limits for parsing endpoints' replies.
 resp::Limits replyLimits(const ResourceLimits &limits);
 
 }  // namespace deckcart::platform
--- a/src/platform/rollout_documents.cpp
+++ b/src/platform/rollout_documents.cpp
@@ -11,8 +11,8 @@
 namespace deckcart::platform {
 namespace {
 
-constexpr int kMaxStage = 1000;     // of any site
-constexpr double kMaxLagMs = 1e12;  // some thirty years
+constexpr int kMaxStage = 1000;     // more than any site has
+constexpr double kMaxLagMs = 1e12;  // about 30 years
 constexpr double kMaxAttempts = 1e9;
 
 constexpr int kHttpOk = 200;
@@ -34,7 +34,7 @@
     for (const auto &known : kPhaseNames)
         if (known.name == text)
             return known.phase;
-    throwFieldError("progress", "holds an unknown word");
+    throwFieldError("progress", "has an unknown value");
 }
 
 template <class Fields>
@@ -42,7 +42,7 @@
     return Duration{std::llround(fields.number("lag_ms", 0, kMaxLagMs) * 1000)};
 }
 
-// The same fields, in JSON and in a form.
+// JSON documents and forms have the same fields.
 template <class Fields>
 RolloutUpdate parseUpdateFields(const Fields &fields) {
     RolloutUpdate update;
@@ -66,8 +66,8 @@
 
 RolloutUpdate parseAcceptedVote(const pugi::xml_document &document) {
     Form fields;
-    for (const auto &field : document.child("Response").child("items").child("item").children())
-        fields.set(field.name(), field.text().get());
+    for (const auto &element : document.child("Response").child("items").child("item").children())
+        fields.set(element.name(), element.text().get());
     try {
         RolloutUpdate update = parseRolloutUpdate(fields);
         update.isVoteReply = true;
@@ -77,7 +77,7 @@
     }
 }
 
-const char *opinionOf(Verdict verdict) {
+const char *opinionName(Verdict verdict) {
     switch (verdict) {
     case Verdict::promote:
         return "PROCEED";
@@ -104,7 +104,7 @@
 UsageReport parseUsageReport(const Form &form, const std::vector<std::string> &routes) {
     const auto route = std::ranges::find(routes, form.text("type"));
     if (route == routes.end())
-        throwFieldError("type", "names no route");
+        throwFieldError("type", "is not the name of a route");
     UsageReport report;
     report.build = BuildNumber(form.number("image", 0, kMaxBuild));
     report.route = int(route - routes.begin());
@@ -112,7 +112,7 @@
     report.failures = int(form.number("bad", 0, kMaxAttempts));
     report.age = parseLag(form);
     if (report.failures > report.attempts)
-        throwFieldError("bad", "is over n");
+        throwFieldError("bad", "is greater than n");
     return report;
 }
 
@@ -120,9 +120,9 @@
     if (status == kHttpServerError)
         return voteFailed(Outcome::error);
     pugi::xml_document document;
-    const bool whole =
+    const bool wellFormed =
         document.load_buffer(body.data(), body.size(), pugi::parse_default, pugi::encoding_utf8);
-    if (!whole)
+    if (!wellFormed)
         return voteFailed(Outcome::timeout);
     if (status == kHttpBadRequest)
         return voteFailed(outcomeOfErrorCode(document.child("Error").child("Code").text().get()));
@@ -133,7 +133,7 @@
 
 std::string formatVote(const Vote &vote) {
     return "Action=RecordOpinion&image=" + std::to_string(vote.build) +
-           "&ring=" + std::to_string(vote.step) + "&opinion=" + opinionOf(vote.verdict);
+           "&ring=" + std::to_string(vote.step) + "&opinion=" + opinionName(vote.verdict);
 }
 
 }  // namespace deckcart::platform
--- a/src/platform/rollout_documents.hpp
+++ b/src/platform/rollout_documents.hpp
@@ -1,5 +1,5 @@
-// The control service's documents: rollout updates, usage reports, votes and their replies. Used by
-// the control plane client and by the configuration. Pure.
+// Parses and formats the control service's documents: rollout updates, usage reports, votes and
+// vote replies. Used by PlatformControlPlaneClient and by the configuration. Performs no I/O.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -11,19 +11,21 @@
 
 namespace deckcart::platform {
 
-/// Throws ParseError with the field's place.
+/// Parses the state of the rollout, which is a JSON object in the configuration and a form in the
+/// control service's stream.
+/// @throws ParseError with the path of the invalid field
 RolloutUpdate parseRolloutUpdate(const nlohmann::json &document);
 RolloutUpdate parseRolloutUpdate(const Form &form);
 
-/// @param routes  names in the order of the routes' numbers
-/// Throws ParseError with the field's place.
+/// @param routes  route names by index
+/// @throws ParseError with the name of the invalid field
 UsageReport parseUsageReport(const Form &form, const std::vector<std::string> &routes);
 
-/// Reads the reply to a vote: its HTTP status and its XML body. Never throws: a reply that can't be
-/// read is Outcome::timeout, as the vote may have counted.
+/// Parses the reply to a vote from its HTTP status and XML body. A malformed reply gives
+/// Outcome::timeout instead of an exception, since the vote may have counted.
 RolloutUpdate parseVoteReply(int status, const std::string &body);
 
-/// The vote as the body of its POST.
+/// Formats the vote as the form body of its POST request.
 std::string formatVote(const Vote &vote);
 
 }  // namespace deckcart::platform
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -12,7 +12,7 @@
 namespace deckcart::platform {
 namespace {
 
-constexpr auto kReportInterval = std::chrono::seconds(5);
+constexpr auto kCountersLogInterval = std::chrono::seconds(5);
 
 constexpr int kExitOk = 0;
 constexpr int kExitCannotListen = 1;
@@ -21,28 +21,28 @@
 PlatformConfiguration readConfiguration(const std::string &file) {
     const auto text = readWhole(file);
     if (!text)
-        throw ParseError({}, "the file can't be read");
+        throw ParseError({}, "the file cannot be read");
     return parseConfiguration(*text);
 }
 
 class Service {
   public:
-    Service(std::string file, LogForm logs, double sample)
-        : configurationFile(std::move(file)), requestLogSample(sample), log(logs, "gateway"),
+    Service(std::string file, LogForm logs, double logSample)
+        : configurationFile(std::move(file)), requestLogSample(logSample), log(logs, "gateway"),
           signals(context, SIGTERM, SIGINT, SIGHUP), firstListTimer(context),
-          shutdownSequence(context), reportTimer(context) {}
+          shutdownSequence(context), countersLogTimer(context) {}
 
     int run() {
         std::signal(SIGPIPE, SIG_IGN);
         try {
             configuration = readConfiguration(configurationFile);
-        } catch (const std::exception &fault) {
-            log.warn("configuration", {{"file", configurationFile}, {"fault", fault.what()}});
+        } catch (const std::exception &error) {
+            log.warn("configuration", {{"file", configurationFile}, {"fault", error.what()}});
             return kExitBadConfiguration;
         }
         limits = divideResources(configuration.sockets, configuration.memoryMb,
                                  configuration.settings.maxRequestsInFlight,
-                                 configuration.settings.keptIdle);
+                                 configuration.settings.endpointKeepAlive);
         transport = std::make_unique<PlatformTransport>(context, clock, configuration, limits, log);
         if (!createGateway())
             return kExitCannotListen;
@@ -51,14 +51,15 @@
         callAfter(firstListTimer, startupPlan().firstListTimeout, [this] { startServing(); });
         gateway->onEndpointsChanged = [this] { startServing(); };
         awaitSignal();
-        reportPeriodically();
+        logCountersPeriodically();
         context.run();
-        log.info("ended", counts());
+        log.info("ended", counters());
         return kExitOk;
     }
 
   private:
-    // A process of before may hold the address for a moment more: it is waited for.
+    // Retries while the address is in use: a previous process may not have released it yet.
+    // @return false if the gateway cannot listen
     bool createGateway() {
         GatewaySettings settings = toGatewaySettings(configuration, limits);
         settings.requestLogSample = requestLogSample;
@@ -68,12 +69,12 @@
             try {
                 gateway = std::make_unique<Gateway>(context, clock, settings, configuration.seed,
                                                     log, *transport);
-            } catch (const std::system_error &fault) {
-                const bool retry = fault.code() == asio::error::address_in_use &&
+            } catch (const std::system_error &error) {
+                const bool retry = error.code() == asio::error::address_in_use &&
                                    std::chrono::steady_clock::now() < deadline;
                 if (!logged || !retry)
                     log.warn("listen",
-                             {{"address", format(configuration.listen)}, {"fault", fault.what()}});
+                             {{"address", format(configuration.listen)}, {"fault", error.what()}});
                 if (!retry)
                     return false;
                 logged = true;
@@ -89,7 +90,7 @@
             gateway->tell(*configuration.knownRollout);
     }
 
-    // With the first list, or without it where it does not come in time. Later calls do nothing.
+    // Called on the first endpoint list and when the wait for it times out. Later calls do nothing.
     void startServing() {
         if (std::exchange(serving, true))
             return;
@@ -104,31 +105,31 @@
                            {"cores", configuration.cores}});
     }
 
-    nlohmann::json counts() const {
-        nlohmann::json out = countersJson(*gateway);
-        out["refused"] = gateway->counts().unrouted;
-        out["clients"] = gateway->connections();
-        out["upstreams"] = transport->upstreamPool->connections();
-        return out;
+    nlohmann::json counters() const {
+        nlohmann::json fields = countersJson(*gateway);
+        fields["refused"] = gateway->counts().unrouted;
+        fields["clients"] = gateway->connections();
+        fields["upstreams"] = transport->upstreamPool->connections();
+        return fields;
     }
 
-    void reportPeriodically() {
-        callAfter(reportTimer, kReportInterval, [this] {
-            log.info("counts", counts());
-            reportPeriodically();
+    void logCountersPeriodically() {
+        callAfter(countersLogTimer, kCountersLogInterval, [this] {
+            log.info("counts", counters());
+            logCountersPeriodically();
         });
     }
 
     void awaitSignal() {
-        signals.async_wait([this](asio::error_code fault, int number) {
-            if (fault)
+        signals.async_wait([this](asio::error_code error, int number) {
+            if (error)
                 return;
             if (onSignal(number))
                 awaitSignal();
         });
     }
 
-    // Whether the process goes on.
+    // @return false if the process is to exit
     bool onSignal(int number) {
         if (number == SIGHUP) {
             reloadConfiguration();
@@ -143,15 +144,16 @@
         return true;
     }
 
-    // Where discovery and the control service are; the rest stands for the life of the process.
+    // Applies the addresses of discovery and the control service; everything else is fixed for the
+    // life of the process.
     void reloadConfiguration() {
         try {
             const PlatformConfiguration changed = readConfiguration(configurationFile);
             transport->controlPlaneClient->setAddresses({changed.discovery, changed.control});
             log.info("configuration", {{"discovery", format(changed.discovery)},
                                        {"control", format(changed.control)}});
-        } catch (const std::exception &fault) {
-            log.warn("configuration-kept", {{"file", configurationFile}, {"fault", fault.what()}});
+        } catch (const std::exception &error) {
+            log.warn("configuration-kept", {{"file", configurationFile}, {"fault", error.what()}});
         }
     }
 
@@ -171,7 +173,7 @@
     asio::signal_set signals;
     asio::steady_timer firstListTimer;
     ShutdownSequence shutdownSequence;
-    asio::steady_timer reportTimer;
+    asio::steady_timer countersLogTimer;
     PlatformConfiguration configuration;
     ResourceLimits limits;
     std::unique_ptr<PlatformTransport> transport;
--- a/src/platform/service.hpp
+++ b/src/platform/service.hpp
@@ -1,5 +1,5 @@
-// The process of a gateway on the platform: its configuration, start, signals and end. Called by
-// the command line.
+// Runs a gateway as a process on the platform: configuration, startup, signals and shutdown. Called
+// by the command line.
 #pragma once
 
 #include <string>
@@ -8,12 +8,12 @@
 
 namespace deckcart::platform {
 
-/// Runs until SIGTERM or SIGINT has ended it; a second SIGINT ends it at once; SIGHUP reads the
-/// file again.
-/// @param configurationFile  see configuration.hpp
-/// @param requestLogSample  part of the requests that are logged, from 0 to 1
-/// @return the exit status: 0; 1 when it can't listen; 2 when the file can't be read, with a log
-///   line that names the field
+/// Runs until SIGTERM or SIGINT, which start a graceful shutdown; a later SIGINT exits immediately.
+/// SIGHUP reloads the configuration file.
+/// @param configurationFile  path of the document described in configuration.hpp
+/// @param requestLogSample  fraction of the requests that are logged, from 0 to 1
+/// @return the exit status: 0 after a shutdown; 1 if it cannot listen; 2 if the configuration is
+///   invalid, with a log line that names the field
 int runGateway(const std::string &configurationFile, LogForm logs, double requestLogSample);
 
 }  // namespace deckcart::platform
--- a/src/platform/shutdown_sequence.hpp
+++ b/src/platform/shutdown_sequence.hpp
@@ -1,4 +1,4 @@
-// Carries out the plan of a graceful shutdown; see timing.hpp. Used by the process.
+// Executes the plan of a graceful shutdown; see timing.hpp. Used by the service.
 #pragma once
 
 #include <asio.hpp>
@@ -8,19 +8,21 @@
 
 namespace deckcart::platform {
 
-/// Three timers of its own, so that none displaces another. One thread, that of its io_context.
+/// Has a separate timer for each step, so that scheduling one does not cancel another. Not
+/// thread-safe: all calls and callbacks are made on the io_context's thread.
 class ShutdownSequence {
   public:
+    /// The callbacks of the steps, in the order in which they are called.
     struct Steps {
-        std::function<void()> drain;         ///< no new connections from now on
-        std::function<void()> failInFlight;  ///< answer what is still in flight
-        std::function<void()> exit;          ///< end, whatever is left
+        std::function<void()> drain;         ///< stops accepting connections
+        std::function<void()> failInFlight;  ///< answers the requests still in flight with an error
+        std::function<void()> exit;          ///< ends the process regardless of open connections
     };
 
     explicit ShutdownSequence(asio::io_context &context)
         : drainTimer(context), answerTimer(context), exitTimer(context) {}
 
-    /// Takes each step at its time, unless the loop has ended before. Call it once.
+    /// Schedules all steps, counting from now. Call once.
     void start(const ShutdownPlan &plan, Steps steps);
     [[nodiscard]] bool started() const { return begun; }
 
@@ -31,7 +33,7 @@
     bool begun = false;
 };
 
-/// Calls back once after the delay, unless the timer is cancelled or set again before.
+/// Calls the callback once after the delay, unless the timer is cancelled or set again before.
 void callAfter(asio::steady_timer &timer, Duration delay, std::function<void()> callback);
 
 }  // namespace deckcart::platform
--- a/src/platform/timing.cpp
+++ b/src/platform/timing.cpp
@@ -8,24 +8,26 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A process of before may hold the address for some seconds more.
+// A previous process may hold the address for some seconds.
 constexpr Duration kListenTimeout = seconds(8);
 constexpr Duration kListenRetryInterval = milliseconds(50);
-// Discovery answers at once unless it is down; then the list as last known is all there is. A
-// listing that changed since binds 300 ms after it was told.
+// Discovery answers immediately unless it is down, in which case only the last known list is
+// available. A change of the list becomes binding 300 ms after it was sent.
 constexpr Duration kFirstListTimeout = milliseconds(300);
 
-// Connections come for up to 0.4 s after the signal.
-constexpr Duration kAcceptFor = milliseconds(500);
-// The platform kills the process at the longest time-out of its routes, 3 s at most, and 0.7 s.
-constexpr Duration kLongestTimeoutCounted = seconds(3);
+// Clients open connections for up to 0.4 s after the signal.
+constexpr Duration kAcceptDeadline = milliseconds(500);
+// The platform kills the process 0.7 s after the longest timeout of its routes, of which it counts
+// 3 s at most.
+constexpr Duration kMaxRouteTimeout = seconds(3);
 constexpr Duration kAnswerMargin = milliseconds(550);
-// For readers of the last answers; the kill follows 50 ms later.
-constexpr Duration kLastAnswersReadTime = milliseconds(100);
+// Time for clients to read the last responses; the kill follows 50 ms later.
+constexpr Duration kLastResponseReadTime = milliseconds(100);
 
-// Heartbeats come every 2 s (list) and every second (rollout): one of them late by half, or two.
-constexpr Duration kSilence = seconds(3);
-constexpr Duration kFirstMessage = milliseconds(800);
+// Heartbeats arrive every 2 s (list) and every second (rollout): tolerates a list heartbeat that is
+// late by half its interval, or two missing rollout heartbeats.
+constexpr Duration kSilenceTimeout = seconds(3);
+constexpr Duration kFirstMessageTimeout = milliseconds(800);
 
 }  // namespace
 
@@ -34,23 +36,23 @@
 }
 
 ShutdownPlan shutdownPlan(Duration longestTimeout) {
-    const Duration answerDeadline =
-        std::min(longestTimeout, kLongestTimeoutCounted) + kAnswerMargin;
-    return {kAcceptFor, answerDeadline, answerDeadline + kLastAnswersReadTime};
+    const Duration answerDeadline = std::min(longestTimeout, kMaxRouteTimeout) + kAnswerMargin;
+    return {kAcceptDeadline, answerDeadline, answerDeadline + kLastResponseReadTime};
 }
 
-// The list's silence has a clock: what it misses counts as told 6 s after it began. Discovery
-// answers at once, but may be mute once or twice: opened anew after 3 s, 3.8 s and 5.4 s of
-// silence, and told by 6 s. The third waits out a heartbeat.
+// A change that discovery could not deliver because the watch fell silent becomes binding 6 s after
+// the silence began. Discovery answers immediately, but up to two new connections may stay silent:
+// connections are opened 3 s, 3.8 s and 5.4 s into the silence, so the third one delivers the list
+// before 6 s. Its timeout is longer than a heartbeat interval.
 WatchTimeouts listTimeouts() {
-    return {kSilence, kFirstMessage, milliseconds(50), milliseconds(400)};
+    return {kSilenceTimeout, kFirstMessageTimeout, milliseconds(50), milliseconds(400)};
 }
 
 WatchTimeouts rolloutTimeouts() {
-    return {kSilence, kFirstMessage, milliseconds(20), milliseconds(500)};
+    return {kSilenceTimeout, kFirstMessageTimeout, milliseconds(20), milliseconds(500)};
 }
 
-// As long again for the answer as for the connection.
+// Allows the connect timeout for the connection and the same time for the reply.
 Duration probeTimeout(Duration connectTimeout) {
     return 2 * connectTimeout;
 }
--- a/src/platform/timing.hpp
+++ b/src/platform/timing.hpp
@@ -1,40 +1,45 @@
-// The times of a platform gateway's start, graceful shutdown, watches and probes, with the reasons
-// for their values. Used by the process, the control plane client and the upstream pool. Pure.
+// Timeouts and deadlines of a gateway on the platform: startup, graceful shutdown, watches and
+// probes. The reasons for the values are in timing.cpp. Used by the service,
+// PlatformControlPlaneClient and RespUpstreamPool. Performs no I/O.
 #pragma once
 
 #include "../base/clock.hpp"
 
 namespace deckcart::platform {
 
+/// Timing of startup.
 struct StartupPlan {
-    Duration listenTimeout{};        ///< for its address to become free
-    Duration listenRetryInterval{};  ///< between attempts to listen meanwhile
-    Duration firstListTimeout{};     ///< then it serves from the list as last known
+    Duration listenTimeout{};        ///< maximum wait for the listen address to become free
+    Duration listenRetryInterval{};  ///< between attempts to listen
+    Duration firstListTimeout{};     ///< afterwards the gateway serves from the last known list
 };
 StartupPlan startupPlan();
 
-/// A graceful shutdown; each time counts from its signal.
+/// Timing of a graceful shutdown; all times count from the signal.
 struct ShutdownPlan {
-    /// New connections are accepted until then: not every client knows of the shutdown yet.
-    Duration acceptFor{};
-    /// Requests that are still in flight then are answered as errored.
+    /// Until then new connections are accepted, since clients may not know of the shutdown yet.
+    Duration acceptDeadline{};
+    /// Requests still in flight at this time are answered with an error.
     Duration answerDeadline{};
-    /// The process ends then, whoever has not read the last answers yet.
+    /// The process exits at this time even if clients have not read the last responses.
     Duration exitDeadline{};
 };
-/// @param longestTimeout  of the routes
+/// @param longestTimeout  longest of the routes' timeouts
 ShutdownPlan shutdownPlan(Duration longestTimeout);
 
+/// Timing of a WatchStream.
 struct WatchTimeouts {
-    Duration silence{};       ///< of an active connection: another one is opened
-    Duration firstMessage{};  ///< of a new connection; doubled at each in a row, up to silence
-    Duration minBackoff{};    ///< between reconnects, after the first failure
+    Duration silence{};  ///< silence of the active connection after which another one is opened
+    /// Wait for the first message of a new connection; doubles with each consecutive timeout, up to
+    /// `silence`.
+    Duration firstMessage{};
+    Duration minBackoff{};  ///< reconnect delay after the first failure
     Duration maxBackoff{};
 };
 WatchTimeouts listTimeouts();
 WatchTimeouts rolloutTimeouts();
 
-/// From the start of a probe, its connect among it, to the whole of its answer.
+/// Time limit of a probe, from the start of its connection to the end of its reply.
 Duration probeTimeout(Duration connectTimeout);
 
 }  // namespace deckcart::platform
--- a/src/platform/transport.cpp
+++ b/src/platform/transport.cpp
@@ -10,29 +10,29 @@
 
 std::unique_ptr<Downstream> PlatformTransport::downstream(const GatewaySettings &,
                                                           DownstreamHandler handler) const {
-    auto made = std::make_unique<RespDownstream>(context, clock, configuration.listen,
-                                                 listenerLimits(limits), configuration.settings,
-                                                 std::move(handler));
-    respDownstream = made.get();
-    return made;
+    auto created = std::make_unique<RespDownstream>(context, clock, configuration.listen,
+                                                    listenerLimits(limits), configuration.settings,
+                                                    std::move(handler));
+    respDownstream = created.get();
+    return created;
 }
 
 std::unique_ptr<UpstreamPool> PlatformTransport::upstreams(const GatewaySettings &) const {
-    auto made = std::make_unique<RespUpstreamPool>(context, clock, directory, limits,
-                                                   configuration.settings);
-    upstreamPool = made.get();
-    return made;
+    auto created = std::make_unique<RespUpstreamPool>(context, clock, directory, limits,
+                                                      configuration.settings);
+    upstreamPool = created.get();
+    return created;
 }
 
 std::unique_ptr<ControlPlaneClient>
 PlatformTransport::controlPlane(const GatewaySettings &, ControlPlaneObserver observer) const {
     directory.apply(configuration.knownEndpoints);
     const PlatformAddresses addresses{configuration.discovery, configuration.control};
-    auto made = std::make_unique<PlatformControlPlaneClient>(
+    auto created = std::make_unique<PlatformControlPlaneClient>(
         context, directory, configuration.settings, addresses, configuration.seed, log,
         configuration.knownEndpoints.generation, std::move(observer));
-    controlPlaneClient = made.get();
-    return made;
+    controlPlaneClient = created.get();
+    return created;
 }
 
 GatewaySettings toGatewaySettings(const PlatformConfiguration &configuration,
@@ -43,13 +43,14 @@
     settings.module = deployment.start;
     settings.tenants = deployment.tenants;
     settings.zones = deployment.zones;
-    settings.module.maxSendDelay = deployment.connectWithin;
+    settings.module.maxSendDelay = deployment.connectTimeout;
     for (std::size_t route = 0; route < deployment.routes.size(); ++route)
         settings.routes.push_back(
             {deployment.routes[route], "", "", deployment.routeTimeouts[route]});
     settings.maxRequestsInFlight = limits.maxRequestsInFlight;
-    settings.upstream.bufferedResponseBytes = limits.valueBytes;  // passed on whole
-    settings.responseHistorySize = 0;  // the platform reports no incorrect responses by request
+    settings.upstream.bufferedResponseBytes = limits.valueBytes;  // responses are not streamed
+    settings.responseHistorySize =
+        0;  // the platform does not report incorrect responses by request
     return settings;
 }
 
--- a/src/platform/transport.hpp
+++ b/src/platform/transport.hpp
@@ -1,5 +1,5 @@
-// The platform's protocol for a gateway: RESP2 to clients and endpoints, its discovery and control
-// service; implements Transport of gateway/transport.hpp. Made by the process.
+// The platform's protocols for a gateway: RESP2 to clients and endpoints, HTTP to the discovery and
+// control services; implements Transport of gateway/transport.hpp. Created by the service.
 #pragma once
 
 #include "../gateway/gateway.hpp"
@@ -11,11 +11,12 @@
 
 namespace deckcart::platform {
 
-/// Makes the parts for one gateway, and keeps where they are for the process around it.
+/// Creates the parts for one gateway and gives the service access to them.
 class PlatformTransport : public Transport {
   public:
-    /// @param clock,configuration  outlive the gateway, and so does this transport: the endpoint
-    ///   directory is its own
+    /// @param clock,configuration  must outlive the gateway; so must this transport, since it owns
+    /// the
+    ///   endpoint directory
     PlatformTransport(asio::io_context &context, const Clock &clock,
                       const PlatformConfiguration &configuration, const ResourceLimits &limits,
                       Log log);
@@ -26,7 +27,7 @@
     std::unique_ptr<ControlPlaneClient> controlPlane(const GatewaySettings &settings,
                                                      ControlPlaneObserver observer) const override;
 
-    // Owned by the gateway that was made with these; null before.
+    // Owned by the gateway that was created with this transport; null before.
     mutable PlatformControlPlaneClient *controlPlaneClient = nullptr;
     mutable const RespUpstreamPool *upstreamPool = nullptr;
     mutable RespDownstream *respDownstream = nullptr;
@@ -40,7 +41,7 @@
     mutable EndpointDirectory directory;
 };
 
-/// The gateway's settings that follow from the platform's configuration.
+/// Derives the gateway's settings from the platform's configuration.
 GatewaySettings toGatewaySettings(const PlatformConfiguration &configuration,
                                   const ResourceLimits &limits);
 
--- a/src/platform/unix_time.hpp
+++ b/src/platform/unix_time.hpp
@@ -1,5 +1,5 @@
-// Unix time of the platform's documents on the gateway's own clock. Called by the control plane
-// client; pure but for the one reading of both clocks.
+// Converts Unix time, as used in the platform's documents, to the gateway's clock. Used by
+// PlatformControlPlaneClient.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 namespace deckcart::platform {
 
 /// Converts Unix time in milliseconds to the gateway's clock. The offset between the two clocks is
-/// read once a process, so that the same moment is always converted to the same point in time, also
-/// after a step of the wall clock.
+/// read once per process, so that a given Unix time is always converted to the same time point,
+/// even after the wall clock is adjusted.
 TimePoint fromUnixMs(std::int64_t unixMs);
 
 }  // namespace deckcart::platform
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -7,24 +7,24 @@
 
 class RespUpstreamPool::RespCall : public UpstreamCall {
   public:
-    RespCall(RespUpstreamPool &owner, EndpointId target, Connection taken)
-        : pool(owner), poolAlive(owner.callbacks.token()), endpoint(std::move(target)),
-          connection(std::move(taken)) {}
+    RespCall(RespUpstreamPool &ownerPool, EndpointId endpointId, Connection pooledConnection)
+        : pool(ownerPool), poolAlive(ownerPool.callbacks.token()), endpoint(std::move(endpointId)),
+          connection(std::move(pooledConnection)) {}
     ~RespCall() override { RespCall::release({}); }
     RespCall(const RespCall &) = delete;
     RespCall &operator=(const RespCall &) = delete;
 
     void start(const DownstreamRequest &request, const std::string &, PreSendCheck preSendCheck,
                BuildNumber, CallObserver *observer) override {
-        // What the attempt was decided for is what it goes to: an id may come back elsewhere, or as
-        // another build.
+        // While the connection was being set up, the endpoint id may have moved to another address
+        // or build. The attempt was meant for the earlier incarnation and is not sent.
         const auto bytesToSend = [this, &request, preSendCheck = std::move(preSendCheck)] {
-            if (!pool.isPresent(endpoint, connection))
+            if (!pool.isCurrent(endpoint, connection))
                 return std::string{};
             const auto timeLeft = preSendCheck();
             return timeLeft ? forwardedCommand(commandOf(request), *timeLeft) : std::string{};
         };
-        connection->call(connection->incarnation.address, pool.settings.connectWithin, bytesToSend,
+        connection->call(connection->incarnation.address, pool.settings.connectTimeout, bytesToSend,
                          [this, observer](CallEnd end, resp::Value reply) {
                              onCallEnd(end, std::move(reply), *observer);
                          });
@@ -36,7 +36,7 @@
             return;
         if (poolAlive.expired())
             return connection->drop();
-        pool.returnConnection(endpoint, connection);
+        pool.releaseConnection(endpoint, connection);
     }
 
   private:
@@ -44,14 +44,15 @@
         if (end != CallEnd::complete)
             return observer.onCallEnd(outcomeOfFailure(end));
         ParsedReply parsed = parseReply(std::move(reply));
-        // What came is no answer of an endpoint: more may follow.
+        // After a malformed reply more unexpected bytes may follow, so the connection is not
+        // reused.
         if (parsed.outcome == Outcome::malformed)
             connection->drop();
         if (parsed.outcome == Outcome::ok)
             observer.onResponse(parsed.value);
         observer.onCallEnd(parsed.outcome);
     }
-    // One that breaks off within its answer is as one that can't be read.
+    // A reply that breaks off counts as malformed.
     Outcome outcomeOfFailure(CallEnd end) const {
         if (end == CallEnd::garbage || connection->answerBegun())
             return Outcome::malformed;
@@ -68,80 +69,83 @@
 RespUpstreamPool::RespUpstreamPool(asio::io_context &ioContext, const Clock &gatewayClock,
                                    const EndpointDirectory &endpointDirectory,
                                    const ResourceLimits &resourceLimits,
-                                   const simulator::DeploymentSettings &deployment)
+                                   const simulator::DeploymentSettings &deploymentSettings)
     : context(ioContext), clock(gatewayClock), directory(endpointDirectory), limits(resourceLimits),
-      settings(deployment) {}
+      settings(deploymentSettings) {}
 
 RespUpstreamPool::IdlePool::Use
-RespUpstreamPool::useOf(EndpointConnection &connection,
-                        const EndpointDirectory::Incarnation &present, TimePoint now) const {
+RespUpstreamPool::reuseDecision(EndpointConnection &connection,
+                                const EndpointDirectory::Incarnation &current,
+                                TimePoint now) const {
     using Use = IdlePool::Use;
-    if (!(connection.incarnation == present))
+    if (!(connection.incarnation == current))
         return Use::none;
     if (now - connection.idleSince >= limits.upstreamIdleTimeout)
-        return Use::none;  // its endpoint may be closing it
+        return Use::none;  // the endpoint may be closing it
     if (now - connection.idleSince < limits.reuseDelay)
         return Use::waits;
     return connection.stillQuiet() ? Use::takes : Use::none;
 }
 
-RespUpstreamPool::Connection RespUpstreamPool::takeConnection(const EndpointId &endpoint) {
-    const auto *present = directory.find(endpoint);
-    if (!present)
+RespUpstreamPool::Connection RespUpstreamPool::acquireConnection(const EndpointId &endpoint) {
+    const auto *current = directory.find(endpoint);
+    if (!current)
         return nullptr;
     const TimePoint now = clock.now();
-    auto connection = idle.take(
-        endpoint, [&](EndpointConnection &candidate) { return useOf(candidate, *present, now); });
+    auto connection = idle.take(endpoint, [&](EndpointConnection &candidate) {
+        return reuseDecision(candidate, *current, now);
+    });
     if (!connection && connections() >= limits.upstreamConnections)
         idle.dropOldest();
     if (!connection && connections() >= limits.upstreamConnections)
         return nullptr;
     if (!connection)
-        connection = std::make_shared<EndpointConnection>(context, replyLimits(limits), *present);
+        connection = std::make_shared<EndpointConnection>(context, replyLimits(limits), *current);
     ++connectionsInUse;
     return connection;
 }
 
 std::shared_ptr<UpstreamCall> RespUpstreamPool::take(const EndpointId &endpoint) {
-    const auto connection = takeConnection(endpoint);
+    const auto connection = acquireConnection(endpoint);
     return connection ? std::make_shared<RespCall>(*this, endpoint, connection) : nullptr;
 }
 
-bool RespUpstreamPool::isPresent(const EndpointId &endpoint, const Connection &connection) const {
-    const auto *present = directory.find(endpoint);
-    return present && *present == connection->incarnation;
+bool RespUpstreamPool::isCurrent(const EndpointId &endpoint, const Connection &connection) const {
+    const auto *current = directory.find(endpoint);
+    return current && *current == connection->incarnation;
 }
 
-void RespUpstreamPool::returnConnection(const EndpointId &endpoint, const Connection &connection) {
+void RespUpstreamPool::releaseConnection(const EndpointId &endpoint, const Connection &connection) {
     --connectionsInUse;
-    if (!connection->reusable() || !isPresent(endpoint, connection))
+    if (!connection->reusable() || !isCurrent(endpoint, connection))
         return connection->drop();
     idle.keep(endpoint, connection, clock.now());
 }
 
 void RespUpstreamPool::probe(const EndpointId &endpoint, ProbeCallback done) {
-    const auto connection = takeConnection(endpoint);
+    const auto connection = acquireConnection(endpoint);
     if (!connection)
         return done({});
     const auto timer =
-        std::make_shared<asio::steady_timer>(context, probeTimeout(settings.connectWithin));
+        std::make_shared<asio::steady_timer>(context, probeTimeout(settings.connectTimeout));
     const auto finish = [this, endpoint, connection, timer, done = std::move(done),
                          poolAlive = callbacks.token()](std::vector<double> load) {
         timer->cancel();
         if (poolAlive.expired())
             return connection->drop();
-        returnConnection(endpoint, connection);
+        releaseConnection(endpoint, connection);
         done(std::move(load));
     };
     const auto command = [] { return resp::command({"INFO", "load"}); };
     const auto onReply = [this, finish](CallEnd end, const resp::Value &reply) {
-        const bool readable = end == CallEnd::complete && reply.kind == resp::Value::Kind::bulk;
-        finish(readable ? parseLoadReport(reply.text, settings.loadFields) : std::vector<double>{});
+        const bool wellFormed = end == CallEnd::complete && reply.kind == resp::Value::Kind::bulk;
+        finish(wellFormed ? parseLoadReport(reply.text, settings.loadFields)
+                          : std::vector<double>{});
     };
-    connection->call(connection->incarnation.address, settings.connectWithin, command, onReply);
+    connection->call(connection->incarnation.address, settings.connectTimeout, command, onReply);
     const auto probeCall = connection->callNumber();
-    timer->async_wait([finish, connection, probeCall](asio::error_code fault) {
-        if (fault || connection->callNumber() != probeCall)
+    timer->async_wait([finish, connection, probeCall](asio::error_code error) {
+        if (error || connection->callNumber() != probeCall)
             return;
         connection->drop();
         finish({});
--- a/src/platform/upstream_pool.hpp
+++ b/src/platform/upstream_pool.hpp
@@ -1,6 +1,6 @@
-// Calls to endpoints over RESP2, one request at a time on a connection, within one bound for all
-// endpoints together; implements UpstreamPool of gateway/transport.hpp. Made by PlatformTransport.
-// Which endpoint to call is the decision module's business.
+// Calls endpoints over RESP2, with one request at a time per connection and one limit on the
+// connections to all endpoints together; implements UpstreamPool of gateway/transport.hpp. Created
+// by PlatformTransport. The decision module chooses the endpoints.
 #pragma once
 
 #include "../base/callback_guard.hpp"
@@ -14,10 +14,11 @@
 
 namespace deckcart::platform {
 
-/// One thread, that of its io_context. Calls and probes may outlive it; they are dropped then.
+/// A pool of connections to endpoints. Calls and probes may outlive the pool; their connections are
+/// then closed. Not thread-safe: all calls and callbacks are made on the io_context's thread.
 class RespUpstreamPool : public UpstreamPool {
   public:
-    /// @param clock,directory,settings  outlive this
+    /// @param clock,directory,settings  must outlive this object
     RespUpstreamPool(asio::io_context &context, const Clock &clock,
                      const EndpointDirectory &directory, const ResourceLimits &limits,
                      const simulator::DeploymentSettings &settings);
@@ -27,7 +28,7 @@
     void sweep(Duration now) override { idle.sweep(now, limits.upstreamIdleTimeout); }
     Duration sweepEvery() const override { return limits.idleSweepInterval; }
     void probe(const EndpointId &endpoint, ProbeCallback done) override;
-    /// In use and idle.
+    /// Number of open connections, in use and idle.
     [[nodiscard]] std::size_t connections() const { return connectionsInUse + idle.size(); }
 
   private:
@@ -35,21 +36,22 @@
 
     struct EndpointConnection : resp::ClientConnection {
         EndpointConnection(asio::io_context &context, resp::Limits replyLimits,
-                           const EndpointDirectory::Incarnation &madeFor)
-            : ClientConnection(context, replyLimits), incarnation(madeFor) {}
+                           const EndpointDirectory::Incarnation &endpointIncarnation)
+            : ClientConnection(context, replyLimits), incarnation(endpointIncarnation) {}
         const EndpointDirectory::Incarnation incarnation;
     };
     using Connection = std::shared_ptr<EndpointConnection>;
     using IdlePool = IdleConnections<EndpointConnection>;
 
-    /// Empty where the endpoint has no address, or the bound is reached. Each connection is to be
-    /// given back once by returnConnection(), whatever became of it.
-    [[nodiscard]] Connection takeConnection(const EndpointId &endpoint);
-    void returnConnection(const EndpointId &endpoint, const Connection &connection);
-    [[nodiscard]] IdlePool::Use useOf(EndpointConnection &connection,
-                                      const EndpointDirectory::Incarnation &present,
-                                      TimePoint now) const;
-    [[nodiscard]] bool isPresent(const EndpointId &endpoint, const Connection &connection) const;
+    /// Reuses an idle connection or creates one. Null if the endpoint has no address or the limit
+    /// is reached. Each connection must be passed to releaseConnection() once, even if it has
+    /// failed.
+    [[nodiscard]] Connection acquireConnection(const EndpointId &endpoint);
+    void releaseConnection(const EndpointId &endpoint, const Connection &connection);
+    [[nodiscard]] IdlePool::Use reuseDecision(EndpointConnection &connection,
+                                              const EndpointDirectory::Incarnation &current,
+                                              TimePoint now) const;
+    [[nodiscard]] bool isCurrent(const EndpointId &endpoint, const Connection &connection) const;
 
     asio::io_context &context;
     const Clock &clock;
--- a/src/platform/watch_stream.cpp
+++ b/src/platform/watch_stream.cpp
@@ -6,16 +6,17 @@
 
 using SteadyTime = std::chrono::steady_clock;
 
-// The limit that a fetch has for silence of its own: never reached, as the stream has a watchdog.
+// Effectively disables the silence timeout of http::Fetch: the stream has a watchdog of its own.
 constexpr Duration kNoFetchTimeout = std::chrono::hours(24 * 365);
-// Reconnects wait for a random part of the backoff, at least half of it: gateways that lost the
-// same peer do not all come back at once.
-constexpr double kLeastBackoffPart = 0.5;
+// A reconnect waits for a random fraction of the backoff, at least half of it, so that gateways
+// which lost the same peer do not all reconnect at the same time.
+constexpr double kMinBackoffFraction = 0.5;
 
 struct WatchStream::WatchConnection {
     std::shared_ptr<http::Fetch> fetch;
     Reader reader;
-    SteadyTime::time_point lastHeardAt{};  // before its first whole message: opened
+    SteadyTime::time_point
+        lastActivityAt{};  // time of the connect until the first complete message
     bool closed = false;
 };
 
@@ -40,8 +41,8 @@
 
 void WatchStream::connectTo(const asio::ip::tcp::endpoint &peer) {
     address = peer;
-    failuresInRow = 0;
-    silentInRow = 0;
+    consecutiveFailures = 0;
+    consecutiveTimeouts = 0;
     connect();
 }
 
@@ -50,7 +51,7 @@
     reconnectTimer.cancel();
     const auto connection = std::make_shared<WatchConnection>();
     connection->reader = options.makeReader();
-    connection->lastHeardAt = SteadyTime::now();
+    connection->lastActivityAt = SteadyTime::now();
     http::RequestHead head;
     head.method = "GET";
     head.target = options.target();
@@ -60,7 +61,7 @@
         callbacks.wrap([this, connection](const http::Fetched &) { onConnectionEnd(connection); }),
         callbacks.wrap([this, connection](std::string_view bytes) { onBytes(connection, bytes); }),
         options.cut);
-    watchForSilence();
+    armSilenceWatchdog();
 }
 
 void WatchStream::onConnectionEnd(const std::shared_ptr<WatchConnection> &connection) {
@@ -73,15 +74,15 @@
     if (connection == pendingConnection)
         pendingConnection = nullptr;
     if (!pendingConnection)
-        reconnectLater();
+        scheduleReconnect();
 }
 
-bool WatchStream::read(WatchConnection &connection, std::string_view bytes, bool &readable) {
+bool WatchStream::read(WatchConnection &connection, std::string_view bytes, bool &wellFormed) {
     try {
         return connection.reader(bytes);
-    } catch (const std::exception &fault) {
-        log.warn("unreadable", {{"stream", options.name}, {"fault", fault.what()}});
-        readable = false;
+    } catch (const std::exception &error) {
+        log.warn("unreadable", {{"stream", options.name}, {"fault", error.what()}});
+        wellFormed = false;
         return false;
     }
 }
@@ -90,63 +91,63 @@
                           std::string_view bytes) {
     if (connection->closed)
         return;
-    bool readable = true;
-    const bool alive = read(*connection, bytes, readable);
+    bool wellFormed = true;
+    const bool alive = read(*connection, bytes, wellFormed);
     if (connection->closed)
-        return;  // what it delivered has moved the stream
+        return;  // a callback of the reader has closed this connection
     if (alive)
-        connection->lastHeardAt = SteadyTime::now();
+        connection->lastActivityAt = SteadyTime::now();
     if (alive && connection == pendingConnection)
         promotePending();
-    if (readable)
+    if (wellFormed)
         return;
     close(connection == activeConnection ? activeConnection : pendingConnection);
     if (!pendingConnection)
-        reconnectLater();
+        scheduleReconnect();
 }
 
 void WatchStream::promotePending() {
     close(activeConnection);
     activeConnection = std::exchange(pendingConnection, nullptr);
-    failuresInRow = 0;
-    silentInRow = 0;
-    watchForSilence();
+    consecutiveFailures = 0;
+    consecutiveTimeouts = 0;
+    armSilenceWatchdog();
 }
 
-// A pending connection has less time than an active one; each in a row has longer, so that a slow
-// peer is heard in the end.
+// A pending connection gets less time than an active one. The time grows with each consecutive
+// timeout, so that a slow peer can deliver eventually.
 SteadyTime::time_point WatchStream::silenceDeadline() const {
     const WatchTimeouts &timeouts = options.timeouts;
     if (!pendingConnection)
-        return activeConnection->lastHeardAt + timeouts.silence;
-    return pendingConnection->lastHeardAt +
-           backedOff(timeouts.firstMessage, timeouts.silence, silentInRow, 1);
+        return activeConnection->lastActivityAt + timeouts.silence;
+    return pendingConnection->lastActivityAt +
+           backedOff(timeouts.firstMessage, timeouts.silence, consecutiveTimeouts, 1);
 }
 
-// After silence another connection is opened beside the active one, which may still deliver first.
-void WatchStream::watchForSilence() {
+// Opens another connection after a silence. The active one is kept, since it may deliver first.
+void WatchStream::armSilenceWatchdog() {
     if (!pendingConnection && !activeConnection)
         return;
     silenceWatchdog.expires_at(silenceDeadline());
-    silenceWatchdog.async_wait(callbacks.wrap([this](asio::error_code fault) {
-        if (fault || (!pendingConnection && !activeConnection))
+    silenceWatchdog.async_wait(callbacks.wrap([this](asio::error_code error) {
+        if (error || (!pendingConnection && !activeConnection))
             return;
         if (SteadyTime::now() < silenceDeadline())
-            return watchForSilence();
+            return armSilenceWatchdog();
         if (pendingConnection)
-            ++silentInRow;
+            ++consecutiveTimeouts;
         connect();
     }));
 }
 
-void WatchStream::reconnectLater() {
-    const double drawn = double(random()) / 4294967296.0;
-    const double part = kLeastBackoffPart + (1 - kLeastBackoffPart) * drawn;
+void WatchStream::scheduleReconnect() {
+    const double randomFraction = double(random()) / 4294967296.0;
+    const double backoffFraction = kMinBackoffFraction + (1 - kMinBackoffFraction) * randomFraction;
     const WatchTimeouts &timeouts = options.timeouts;
-    reconnectTimer.expires_after(
-        backedOff(timeouts.minBackoff, timeouts.maxBackoff, failuresInRow++, part));
-    reconnectTimer.async_wait(callbacks.wrap([this](asio::error_code fault) {
-        if (!fault && !pendingConnection)
+    reconnectTimer.expires_after(backedOff(timeouts.minBackoff, timeouts.maxBackoff,
+                                           consecutiveFailures++, backoffFraction));
+    reconnectTimer.async_wait(callbacks.wrap([this](asio::error_code error) {
+        if (!error && !pendingConnection)
             connect();
     }));
 }
--- a/src/simulator/action_codec.cpp
+++ b/src/simulator/action_codec.cpp
@@ -21,7 +21,7 @@
     return 0;
 }
 
-// One command for each kind of action.
+// Encodes each kind of action, without the gateway's id.
 struct CommandWriter {
     json operator()(const SendAttempt &action) const {
         return {{"m", "ROUTE"}, {"Req", action.requestId}, {"Instance", action.endpoint}};
--- a/src/simulator/action_codec.hpp
+++ b/src/simulator/action_codec.hpp
@@ -1,4 +1,5 @@
-// Actions of a gateway's policy as the simulator's commands (WIRE page of the users).
+// Encodes the actions of a gateway's policy as the simulator's commands. The protocol is described
+// in the users' WIRE page.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -6,6 +7,7 @@
 
 namespace deckcart::simulator {
 
+/// Encodes one action as a command of the given gateway.
 [[nodiscard]] nlohmann::json writeAction(GatewayId gateway, const Action &action);
 
 }  // namespace deckcart::simulator
--- a/src/simulator/event_codec.cpp
+++ b/src/simulator/event_codec.cpp
@@ -27,7 +27,7 @@
     case 114:
         return Outcome::obsolete;
     default:
-        throw MalformedInput::inField("How", "holds an unknown number");
+        throw MalformedInput::inField("How", "has an unknown value");
     }
 }
 
@@ -42,32 +42,32 @@
     case 3:
         return RolloutPhase::rolledBack;
     default:
-        throw MalformedInput::inField("Standing", "holds an unknown number");
+        throw MalformedInput::inField("Standing", "has an unknown value");
     }
 }
 
-EndpointEntry readEndpoint(const json &node) {
+EndpointEntry readEndpoint(const json &document) {
     EndpointEntry entry;
-    entry.id = required<std::string>(node, "Instance");
-    entry.zone = optional<int>(node, "RackZone");
-    entry.cell = optional<int>(node, "Pod");
-    entry.build = static_cast<BuildNumber>(optional<double>(node, "Runs"));
-    entry.state = requiredKeyword<EndpointState>(node, "Readiness",
+    entry.id = required<std::string>(document, "Instance");
+    entry.zone = optional<int>(document, "RackZone");
+    entry.cell = optional<int>(document, "Pod");
+    entry.build = static_cast<BuildNumber>(optional<double>(document, "Runs"));
+    entry.state = requiredKeyword<EndpointState>(document, "Readiness",
                                                  {{"live", EndpointState::active},
                                                   {"quiescing", EndpointState::draining},
                                                   {"dead", EndpointState::removed}});
-    entry.weight = optional<double>(node, "Scale", 1);
-    const TimePoint startedAt = optionalDuration(node, "StartedAtS");
+    entry.weight = optional<double>(document, "Scale", 1);
+    const TimePoint startedAt = optionalDuration(document, "StartedAtS");
     if (startedAt > TimePoint{0})
         entry.startedAt = startedAt;
     return entry;
 }
 
-RequestId requestOf(const json &message) {
+RequestId requestIdOf(const json &message) {
     return required<RequestId>(message, "Req");
 }
 
-EndpointId endpointOf(const json &message) {
+EndpointId endpointIdOf(const json &message) {
     return required<std::string>(message, "Instance");
 }
 
@@ -78,7 +78,7 @@
 
 Event readRequest(const json &message) {
     RequestArrived arrived;
-    arrived.requestId = requestOf(message);
+    arrived.requestId = requestIdOf(message);
     arrived.key = optional<std::string>(message, "Affinity");
     arrived.route = optional<int>(message, "Grade");
     arrived.tenant = optional<int>(message, "Project");
@@ -88,7 +88,7 @@
 
 Event readAttemptEnd(const json &message) {
     AttemptEnded ended;
-    ended.requestId = requestOf(message);
+    ended.requestId = requestIdOf(message);
     ended.attemptNumber = optional<int>(message, "SendNo");
     ended.requestEnded = optional<bool>(message, "Last");
     ended.outcome = readOutcome(message);
@@ -96,7 +96,7 @@
 }
 
 Event readProbeEnd(const json &message) {
-    return ProbeEnded{endpointOf(message), numbersField(message, "Telemetry")};
+    return ProbeEnded{endpointIdOf(message), numbersField(message, "Telemetry")};
 }
 
 Event readRolloutUpdate(const json &message) {
@@ -122,14 +122,15 @@
 }
 
 Event readIncorrectResponse(const json &message) {
-    return IncorrectResponseReported{endpointOf(message), optionalDuration(message, "SinceS")};
+    return IncorrectResponseReported{endpointIdOf(message), optionalDuration(message, "SinceS")};
 }
 
 Event readAbandoned(const json &message) {
-    return RequestAbandoned{requestOf(message)};
+    return RequestAbandoned{requestIdOf(message)};
 }
 
-// The end of a stream is its result, and gateways exchange no messages: both change nothing.
+// FIRST_BYTE is ignored because the result of a response is known only at its end, MESSAGE because
+// gateways exchange no messages.
 bool isIgnored(const std::string &kind) {
     return kind == "FIRST_BYTE" || kind == "MESSAGE";
 }
@@ -165,18 +166,18 @@
 
 void EventReader::readList(const json &message) {
     std::vector<EndpointEntry> entries;
-    for (const auto &node : arrayField(message, "NodesList"))
-        entries.push_back(readEndpoint(node));
-    lists[optional<std::int64_t>(message, "Table")] = std::move(entries);
+    for (const auto &document : arrayField(message, "NodesList"))
+        entries.push_back(readEndpoint(document));
+    listsByNumber[optional<std::int64_t>(message, "Table")] = std::move(entries);
 }
 
 Event EventReader::readListUpdate(const json &message) const {
     const auto form = required<std::string>(message, "Form");
     if (form == "FAILED")
         return EndpointListFailed{};
-    const auto list = lists.find(optional<std::int64_t>(message, "Table"));
-    if (list == lists.end())
-        throw MalformedInput::inField("Table", "names no list");
+    const auto list = listsByNumber.find(optional<std::int64_t>(message, "Table"));
+    if (list == listsByNumber.end())
+        throw MalformedInput::inField("Table", "refers to an unknown endpoint list");
     return EndpointListUpdate{form != "INCREMENTAL", list->second};
 }
 
@@ -190,7 +191,7 @@
     }
     const auto decoder = decoders().find(kind);
     if (decoder == decoders().end())
-        throw MalformedInput("m", "field m holds an unknown event " + kind);
+        throw MalformedInput("m", "field m has the unknown event " + kind);
     events.push_back(decoder->second(message));
 }
 
@@ -201,7 +202,7 @@
     const json &messages = requiredField(root, "in");
     if (!messages.is_array())
         throw MalformedInput::inField("in", "is not an array");
-    std::map<GatewayId, std::size_t> indexOf;
+    std::map<GatewayId, std::size_t> indexByGateway;
     for (const auto &message : messages) {
         if (!message.is_object())
             throw MalformedInput("in", "an event is not an object");
@@ -211,7 +212,7 @@
             continue;
         }
         const auto gateway = optional<GatewayId>(message, "Who");
-        const auto [index, added] = indexOf.try_emplace(gateway, batch.gateways.size());
+        const auto [index, added] = indexByGateway.try_emplace(gateway, batch.gateways.size());
         if (added)
             batch.gateways.push_back({gateway, {}});
         readEvent(kind, message, batch.gateways[index->second].events);
--- a/src/simulator/event_codec.hpp
+++ b/src/simulator/event_codec.hpp
@@ -1,4 +1,5 @@
-// Batches of events, one JSON line each, as the simulator writes them (WIRE page of the users).
+// Decodes the simulator's batches of events, one JSON document per line. The protocol is described
+// in the users' WIRE page.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -9,22 +10,24 @@
 
 namespace deckcart::simulator {
 
-/// What happened to one gateway, in order.
+/// The events of one gateway, in order of occurrence.
 struct GatewayEvents {
     GatewayId gateway = 0;
     std::vector<Event> events;
 };
 
-/// What happened at one time.
+/// The events of all gateways at one point in time.
 struct Batch {
     TimePoint now{};
-    std::vector<GatewayEvents> gateways;  ///< in the order of each one's first event
+    std::vector<GatewayEvents> gateways;  ///< in the order of their first events
 };
 
-/// Reads the lines of one simulation in order: later lines refer to endpoint lists of earlier ones.
+/// Decodes the lines of one simulation. Has to see all lines in order, because later lines refer to
+/// endpoint lists of earlier ones.
 class EventReader {
   public:
-    /// @throws MalformedInput with the field at fault
+    /// Decodes one line.
+    /// @throws MalformedInput with the name of the invalid field
     [[nodiscard]] Batch read(const std::string &line);
 
   private:
@@ -35,7 +38,7 @@
     void readEvent(const std::string &kind, const nlohmann::json &message,
                    std::vector<Event> &events) const;
 
-    EndpointLists lists;  // by number; a new one replaces the old
+    EndpointLists listsByNumber;  // by number; a list replaces an earlier one of the same number
 };
 
 }  // namespace deckcart::simulator
--- a/src/simulator/host.cpp
+++ b/src/simulator/host.cpp
@@ -12,16 +12,17 @@
 
 using nlohmann::json;
 
-constexpr int kBadInput = 2;
+constexpr int kExitBadInput = 2;
 
-// A policy that throws ends its gateway's batch, not the simulation.
-void decide(Policy &policy, TimePoint now, const GatewayEvents &happened, json &commands) {
+// An exception of the policy aborts the batch of its gateway, not the simulation; it is reported as
+// a command.
+void decide(Policy &policy, TimePoint now, const GatewayEvents &gatewayEvents, json &commands) {
     try {
-        for (const auto &action : policy.decide(happened.gateway, now, happened.events))
-            commands.push_back(writeAction(happened.gateway, action));
-    } catch (const std::exception &failure) {
+        for (const auto &action : policy.decide(gatewayEvents.gateway, now, gatewayEvents.events))
+            commands.push_back(writeAction(gatewayEvents.gateway, action));
+    } catch (const std::exception &error) {
         commands.push_back(
-            {{"m", "EXCEPTION"}, {"Who", happened.gateway}, {"Words", failure.what()}});
+            {{"m", "EXCEPTION"}, {"Who", gatewayEvents.gateway}, {"Words", error.what()}});
     }
 }
 
@@ -31,19 +32,19 @@
     EventReader reader;
     Policy policy;
     std::string line;
-    for (std::size_t number = 1; std::getline(input, line); ++number) {
+    for (std::size_t lineNumber = 1; std::getline(input, line); ++lineNumber) {
         if (line.empty())
             continue;
         Batch batch;
         try {
             batch = reader.read(line);
-        } catch (const MalformedInput &problem) {
-            errors << "deckcart_wirehost: line " << number << ": " << problem.what() << '\n';
-            return kBadInput;
+        } catch (const MalformedInput &error) {
+            errors << "deckcart_wirehost: line " << lineNumber << ": " << error.what() << '\n';
+            return kExitBadInput;
         }
         json commands = json::array();
-        for (const auto &happened : batch.gateways)
-            decide(policy, batch.now, happened, commands);
+        for (const auto &gatewayEvents : batch.gateways)
+            decide(policy, batch.now, gatewayEvents, commands);
         output << json{{"cmds", std::move(commands)}}.dump() << '\n' << std::flush;
     }
     return 0;
--- a/src/simulator/json_fields.hpp
+++ b/src/simulator/json_fields.hpp
@@ -1,5 +1,5 @@
-// Typed access to the fields of the simulator's JSON documents. Everything that does not fit throws
-// MalformedInput, which names the field. Absent and null fields are the same to the simulator.
+// Typed access to the fields of the simulator's JSON documents. Invalid fields are reported as
+// MalformedInput with the name of the field. A null field is the same as an absent one.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -13,72 +13,76 @@
 
 namespace deckcart::simulator {
 
-/// Input that does not follow the simulator's protocol; place() is the field at fault, if any.
+/// Input that violates the simulator's protocol; place() is the name of the invalid field, if any.
 class MalformedInput : public ParseError {
   public:
     using ParseError::ParseError;
 
-    /// "field NAME PROBLEM"
+    /// An error with the message "field NAME PROBLEM".
     [[nodiscard]] static MalformedInput inField(const std::string &name,
                                                 const std::string &problem) {
         return {name, "field " + name + " " + problem};
     }
 };
 
-/// A field that must be there.
+/// A required field of any type.
 [[nodiscard]] const nlohmann::json &requiredField(const nlohmann::json &object, const char *name);
-/// An object, empty where the field is absent.
+/// A field that is an object; an empty object if the field is absent.
 [[nodiscard]] const nlohmann::json &objectField(const nlohmann::json &object, const char *name);
-/// An array, empty where the field is absent.
+/// A field that is an array; an empty array if the field is absent.
 [[nodiscard]] const nlohmann::json &arrayField(const nlohmann::json &object, const char *name);
-/// The numbers of an array; null counts as 0.
+/// The elements of an array of numbers; null counts as 0.
 [[nodiscard]] std::vector<double> numbersField(const nlohmann::json &object, const char *name);
-/// As the protocol writes it.
+/// The duration in seconds, the unit of the protocol.
 [[nodiscard]] double secondsOf(Duration duration);
-/// Fields in seconds.
+/// A field that holds a duration in seconds.
 [[nodiscard]] Duration requiredDuration(const nlohmann::json &object, const char *name);
+/// The same; zero if the field is absent.
 [[nodiscard]] Duration optionalDuration(const nlohmann::json &object, const char *name);
 
-/// The value as T. Numbers are not converted: an integer type takes whole numbers only.
-/// @param name  of the field, for the error
+/// Converts a JSON value to T. Integer types accept integers only.
+/// @param name  name of the field, for the error message
 template <class T>
 [[nodiscard]] T valueAs(const nlohmann::json &value, const char *name) {
-    bool fits = false;
+    bool typeMatches = false;
     if constexpr (std::is_same_v<T, bool>)
-        fits = value.is_boolean();
+        typeMatches = value.is_boolean();
     else if constexpr (std::is_same_v<T, std::string>)
-        fits = value.is_string();
+        typeMatches = value.is_string();
     else if constexpr (std::is_unsigned_v<T>)
-        fits = value.is_number_unsigned();
+        typeMatches = value.is_number_unsigned();
     else if constexpr (std::is_integral_v<T>)
-        fits = value.is_number_integer();
+        typeMatches = value.is_number_integer();
     else
-        fits = value.is_number();
-    if (!fits)
-        throw MalformedInput::inField(name, "has a wrong type");
+        typeMatches = value.is_number();
+    if (!typeMatches)
+        throw MalformedInput::inField(name, "has the wrong type");
     return value.get<T>();
 }
 
+/// A required field of type T.
 template <class T>
 [[nodiscard]] T required(const nlohmann::json &object, const char *name) {
     return valueAs<T>(requiredField(object, name), name);
 }
 
+/// A field of type T, or `fallback` if it is absent.
 template <class T>
-[[nodiscard]] T optional(const nlohmann::json &object, const char *name, T otherwise = {}) {
+[[nodiscard]] T optional(const nlohmann::json &object, const char *name, T fallback = {}) {
     const auto field = object.find(name);
     if (field == object.end() || field->is_null())
-        return otherwise;
+        return fallback;
     return valueAs<T>(*field, name);
 }
 
-/// A word of the protocol and the value that it stands for.
+/// A keyword of the protocol and the value that it stands for.
 template <class T>
 struct Keyword {
     const char *text;
     T value;
 };
 
+/// A required field that holds one of the keywords.
 template <class T>
 [[nodiscard]] T requiredKeyword(const nlohmann::json &object, const char *name,
                                 std::initializer_list<Keyword<T>> keywords) {
@@ -87,7 +91,7 @@
         if (text == keyword.text)
             return keyword.value;
     }
-    throw MalformedInput::inField(name, "holds an unknown word");
+    throw MalformedInput::inField(name, "has an unknown value");
 }
 
 }  // namespace deckcart::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,5 @@
-// deckcart_wirehost: the simulator's adapter, batches on standard input, replies on standard
-// output.
+// deckcart_wirehost: the adapter for the simulator. Reads batches from standard input and writes
+// the replies to standard output.
 #include <iostream>
 
 #include "host.hpp"
--- a/src/simulator/settings_codec.cpp
+++ b/src/simulator/settings_codec.cpp
@@ -9,38 +9,38 @@
 
 using nlohmann::json;
 
-// Where the settings state no bound on what a gateway holds at once.
+// Used if the settings have no limit on the requests in flight.
 constexpr int kDefaultMaxRequestsInFlight = 4096;
-// The field of a load report that counts the requests an endpoint is working on.
+// The field of a load report with the number of requests in flight at the endpoint.
 constexpr const char *kInFlightField = "concurrent";
 
-Route readRoute(const json &grade) {
+Route readRoute(const json &routeSettings) {
     Route route;
-    route.latencyObjective = requiredDuration(grade, "ObjectiveS");
-    route.idempotency = requiredKeyword<Idempotency>(grade, "Effect",
+    route.latencyObjective = requiredDuration(routeSettings, "ObjectiveS");
+    route.idempotency = requiredKeyword<Idempotency>(routeSettings, "Effect",
                                                      {{"free", Idempotency::idempotent},
                                                       {"guarded", Idempotency::withKey},
                                                       {"single_shot", Idempotency::nonIdempotent}});
-    if (grade.contains("Group"))
+    if (routeSettings.contains("Group"))
         route.deduplicationScope =
-            requiredKeyword<DeduplicationScope>(grade, "Group",
+            requiredKeyword<DeduplicationScope>(routeSettings, "Group",
                                                 {{"all", DeduplicationScope::all},
                                                  {"zone", DeduplicationScope::zone},
                                                  {"cell", DeduplicationScope::cell}});
-    route.deduplicationWindow = optionalDuration(grade, "WindowS");
+    route.deduplicationWindow = optionalDuration(routeSettings, "WindowS");
     return route;
 }
 
-void readRetryLimits(const json &settings, PolicySettings &out) {
+void readRetryLimits(const json &settings, PolicySettings &decoded) {
     const json &limits = objectField(settings, "Limits");
-    out.hedgingAllowed = optional<bool>(limits, "MayDuplicate");
-    out.cancellationAllowed = optional<bool>(limits, "Cancel");
-    out.maxAttempts = optional<int>(limits, "MostTries", 1);
-    out.maxRetryAfter = optionalDuration(limits, "MaxRetryAfterS");
-    out.retryAfterSupported = optional<bool>(limits, "RetryAfter");
+    decoded.hedgingAllowed = optional<bool>(limits, "MayDuplicate");
+    decoded.cancellationAllowed = optional<bool>(limits, "Cancel");
+    decoded.maxAttempts = optional<int>(limits, "MostTries", 1);
+    decoded.maxRetryAfter = optionalDuration(limits, "MaxRetryAfterS");
+    decoded.retryAfterSupported = optional<bool>(limits, "RetryAfter");
 }
 
-void readLoadReports(const json &settings, PolicySettings &out) {
+void readLoadReports(const json &settings, PolicySettings &decoded) {
     const json &report = objectField(settings, "Report");
     const bool probes = optional<bool>(objectField(settings, "Limits"), "Probes") &&
                         optional<std::string>(report, "How") == "probe";
@@ -48,37 +48,37 @@
     for (std::size_t index = 0; index < fields.size(); ++index) {
         const bool inFlight = valueAs<std::string>(fields[index], "Fields") == kInFlightField;
         if (inFlight && probes)
-            out.inFlightReportField = static_cast<int>(index);
+            decoded.inFlightReportField = static_cast<int>(index);
     }
 }
 
-void readSlowStart(const json &safety, PolicySettings &out) {
-    out.initialCapacity = optional<double>(safety, "ColdFrom", 1);
-    out.warmUpTime = optionalDuration(safety, "WarmWithinS");
-    out.overloadMultiple = optional<double>(safety, "TipMultiple", 1);
-    out.overloadWindow = optionalDuration(safety, "OverloadForS");
+void readSlowStart(const json &safety, PolicySettings &decoded) {
+    decoded.initialCapacity = optional<double>(safety, "ColdFrom", 1);
+    decoded.warmUpTime = optionalDuration(safety, "WarmWithinS");
+    decoded.overloadMultiple = optional<double>(safety, "TipMultiple", 1);
+    decoded.overloadWindow = optionalDuration(safety, "OverloadForS");
 }
 
-void readRollouts(const json &family, PolicySettings &out) {
-    if (family.contains("GateMode"))
-        out.promotionRule =
-            requiredKeyword<PromotionRule>(family, "GateMode",
+void readRollouts(const json &rollouts, PolicySettings &decoded) {
+    if (rollouts.contains("GateMode"))
+        decoded.promotionRule =
+            requiredKeyword<PromotionRule>(rollouts, "GateMode",
                                            {{"first_voice", PromotionRule::firstVote},
                                             {"by_count", PromotionRule::quorum},
                                             {"automatic", PromotionRule::timer}});
-    out.inPlaceReplacement = optional<std::string>(family, "ReplaceMode") == "replace";
-    out.exposurePerRoute = optional<std::string>(family, "Per") == "each_class";
-    out.stickyKeys = optional<bool>(family, "KeysStay");
-    out.idempotentOnlyStages = optional<int>(family, "GuardedStages");
-    out.exposureAllowance = optional<double>(family, "SpareTries");
-    out.exposureWindow = optionalDuration(family, "SpanS");
-    out.exposureLimits = numbersField(family, "ExposureCaps");
-    out.stageShares = numbersField(family, "Shares");
-    out.minStageDuration = optionalDuration(family, "LeastStageS");
-    out.voteLifetime = optionalDuration(family, "BallotTtlS");
-    out.voteTimeout = optionalDuration(family, "ApiTimeoutS");
-    out.votesToRollBack = optional<int>(family, "VotesToRevert", 1);
-    out.incorrectReportRate = optional<double>(family, "ComplaintShare");
+    decoded.inPlaceReplacement = optional<std::string>(rollouts, "ReplaceMode") == "replace";
+    decoded.exposurePerRoute = optional<std::string>(rollouts, "Per") == "each_class";
+    decoded.stickyKeys = optional<bool>(rollouts, "KeysStay");
+    decoded.idempotentOnlyStages = optional<int>(rollouts, "GuardedStages");
+    decoded.exposureAllowance = optional<double>(rollouts, "SpareTries");
+    decoded.exposureWindow = optionalDuration(rollouts, "SpanS");
+    decoded.exposureLimits = numbersField(rollouts, "ExposureCaps");
+    decoded.stageShares = numbersField(rollouts, "Shares");
+    decoded.minStageDuration = optionalDuration(rollouts, "LeastStageS");
+    decoded.voteLifetime = optionalDuration(rollouts, "BallotTtlS");
+    decoded.voteTimeout = optionalDuration(rollouts, "ApiTimeoutS");
+    decoded.votesToRollBack = optional<int>(rollouts, "VotesToRevert", 1);
+    decoded.incorrectReportRate = optional<double>(rollouts, "ComplaintShare");
 }
 
 }  // namespace
@@ -89,49 +89,50 @@
 
 PolicySettings readPolicySettings(const json &settings, std::uint64_t seed) {
     const json &rollouts = objectField(settings, "FamilyInfo");
-    (void)objectField(settings, "Limits");  // a wrong type is refused before what follows
+    // Reports a wrong type of Limits before errors in the fields below.
+    (void)objectField(settings, "Limits");
     const json &safety = objectField(settings, "Safety");
-    PolicySettings out;
-    out.seed = seed;
-    out.gateways = optional<int>(settings, "GroupSize", 1);
-    out.zone = optional<int>(settings, "Locality");
-    for (const auto &grade : arrayField(settings, "Grades"))
-        out.routes.push_back(readRoute(grade));
-    for (const auto &realm : arrayField(settings, "Realms"))
-        out.tenantQuotas.push_back(optional<double>(realm, "Share"));
-    readRetryLimits(settings, out);
-    out.subscriptionRequired = optional<std::string>(settings, "Discovery") == "subscribe";
-    out.subscribeWithin = optionalDuration(safety, "AskWithinS");
-    out.crossZoneCost = optional<double>(objectField(settings, "Fees"), "CrossZone");
-    readLoadReports(settings, out);
-    readSlowStart(safety, out);
-    readRollouts(rollouts, out);
-    return out;
+    PolicySettings decoded;
+    decoded.seed = seed;
+    decoded.gateways = optional<int>(settings, "GroupSize", 1);
+    decoded.zone = optional<int>(settings, "Locality");
+    for (const auto &routeSettings : arrayField(settings, "Grades"))
+        decoded.routes.push_back(readRoute(routeSettings));
+    for (const auto &tenantSettings : arrayField(settings, "Realms"))
+        decoded.tenantQuotas.push_back(optional<double>(tenantSettings, "Share"));
+    readRetryLimits(settings, decoded);
+    decoded.subscriptionRequired = optional<std::string>(settings, "Discovery") == "subscribe";
+    decoded.subscribeWithin = optionalDuration(safety, "AskWithinS");
+    decoded.crossZoneCost = optional<double>(objectField(settings, "Fees"), "CrossZone");
+    readLoadReports(settings, decoded);
+    readSlowStart(safety, decoded);
+    readRollouts(rollouts, decoded);
+    return decoded;
 }
 
 DeploymentSettings readSettings(const json &settings, std::uint64_t seed) {
     if (!settings.is_object())
-        throw MalformedInput("", "the settings are no object");
-    DeploymentSettings out;
-    out.start = readPolicySettings(settings, seed);
-    for (const auto &grade : arrayField(settings, "Grades")) {
-        out.routes.push_back(required<std::string>(grade, "Name"));
-        out.routeTimeouts.push_back(requiredDuration(grade, "DeadlineS"));
+        throw MalformedInput("", "the settings are not an object");
+    DeploymentSettings decoded;
+    decoded.start = readPolicySettings(settings, seed);
+    for (const auto &routeSettings : arrayField(settings, "Grades")) {
+        decoded.routes.push_back(required<std::string>(routeSettings, "Name"));
+        decoded.routeTimeouts.push_back(requiredDuration(routeSettings, "DeadlineS"));
     }
-    for (const auto &realm : arrayField(settings, "Realms"))
-        out.tenants.push_back(required<std::string>(realm, "Name"));
+    for (const auto &tenantSettings : arrayField(settings, "Realms"))
+        decoded.tenants.push_back(required<std::string>(tenantSettings, "Name"));
     for (const auto &zone : arrayField(settings, "FailureDomains"))
-        out.zones.push_back(valueAs<std::string>(zone, "FailureDomains"));
+        decoded.zones.push_back(valueAs<std::string>(zone, "FailureDomains"));
     for (const auto &name : arrayField(objectField(settings, "Report"), "Fields"))
-        out.loadFields.push_back(valueAs<std::string>(name, "Fields"));
+        decoded.loadFields.push_back(valueAs<std::string>(name, "Fields"));
     const json &limits = objectField(settings, "Limits");
-    out.keptIdle = requiredDuration(limits, "KeepaliveS");
-    out.connectWithin = requiredDuration(limits, "ConnectTimeoutS");
-    out.maxRequestsInFlight =
+    decoded.endpointKeepAlive = requiredDuration(limits, "KeepaliveS");
+    decoded.connectTimeout = requiredDuration(limits, "ConnectTimeoutS");
+    decoded.maxRequestsInFlight =
         std::size_t(std::max(1, optional<int>(limits, "MostHeld", kDefaultMaxRequestsInFlight)));
-    if (out.routes.empty())
+    if (decoded.routes.empty())
         throw MalformedInput("Grades", "field Grades is empty");
-    return out;
+    return decoded;
 }
 
 }  // namespace deckcart::simulator
--- a/src/simulator/settings_codec.hpp
+++ b/src/simulator/settings_codec.hpp
@@ -1,5 +1,5 @@
-// The settings that the simulator and the users' platform give a gateway at its start, in the one
-// JSON form that both use (WIRE page of the users, message INIT).
+// Decodes the settings that a gateway gets at startup, in the JSON format that the simulator and
+// the users' platform share. The format is described in the users' WIRE page, message INIT.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -9,25 +9,28 @@
 
 namespace deckcart::simulator {
 
-/// What the policy starts with, and what a data path needs beside that. Names stand in the order
-/// of the policy's indices.
+/// The policy's settings and those that the data path needs in addition. The names of routes,
+/// tenants and zones are ordered by the policy's indices.
 struct DeploymentSettings {
     PolicySettings start;
     std::vector<std::string> routes;
     std::vector<std::string> tenants;
     std::vector<std::string> zones;
-    std::vector<Duration> routeTimeouts;  ///< by route: when the client gives up
-    std::vector<std::string> loadFields;  ///< of a load report, in order
-    Duration keptIdle{};                  ///< endpoints close connections idle for so long
-    Duration connectWithin{};
+    std::vector<Duration> routeTimeouts;  ///< by route: time after which the client gives up
+    std::vector<std::string> loadFields;  ///< names of a load report's fields, in order
+    Duration endpointKeepAlive{};         ///< idle time after which endpoints close a connection
+    Duration connectTimeout{};
     std::size_t maxRequestsInFlight = 0;
 
-    /// Zero where there are no routes.
+    /// The longest of the routes' timeouts; zero if there are no routes.
     [[nodiscard]] Duration longestTimeout() const;
 };
 
-/// @throws MalformedInput with the field at fault
+/// Decodes the complete settings.
+/// @param seed  of the policy's random choices
+/// @throws MalformedInput with the name of the invalid field
 [[nodiscard]] DeploymentSettings readSettings(const nlohmann::json &settings, std::uint64_t seed);
+/// Decodes the policy's part only; see readSettings().
 [[nodiscard]] PolicySettings readPolicySettings(const nlohmann::json &settings, std::uint64_t seed);
 
 }  // namespace deckcart::simulator
--- a/tests/path/platform_fixture.hpp
+++ b/tests/path/platform_fixture.hpp
@@ -263,7 +263,7 @@
                       std::optional<Duration> reuseDelay = std::nullopt) {
         configuration = platform::parseConfiguration(document(sockets).dump());
         auto resources =
-            platform::divideResources(sockets, 32, 1000, configuration.settings.keptIdle);
+            platform::divideResources(sockets, 32, 1000, configuration.settings.endpointKeepAlive);
         if (reuseDelay)
             resources.reuseDelay = *reuseDelay;
         transport = std::make_unique<platform::PlatformTransport>(io, clock, configuration,
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -205,12 +205,12 @@
 
 TEST(PlatformDocuments, EventsComeLineByLine) {
     ServerSentEventParser parser;
-    EXPECT_FALSE(parser.feedLine(":"));
-    EXPECT_FALSE(parser.feedLine(""));
-    EXPECT_FALSE(parser.feedLine("event: counts\r"));
+    EXPECT_FALSE(parser.consumeLine(":"));
+    EXPECT_FALSE(parser.consumeLine(""));
+    EXPECT_FALSE(parser.consumeLine("event: counts\r"));
     EXPECT_FALSE(
-        parser.feedLine("data: image=42&type=order&n=57&bad=2&latency_ms=18.5&lag_ms=900\r"));
-    const auto event = parser.feedLine("\r");
+        parser.consumeLine("data: image=42&type=order&n=57&bad=2&latency_ms=18.5&lag_ms=900\r"));
+    const auto event = parser.consumeLine("\r");
     ASSERT_TRUE(event);
     EXPECT_EQ(event->type, "counts");
     const UsageReport report = parseUsageReport(parseForm(event->data), {"lookup", "order"});
@@ -225,7 +225,8 @@
           "image=1&image=1&type=order&n=1&bad=0&lag_ms=1", "image=1&type=%zz&n=1&bad=0&lag_ms=1",
           "noise"})
         EXPECT_THROW(counts(odd), std::invalid_argument) << odd;
-    EXPECT_THROW((void)parser.feedLine("data: " + std::string(100000, 'x')), std::invalid_argument)
+    EXPECT_THROW((void)parser.consumeLine("data: " + std::string(100000, 'x')),
+                 std::invalid_argument)
         << "without end";
 }
 
@@ -246,7 +247,7 @@
     EXPECT_EQ(divideResources(256, 8, 10, 15s).bodyBytes, 65536u);
     EXPECT_EQ(divideResources(256, 32, 10, 15s).maxRequestsInFlight, 10u);
     EXPECT_LT(shutdownPlan(10s).answerDeadline, Duration{3700ms}) << "before the kill";
-    EXPECT_EQ(shutdownPlan(1s).acceptFor, Duration{500ms}) << "while connections still come";
+    EXPECT_EQ(shutdownPlan(1s).acceptDeadline, Duration{500ms}) << "while connections still come";
 }
 
 TEST(PlatformRequestIds, AnIdIsKnownWhileOpenAndForAWhileAfter) {
@@ -331,8 +332,8 @@
             const std::string two = value.dump(indent) + between + value.dump(indent);
             for (std::size_t cut = 0; cut <= two.size(); ++cut) {
                 JsonObjectSplitter splitter(10000);
-                auto got = splitter.feed(std::string_view(two).substr(0, cut));
-                for (auto &more : splitter.feed(std::string_view(two).substr(cut)))
+                auto got = splitter.consume(std::string_view(two).substr(0, cut));
+                for (auto &more : splitter.consume(std::string_view(two).substr(cut)))
                     got.push_back(std::move(more));
                 ASSERT_EQ(got.size(), 2u) << indent << " cut at " << cut;
                 EXPECT_EQ(nlohmann::json::parse(got[1]), value);
@@ -346,10 +347,10 @@
                             R"({"a" 1)", R"({"a":1 "b")", "{a", "{\"a\":\"x\n", R"({"a":1,})",
                             R"({"a":[1,])", R"({"a":[1})", "{,", "{\"a\":\n{\"b\"}", "{}}", "}"}) {
         JsonObjectSplitter splitter(10000);
-        EXPECT_THROW((void)splitter.feed(odd), std::invalid_argument) << odd;
+        EXPECT_THROW((void)splitter.consume(odd), std::invalid_argument) << odd;
     }
     JsonObjectSplitter bounded(8);
-    EXPECT_THROW((void)bounded.feed(R"({"long":")"), std::invalid_argument);
+    EXPECT_THROW((void)bounded.consume(R"({"long":")"), std::invalid_argument);
 }
 
 TEST(PlatformDirectory, AnotherAddressStartOrBuildIsAnotherIncarnation) {
