--- a/src/platform/commands.hpp
+++ b/src/platform/commands.hpp
@@ -24,8 +24,8 @@
 struct ParsedCommand {
     RequestAttributes attributes;
     RequestCommand command;
-    std::string
-        error;  ///< text of the error reply; if not empty, the other members are unspecified
+    /// Text of the error reply; if not empty, the other members are unspecified.
+    std::string error;
 };
 
 /// Whether the command name is that of a request (Q.ASK or Q.DO). Checks nothing else.
@@ -38,8 +38,7 @@
                            const simulator::DeploymentSettings &settings);
 
 /// Encodes the command for an endpoint.
-/// @param remainingTime  time left until the client gives up; sent in whole milliseconds, at least
-/// 1
+/// @param remainingTime  time until the client gives up; sent in whole milliseconds, at least 1
 std::string forwardedCommand(const RequestCommand &command, Duration remainingTime);
 
 /// The result of parseReply().
--- a/src/platform/platform_control_plane.hpp
+++ b/src/platform/platform_control_plane.hpp
@@ -24,8 +24,7 @@
 /// thread-safe: all calls and callbacks are made on the io_context's thread.
 class PlatformControlPlaneClient : public ControlPlaneClient {
   public:
-    /// @param directory  updated from each list before the observer is told of it; must outlive
-    /// this
+    /// @param directory  updated from each list before the observer is notified; must outlive this
     ///   object
     /// @param settings  must outlive this object
     /// @param seed  of the reconnect jitter
--- a/src/platform/service.hpp
+++ b/src/platform/service.hpp
@@ -13,7 +13,7 @@
 /// @param configurationFile  path of the document described in configuration.hpp
 /// @param requestLogSample  fraction of the requests that are logged, from 0 to 1
 /// @return the exit status: 0 after a shutdown; 1 if it cannot listen; 2 if the configuration is
-///   invalid, with a log line that names the field
+///   missing or invalid, with a log line that names the field
 int runGateway(const std::string &configurationFile, LogForm logs, double requestLogSample);
 
 }  // namespace deckcart::platform
--- a/src/platform/transport.cpp
+++ b/src/platform/transport.cpp
@@ -49,8 +49,8 @@
             {deployment.routes[route], "", "", deployment.routeTimeouts[route]});
     settings.maxRequestsInFlight = limits.maxRequestsInFlight;
     settings.upstream.bufferedResponseBytes = limits.valueBytes;  // responses are not streamed
-    settings.responseHistorySize =
-        0;  // the platform does not report incorrect responses by request
+    // The platform does not report incorrect responses by request.
+    settings.responseHistorySize = 0;
     return settings;
 }
 
--- a/src/platform/transport.hpp
+++ b/src/platform/transport.hpp
@@ -15,8 +15,7 @@
 class PlatformTransport : public Transport {
   public:
     /// @param clock,configuration  must outlive the gateway; so must this transport, since it owns
-    /// the
-    ///   endpoint directory
+    ///   the endpoint directory
     PlatformTransport(asio::io_context &context, const Clock &clock,
                       const PlatformConfiguration &configuration, const ResourceLimits &limits,
                       Log log);
--- a/src/platform/upstream_pool.hpp
+++ b/src/platform/upstream_pool.hpp
@@ -44,8 +44,7 @@
     using IdlePool = IdleConnections<EndpointConnection>;
 
     /// Reuses an idle connection or creates one. Null if the endpoint has no address or the limit
-    /// is reached. Each connection must be passed to releaseConnection() once, even if it has
-    /// failed.
+    /// is reached. Each connection, even a failed one, must be passed to releaseConnection() once.
     [[nodiscard]] Connection acquireConnection(const EndpointId &endpoint);
     void releaseConnection(const EndpointId &endpoint, const Connection &connection);
     [[nodiscard]] IdlePool::Use reuseDecision(EndpointConnection &connection,
--- a/src/platform/watch_stream.cpp
+++ b/src/platform/watch_stream.cpp
@@ -15,8 +15,8 @@
 struct WatchStream::WatchConnection {
     std::shared_ptr<http::Fetch> fetch;
     Reader reader;
-    SteadyTime::time_point
-        lastActivityAt{};  // time of the connect until the first complete message
+    // Until the first complete message: time of the connect.
+    SteadyTime::time_point lastActivityAt{};
     bool closed = false;
 };
 
