--- a/src/control_plane/control_plane_client.hpp
+++ b/src/control_plane/control_plane_client.hpp
@@ -1,7 +1,7 @@
-// What a gateway needs of its control plane, whatever the protocol: the endpoint list and rollout
-// updates by list and watch, votes. HTTP's client stands beside this file, the platform's in
-// src/platform/. No client decides when to watch, to list anew or to vote: the decision module
-// does.
+// Interface between a gateway and its control plane, independent of the protocol: list and watch of
+// endpoints and rollout updates, and votes. http_control_plane_client.hpp implements it over HTTP,
+// src/platform/ for the platform. The decision module, not the client, decides when to list, to
+// watch and to vote.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -9,25 +9,27 @@
 
 namespace deckcart {
 
-/// The gateway's connection to its control plane. All calls on the gateway's thread.
+/// A gateway's client of its control plane. All calls are made on the gateway's thread.
 class ControlPlaneClient {
   public:
     virtual ~ControlPlaneClient() = default;
-    /// Lists anew and watches from there (true), or ends the watch (false). A watch that breaks
-    /// off is reported as EndpointListFailed and not made anew by the client.
+    /// True: fetches the full list, then watches for changes from its version. False: ends the
+    /// watch. A failed list or watch is reported as EndpointListFailed; the client does not retry
+    /// it.
     virtual void follow(bool active) = 0;
-    /// Casts a vote. Its reply, or its failure, is a RolloutUpdate with isVoteReply set.
-    /// @param within  how long the reply may take
-    virtual void vote(const Vote &vote, Duration within) = 0;
+    /// Casts a vote. Its reply or failure is reported as a RolloutUpdate with isVoteReply set.
+    /// @param timeout  for the reply
+    virtual void vote(const Vote &vote, Duration timeout) = 0;
 };
 
-/// What a client works for.
+/// Callbacks of a client's owner.
 struct ControlPlaneObserver {
     std::function<TimePoint()> now;   ///< the gateway's clock
-    std::function<void(Event)> tell;  ///< takes each update
+    std::function<void(Event)> tell;  ///< receives each update
 };
 
-/// The reply of a vote that did not count, or may have.
+/// The update for a vote without a usable reply.
+/// @param outcome  why; with Outcome::timeout the vote may have been counted
 [[nodiscard]] inline RolloutUpdate voteFailed(Outcome outcome) {
     return {true, outcome, 0, 0, RolloutPhase::canary, 0, {}};
 }
--- a/src/control_plane/documents.cpp
+++ b/src/control_plane/documents.cpp
@@ -9,51 +9,52 @@
 using nlohmann::json;
 
 template <class Value>
-struct Word {
+struct WireName {
     const char *text;
     Value value;
 };
 
 constexpr std::array kVerdicts{
-    Word<Verdict>{"none", Verdict::none},
-    Word<Verdict>{"on", Verdict::promote},
-    Word<Verdict>{"hold", Verdict::hold},
-    Word<Verdict>{"back", Verdict::rollBack},
+    WireName<Verdict>{"none", Verdict::none},
+    WireName<Verdict>{"on", Verdict::promote},
+    WireName<Verdict>{"hold", Verdict::hold},
+    WireName<Verdict>{"back", Verdict::rollBack},
 };
 constexpr std::array kPhases{
-    Word<RolloutPhase>{"on-trial", RolloutPhase::canary},
-    Word<RolloutPhase>{"going-back", RolloutPhase::rollingBack},
-    Word<RolloutPhase>{"released", RolloutPhase::released},
-    Word<RolloutPhase>{"withdrawn", RolloutPhase::rolledBack},
+    WireName<RolloutPhase>{"on-trial", RolloutPhase::canary},
+    WireName<RolloutPhase>{"going-back", RolloutPhase::rollingBack},
+    WireName<RolloutPhase>{"released", RolloutPhase::released},
+    WireName<RolloutPhase>{"withdrawn", RolloutPhase::rolledBack},
 };
 constexpr std::array kStates{
-    Word<EndpointState>{"live", EndpointState::active},
-    Word<EndpointState>{"draining", EndpointState::draining},
-    Word<EndpointState>{"gone", EndpointState::removed},
+    WireName<EndpointState>{"live", EndpointState::active},
+    WireName<EndpointState>{"draining", EndpointState::draining},
+    WireName<EndpointState>{"gone", EndpointState::removed},
 };
 
 template <class Value, std::size_t Count>
-const char *textOf(const std::array<Word<Value>, Count> &words, Value value) {
-    for (const auto &word : words)
-        if (word.value == value)
-            return word.text;
-    return words.front().text;  // every enumerator has its word
+const char *wireNameOf(const std::array<WireName<Value>, Count> &names, Value value) {
+    for (const auto &candidate : names)
+        if (candidate.value == value)
+            return candidate.text;
+    return names.front().text;  // not reached: the table names every enumerator
 }
 
 template <class Value, std::size_t Count>
-std::optional<Value> valueOf(const std::array<Word<Value>, Count> &words, const std::string &text) {
-    for (const auto &word : words)
-        if (text == word.text)
-            return word.value;
+std::optional<Value> valueNamed(const std::array<WireName<Value>, Count> &names,
+                                const std::string &text) {
+    for (const auto &candidate : names)
+        if (text == candidate.text)
+            return candidate.value;
     return std::nullopt;
 }
 
 template <class Value, std::size_t Count>
-Value requiredWord(const json &document, const char *name,
-                   const std::array<Word<Value>, Count> &words) {
-    const auto value = valueOf(words, requiredField<std::string>(document, name));
+Value requiredEnum(const json &document, const char *name,
+                   const std::array<WireName<Value>, Count> &names) {
+    const auto value = valueNamed(names, requiredField<std::string>(document, name));
     if (!value)
-        throw ParseError(name, std::string("field ") + name + " holds an unknown word");
+        throw ParseError(name, std::string("field ") + name + " has an unknown value");
     return *value;
 }
 
@@ -61,12 +62,12 @@
 Value optionalField(const json &document, const char *name, Value fallback) {
     try {
         return document.value(name, std::move(fallback));
-    } catch (const json::exception &fault) {
-        throw ParseError(name, fault.what());
+    } catch (const json::exception &error) {
+        throw ParseError(name, error.what());
     }
 }
 
-/// Documents hold milliseconds, with fractions.
+/// Reads a required field in milliseconds, possibly fractional.
 Duration requiredDuration(const json &document, const char *name) {
     return Duration{std::llround(requiredField<double>(document, name) * 1000)};
 }
@@ -74,15 +75,15 @@
 }  // namespace
 
 const char *nameOf(Verdict verdict) {
-    return textOf(kVerdicts, verdict);
+    return wireNameOf(kVerdicts, verdict);
 }
 
 const char *nameOf(RolloutPhase phase) {
-    return textOf(kPhases, phase);
+    return wireNameOf(kPhases, phase);
 }
 
 std::optional<Verdict> verdictNamed(const std::string &name) {
-    return valueOf(kVerdicts, name);
+    return valueNamed(kVerdicts, name);
 }
 
 json toJson(const ListedEndpoint &endpoint) {
@@ -90,7 +91,7 @@
                   {"zone", endpoint.zone},
                   {"cell", endpoint.cell},
                   {"build", endpoint.build},
-                  {"readiness", textOf(kStates, endpoint.state)},
+                  {"readiness", wireNameOf(kStates, endpoint.state)},
                   {"weight", endpoint.weight},
                   {"incarnation", endpoint.incarnation}};
     if (endpoint.age)
@@ -104,14 +105,14 @@
     endpoint.build = requiredField<int>(document, "build");
     endpoint.zone = optionalField(document, "zone", std::string{});
     endpoint.cell = optionalField(document, "cell", 0);
-    endpoint.state = requiredWord(document, "readiness", kStates);
+    endpoint.state = requiredEnum(document, "readiness", kStates);
     endpoint.weight = optionalField(document, "weight", 1.0);
     endpoint.incarnation = optionalField(document, "incarnation", std::string{});
     if (document.contains("ageMs"))
         endpoint.age = requiredDuration(document, "ageMs");
     const bool inRange = endpoint.weight > 0 && !endpoint.id.empty();
     if (!inRange)
-        throw ParseError("id or weight", "field id or weight is out of range");
+        throw ParseError("id or weight", "field id is empty or field weight is not above 0");
     return endpoint;
 }
 
@@ -152,19 +153,19 @@
     RolloutStage stage;
     stage.build = requiredField<int>(document, "build");
     stage.step = requiredField<int>(document, "step");
-    stage.phase = requiredWord(document, "phase", kPhases);
+    stage.phase = requiredEnum(document, "phase", kPhases);
     stage.exposureLimit = requiredField<double>(document, "cap");
     stage.age = requiredDuration(document, "sinceMs");
     const bool inRange = stage.exposureLimit >= 0 && stage.exposureLimit <= 1 && stage.step >= 0;
     if (!inRange)
-        throw ParseError("cap or step", "field cap or step is out of range");
+        throw ParseError("cap or step", "field cap is not within 0 to 1 or field step is negative");
     return stage;
 }
 
-std::optional<UsageReport> readUsageReport(const json &row, std::size_t routes) {
+std::optional<UsageReport> readUsageReport(const json &row, std::size_t routeCount) {
     UsageReport report;
     report.route = requiredField<int>(row, "route");
-    if (report.route < 0 || std::size_t(report.route) >= routes)
+    if (report.route < 0 || std::size_t(report.route) >= routeCount)
         return std::nullopt;
     report.build = requiredField<int>(row, "build");
     report.attempts = requiredField<int>(row, "counted");
--- a/src/control_plane/documents.hpp
+++ b/src/control_plane/documents.hpp
@@ -1,6 +1,6 @@
-// The documents that a gateway and its control plane exchange over HTTP: an endpoint of the list, a
-// rollout's stage, a usage report. Used by the HTTP client, by a gateway's API and snapshots, and
-// by whoever speaks for the control plane. The words on the wire are in documents.cpp.
+// JSON documents that a gateway and its control plane exchange over HTTP: listed endpoints, rollout
+// stages and usage reports. Used by the HTTP client, by the gateway's API and snapshots, and by
+// test doubles of the control plane. The names of enum values on the wire are in documents.cpp.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -15,55 +15,59 @@
 
 namespace deckcart {
 
-/// An endpoint as documents list it.
+/// An endpoint as it is listed in documents.
 struct ListedEndpoint {
     EndpointId id;
-    std::string zone;  ///< by name; empty: none given
+    std::string zone;  ///< name of the zone; empty if not given
     int cell = 0;
     BuildNumber build = 0;
     EndpointState state = EndpointState::active;
-    double weight = 1;            ///< over 0
-    std::string incarnation;      ///< another one for each start of the endpoint
-    std::optional<Duration> age;  ///< since that start, when this was written; empty: long ago
+    double weight = 1;            ///< above 0
+    std::string incarnation;      ///< differs for each start of the endpoint
+    std::optional<Duration> age;  ///< time since that start when the document was written;
+                                  ///< empty: started long ago
 };
 [[nodiscard]] nlohmann::json toJson(const ListedEndpoint &endpoint);
-/// Throws ParseError with the field at fault.
+/// Throws ParseError that names the invalid field.
 [[nodiscard]] ListedEndpoint readListedEndpoint(const nlohmann::json &document);
 
-/// The entry for the decision module, but for startedAt: that is on the reader's clock.
+/// Converts to an entry for the decision module. Leaves startedAt empty, since it is a time on the
+/// reader's clock.
 [[nodiscard]] EndpointEntry entryOf(const ListedEndpoint &endpoint,
                                     const GatewaySettings &settings);
-/// The way back, with the endpoint's age at `now`. The entry has no incarnation, so that is empty.
-/// @param zones  their names by number; a zone past the end has none
+/// Converts an entry back, with the endpoint's age at `now`. The incarnation is empty, since
+/// entries don't hold it.
+/// @param zones  names by zone number; for a number beyond the end the zone is left empty
 [[nodiscard]] ListedEndpoint listedOf(const EndpointEntry &entry,
                                       const std::vector<std::string> &zones, TimePoint now);
 
-/// Where the rollout of a build stands.
+/// The stage that the rollout of a build has reached.
 struct RolloutStage {
     BuildNumber build = 0;
-    int step = 0;  ///< from 0
+    int step = 0;  ///< index of the stage, from 0
     RolloutPhase phase = RolloutPhase::released;
     double exposureLimit = 1;  ///< 0 to 1
-    Duration age{};            ///< since the stage began, when this was written
+    Duration age{};            ///< time since the stage began when the document was written
 };
 [[nodiscard]] nlohmann::json toJson(const RolloutStage &stage);
-/// Throws ParseError with the field at fault.
+/// Throws ParseError that names the invalid field.
 [[nodiscard]] RolloutStage readStage(const nlohmann::json &document);
 
-/// One row of a usage report: what all gateways counted of a build on a route. Empty for a route
-/// that this gateway does not have, whatever else the row holds. Throws ParseError with the field
-/// at fault.
-/// @param routes  how many routes this gateway has
+/// Reads one row of a usage report: the attempts and failures of a build on a route, summed over
+/// all gateways. Returns nothing for a route that this gateway doesn't have; the rest of such a row
+/// is not checked. Throws ParseError that names the invalid field.
+/// @param routeCount  number of routes of this gateway
 [[nodiscard]] std::optional<UsageReport> readUsageReport(const nlohmann::json &row,
-                                                         std::size_t routes);
+                                                         std::size_t routeCount);
 
-/// The words of the documents, which logs use too.
+/// The name of the value in documents, also used in logs.
 [[nodiscard]] const char *nameOf(Verdict verdict);
+/// The name of the value in documents, also used in logs.
 [[nodiscard]] const char *nameOf(RolloutPhase phase);
-/// Empty for a word that names no verdict.
+/// Empty if no verdict has this name.
 [[nodiscard]] std::optional<Verdict> verdictNamed(const std::string &name);
 
-/// A field that a document must hold. Throws ParseError where it is missing or of another type.
+/// Reads a required field. Throws ParseError if it is missing or of another type.
 template <class Value>
 [[nodiscard]] Value requiredField(const nlohmann::json &document, const char *name) {
     try {
--- a/src/control_plane/http_control_plane_client.cpp
+++ b/src/control_plane/http_control_plane_client.cpp
@@ -5,11 +5,14 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxEntries = 20000;    // of a list: beyond it is no list of a site
-constexpr std::size_t kMaxStartTimes = 4096;  // of endpoints: those of a site many times over
+// No site has this many endpoints: a list with more entries is rejected as invalid.
+constexpr std::size_t kMaxEntries = 20000;
+// All stored start times are dropped beyond this number, many times the endpoints of a site, so
+// that restarts of endpoints don't grow the map without bound.
+constexpr std::size_t kMaxStartTimes = 4096;
 
-constexpr int kConflict = 409;         // the vote is on a stage that is over
-constexpr int kTooManyRequests = 429;  // the control plane has no time for it
+constexpr int kConflict = 409;         // the stage that the vote is for has ended
+constexpr int kTooManyRequests = 429;  // the control plane is overloaded
 
 http::RequestHead requestHead(const std::string &method, const std::string &target) {
     http::RequestHead head;
@@ -18,35 +21,37 @@
     return head;
 }
 
-/// What a vote's answer means, before its body is read.
-Outcome outcomeOf(const http::Fetched &answer) {
-    // No answer, or a broken one: the vote may have counted.
-    if (!answer.inTime || answer.outcome != http::CallEnd::complete)
+/// The outcome of a vote by the status of its response; the body is not read.
+Outcome voteOutcome(const http::Fetched &response) {
+    // Without a complete response the vote may or may not have been counted.
+    if (!response.inTime || response.outcome != http::CallEnd::complete)
         return Outcome::timeout;
-    if (answer.head.status == kConflict)
+    if (response.head.status == kConflict)
         return Outcome::obsolete;
-    if (answer.head.status == kTooManyRequests)
+    if (response.head.status == kTooManyRequests)
         return Outcome::overloaded;
-    return answer.ok() ? Outcome::ok : Outcome::error;
+    return response.ok() ? Outcome::ok : Outcome::error;
 }
 
 }  // namespace
 
-HttpControlPlaneClient::HttpControlPlaneClient(asio::io_context &io, const GatewaySettings &with,
-                                               TimeSource clock, EventHandler to)
-    : context(io), settings(with), now(std::move(clock)), handler(std::move(to)) {}
+HttpControlPlaneClient::HttpControlPlaneClient(asio::io_context &ioContext,
+                                               const GatewaySettings &gatewaySettings,
+                                               TimeSource timeSource, EventHandler eventHandler)
+    : context(ioContext), settings(gatewaySettings), now(std::move(timeSource)),
+      handler(std::move(eventHandler)) {}
 
 HttpControlPlaneClient::~HttpControlPlaneClient() {
-    stop();
+    stopCalls();
 }
 
 void HttpControlPlaneClient::follow(bool active) {
-    stop();
+    stopCalls();
     if (active)
         startList();
 }
 
-void HttpControlPlaneClient::stop() {
+void HttpControlPlaneClient::stopCalls() {
     if (watchCall) {
         watchCall->stop();
         watchCall = nullptr;
@@ -57,8 +62,8 @@
     }
 }
 
-void HttpControlPlaneClient::watchFailed() {
-    stop();
+void HttpControlPlaneClient::reportListFailure() {
+    stopCalls();
     handler(EndpointListFailed{});
 }
 
@@ -72,43 +77,44 @@
     listCall = http::Fetch::start(context, settings.controlPlane->address,
                                   requestHead("GET", listTarget()), {},
                                   settings.controlPlane->answerWithin,
-                                  [this](const http::Fetched &answer) { onList(answer); });
+                                  [this](const http::Fetched &response) { onList(response); });
 }
 
-void HttpControlPlaneClient::onList(const http::Fetched &answer) {
+void HttpControlPlaneClient::onList(const http::Fetched &response) {
     listCall = nullptr;
-    if (!answer.ok())
-        return watchFailed();
+    if (!response.ok())
+        return reportListFailure();
     try {
-        const json document = json::parse(answer.body);
-        const auto listed = requiredField<std::uint64_t>(document, "version");
+        const json document = json::parse(response.body);
+        const auto listedVersion = requiredField<std::uint64_t>(document, "version");
         reportEndpoints(requiredField<json>(document, "instances"), true);
         if (document.contains("stage"))
             reportStage(document["stage"], false);
-        version = listed;
+        listVersion = listedVersion;
         startWatch();
     } catch (const std::exception &) {
-        watchFailed();
+        reportListFailure();
     }
 }
 
 void HttpControlPlaneClient::startWatch() {
     watchCall = http::Fetch::start(
         context, settings.controlPlane->address,
-        requestHead("GET", listTarget() + "&watch=" + std::to_string(version)), {},
+        requestHead("GET", listTarget() + "&watch=" + std::to_string(listVersion)), {},
         settings.controlPlane->silentFor,
-        [this](const http::Fetched &) { watchFailed(); },  // 410 too: the next one lists anew
+        // Any end of the watch, status 410 included, requires a new list.
+        [this](const http::Fetched &) { reportListFailure(); },
         [this](std::string_view line) {
             try {
                 onWatchEvent(json::parse(line));
             } catch (const std::exception &) {
-                watchFailed();  // out of step with the control plane: list anew
+                reportListFailure();  // the event may have held a change: a new list is needed
             }
         });
 }
 
 void HttpControlPlaneClient::onWatchEvent(const json &event) {
-    const auto reached = requiredField<std::uint64_t>(event, "version");
+    const auto eventVersion = requiredField<std::uint64_t>(event, "version");
     const auto kind = requiredField<std::string>(event, "kind");
     if (kind == "instances")
         reportEndpoints(requiredField<json>(event, "instances"), false);
@@ -116,12 +122,12 @@
         reportStage(requiredField<json>(event, "stage"), false);
     else if (kind == "tally")
         reportUsage(requiredField<json>(event, "tally"));
-    version = reached;  // bookmarks, and kinds that come later, only move it
+    listVersion = eventVersion;  // bookmarks and unknown kinds only advance the version
 }
 
 void HttpControlPlaneClient::reportEndpoints(const json &entries, bool complete) {
     if (!entries.is_array() || entries.size() > kMaxEntries)
-        throw ParseError("instances", "field instances is no list");
+        throw ParseError("instances", "field instances is not an array or has too many entries");
     EndpointListUpdate update{complete, {}};
     if (startTimes.size() > kMaxStartTimes)
         startTimes.clear();
@@ -129,13 +135,13 @@
         const ListedEndpoint endpoint = readListedEndpoint(document);
         EndpointEntry entry = entryOf(endpoint, settings);
         if (endpoint.age)
-            entry.startedAt = startOf(endpoint, *endpoint.age);
+            entry.startedAt = startTimeOf(endpoint, *endpoint.age);
         update.entries.push_back(std::move(entry));
     }
     handler(std::move(update));
 }
 
-TimePoint HttpControlPlaneClient::startOf(const ListedEndpoint &endpoint, Duration age) {
+TimePoint HttpControlPlaneClient::startTimeOf(const ListedEndpoint &endpoint, Duration age) {
     const Incarnation incarnation{endpoint.id, endpoint.incarnation};
     return startTimes.try_emplace(incarnation, now() - age).first->second;
 }
@@ -152,10 +158,10 @@
             handler(*report);
 }
 
-void HttpControlPlaneClient::vote(const Vote &vote, Duration within) {
+void HttpControlPlaneClient::vote(const Vote &vote, Duration timeout) {
     if (!settings.controlPlane)
         return;
-    // Its own for each vote, so that the control plane counts a repeated one once.
+    // Unique for each vote, so that the control plane counts a repeated request once.
     ++votesSent;
     const std::string idempotencyKey =
         settings.id + "-" + std::to_string(now().count()) + "-" + std::to_string(votesSent);
@@ -165,18 +171,18 @@
                     {"build", vote.build},
                     {"step", vote.step},
                     {"verdict", nameOf(vote.verdict)}};
-    voteCalls.add(http::Fetch::start(context, settings.controlPlane->address, head, body.dump(),
-                                     within,
-                                     [this](const http::Fetched &answer) { onVoteReply(answer); }));
+    voteCalls.add(
+        http::Fetch::start(context, settings.controlPlane->address, head, body.dump(), timeout,
+                           [this](const http::Fetched &response) { onVoteReply(response); }));
 }
 
-void HttpControlPlaneClient::onVoteReply(const http::Fetched &answer) {
-    Outcome outcome = outcomeOf(answer);
+void HttpControlPlaneClient::onVoteReply(const http::Fetched &response) {
+    Outcome outcome = voteOutcome(response);
     if (outcome == Outcome::ok) {
         try {
-            return reportStage(json::parse(answer.body), true);
+            return reportStage(json::parse(response.body), true);
         } catch (const std::exception &) {
-            outcome = Outcome::timeout;  // it counted, but what came of it can't be read
+            outcome = Outcome::timeout;  // counted, but its result is unreadable
         }
     }
     handler(voteFailed(outcome));
--- a/src/settings/gateway_settings.cpp
+++ b/src/settings/gateway_settings.cpp
@@ -1,5 +1,5 @@
-// Reads the settings document section by section. Each rule that two fields can break together is
-// refused by a function of the section, with the place of the field that has to give way.
+// Reads the settings document section by section. A conflict between two fields is refused by a
+// check of the section, with the path of the field that has to be changed.
 #include "gateway_settings.hpp"
 
 #include <algorithm>
@@ -38,9 +38,9 @@
 }
 
 bool sameModule(const json &left, const json &right) {
-    for (const char *place : {"/gateway", "/zones", "/routes", "/accounts", "/allowed", "/rules",
-                              "/release", "/upstream/connectWithinMs"}) {
-        const json::json_pointer pointer(place);
+    for (const char *path : {"/gateway", "/zones", "/routes", "/accounts", "/allowed", "/rules",
+                             "/release", "/upstream/connectWithinMs"}) {
+        const json::json_pointer pointer(path);
         if (left.value(pointer, json{}) != right.value(pointer, json{}))
             return false;
     }
--- a/src/settings/gateway_settings.hpp
+++ b/src/settings/gateway_settings.hpp
@@ -1,5 +1,5 @@
-// What operators set for a gateway, as one JSON document: its types, its schema, its check against
-// the rules. Given by PUT /v1/settings; kept as the same document. Times in the document are whole
+// Settings of a gateway: types, JSON schema and validation. Operators set them as one JSON document
+// by PUT /v1/settings, and the document is stored as received. Times in the document are whole
 // milliseconds. The fields are documented for operators in docs/operate/gateway.md.
 #pragma once
 
@@ -18,97 +18,101 @@
 
 namespace deckcart {
 
-/// How requests are told apart. One belongs to the first rule whose method and path prefix fit.
+/// Assigns requests to a route: a request belongs to the first rule whose method and path prefix
+/// match.
 struct RouteRule {
     std::string name;
-    std::string method;  ///< empty: any
+    std::string method;  ///< empty: any method
     std::string pathPrefix;
-    Duration routeTimeout{};  ///< when the client gives up
+    Duration routeTimeout{};  ///< time after which the client gives up
 };
 
-/// The names of the HTTP fields that carry what the decision module wants to know.
+/// The names of the HTTP fields that carry input of the decision module.
 struct HeaderNames {
     std::string key = "X-Key";                 ///< affinity and idempotency key
-    std::string tenant = "X-Account";          ///< whose quota it counts against
-    std::string remaining = "X-Remaining-Ms";  ///< what is left until the client gives up
-    std::string requestId = "X-Request-Id";    ///< the client's own id of a request
-    std::string full = "X-Instance-Full";      ///< of an answer: the endpoint is overloaded
-    std::string load = "X-Load";               ///< of a probe's answer: the load report
+    std::string tenant = "X-Account";          ///< tenant whose quota the request counts against
+    std::string remaining = "X-Remaining-Ms";  ///< milliseconds until the client gives up
+    std::string requestId = "X-Request-Id";    ///< request id chosen by the client
+    std::string full = "X-Instance-Full";      ///< in a response: the endpoint is overloaded
+    std::string load = "X-Load";               ///< in the response to a probe: the load report
 };
 
-/// The control plane, over HTTP.
+/// How the control plane is reached over HTTP.
 struct ControlPlaneSettings {
     asio::ip::tcp::endpoint address;
-    Duration answerWithin{};  ///< for a call that lists; votes have the module's own bound
-    Duration silentFor{};     ///< a watch without a line for so long has failed
+    Duration answerWithin{};  ///< timeout of a list call; for votes see PolicySettings::voteTimeout
+    Duration silentFor{};     ///< a watch without a line for this long has failed
 };
 
-/// Bounds of the calls to endpoints.
+/// Limits on connections and calls to endpoints.
 struct UpstreamLimits {
-    /// To one endpoint; an attempt beyond it counts as a failed connect.
+    /// Per endpoint; an attempt beyond this number counts as a failed connect.
     std::size_t connections = 256;
     Duration connectWithin = std::chrono::milliseconds(250);
-    Duration idleFor = std::chrono::seconds(15);  ///< an idle connection is kept so long
-    /// In bytes; a shorter answer is passed on whole, so that it can't be cut.
+    Duration idleFor = std::chrono::seconds(15);  ///< an idle connection is kept for this long
+    /// In bytes. A response up to this size is forwarded only once it is complete, so that the
+    /// client never gets a truncated one.
     std::size_t bufferedResponseBytes = std::size_t{64} * 1024;
-    Duration streamStallTimeout =
-        std::chrono::seconds(10);  ///< an answer that has begun may pause so long
+    /// The longest pause in a response that has begun.
+    Duration streamStallTimeout = std::chrono::seconds(10);
     Duration probeWithin = std::chrono::milliseconds(500);
     std::string probePath = "/probe";
 };
 
-/// Where the endpoint list comes from. Without it, it is the control plane's alone, as received.
+/// The sources that the endpoint list is merged from. Without these settings, the control plane's
+/// list is used as received.
 struct SourceSettings {
     membership::MergeRules merge;
-    std::vector<membership::Claim> nodes;    ///< fixed in the document
+    std::vector<membership::Claim> nodes;    ///< listed in the settings document
     std::vector<membership::SrvName> names;  ///< looked up by DNS
-    dns::ResolverSettings resolver;          ///< for those names
+    dns::ResolverSettings resolver;          ///< for `names`
 };
 
-/// All values of one gateway.
+/// All settings of one gateway.
 struct GatewaySettings {
     std::string id = "gateway";
-    PolicySettings module;  ///< but for the seed, which is drawn at each start
+    PolicySettings module;  ///< all but the seed, which is drawn at each start
     std::vector<RouteRule> routes;
     std::vector<std::string> tenants;  ///< in the order of module.tenantQuotas
-    std::vector<std::string> zones;    ///< their numbers are their places here
+    std::vector<std::string> zones;    ///< names; a zone's number is its index
     HeaderNames headers;
     http::ListenerLimits listener;
     std::size_t maxRequestsInFlight = 4096;
-    /// The Retry-After of a request that is refused over that bound.
+    /// Retry-After of a request that is rejected because of maxRequestsInFlight.
     Duration rejectedRetryAfter = std::chrono::seconds(1);
-    /// Final answers leave so long before the client's deadline.
+    /// Final responses are due this long before the client's deadline.
     Duration answerMargin = std::chrono::milliseconds(30);
-    /// A turn of the event loop that is late by more is taken for a process stall.
+    /// A turn of the event loop that is late by more than this counts as a stall of the process.
     Duration standstill = std::chrono::milliseconds(200);
     UpstreamLimits upstream;
     std::optional<ControlPlaneSettings> controlPlane;
     std::optional<SourceSettings> sources;
-    double requestLogSample = 0;  ///< 0 to 1: the part of the requests that is logged
-    /// Answers that may still be reported as incorrect: some seconds of a busy gateway.
+    double requestLogSample = 0;  ///< fraction of the requests that is logged, 0 to 1
+    /// Number of the latest responses that can still be reported as incorrect: some seconds of
+    /// traffic of a busy gateway.
     std::size_t responseHistorySize = 16384;
 
-    /// 0 for a zone that is not named.
+    /// 0 for a name that is not in `zones`.
     [[nodiscard]] int zoneIndex(const std::string &name) const;
 };
 
-/// A tenant's place among the quotas. One that is not named is past their end: it has no quota, and
-/// no excess either.
+/// A tenant's index among the quotas. A tenant that isn't listed gets an index past their end: it
+/// has no quota and never counts as over quota. 0 for every name if no tenants are listed.
 [[nodiscard]] int tenantIndex(const std::vector<std::string> &tenants, std::string_view name);
 
-/// What a document was read as.
+/// The result of parsing a settings document.
 struct ParsedSettings {
-    std::optional<GatewaySettings> settings;  ///< empty where anything is refused
-    std::vector<Refusal> refused;             ///< each with its place
+    std::optional<GatewaySettings> settings;  ///< empty if anything was refused
+    std::vector<Refusal> refused;             ///< each with the path of the field
 };
 
-/// JSON Schema, draft 7.
+/// The JSON schema (draft 7) of the settings document.
 [[nodiscard]] const nlohmann::json &settingsSchema();
-/// Checks the whole document, by schema and then against the rules, and reports all that is wrong
-/// with it. Throws nothing for a bad document.
+/// Validates a document against the schema and then, if it matches the schema, against the rules on
+/// its values. Reports all violations that it finds. Doesn't throw for an invalid document.
 [[nodiscard]] ParsedSettings parseSettings(const nlohmann::json &document);
-/// Whether both give the decision module the same start, so that one can follow the other without a
-/// new record.
+/// Whether both documents give the decision module the same settings, so that one can replace the
+/// other without restarting the module.
 [[nodiscard]] bool sameModule(const nlohmann::json &left, const nlohmann::json &right);
 
 }  // namespace deckcart
--- a/src/settings/policy_sections.cpp
+++ b/src/settings/policy_sections.cpp
@@ -1,5 +1,5 @@
-// The sections on what the decision module may do: allowed, rules, accounts, release. Their
-// defaults are those of the documentation for operators, not of PolicySettings.
+// Readers of the sections for the decision module: allowed, rules, accounts, release. The defaults
+// are those documented for operators, which differ from those of PolicySettings.
 #include <algorithm>
 
 #include "settings_reader.hpp"
@@ -10,13 +10,13 @@
 using nlohmann::json;
 
 constexpr std::array kPromotionRules{
-    Word<PromotionRule>{"first-vote", PromotionRule::firstVote},
-    Word<PromotionRule>{"by-count", PromotionRule::quorum},
-    Word<PromotionRule>{"clock", PromotionRule::timer},
+    EnumName<PromotionRule>{"first-vote", PromotionRule::firstVote},
+    EnumName<PromotionRule>{"by-count", PromotionRule::quorum},
+    EnumName<PromotionRule>{"clock", PromotionRule::timer},
 };
 
-// Shares that are written as decimals may add up to a little over 1.
-constexpr double kMaxSumOfShares = 1.0001;
+// Slightly above 1, since shares that are written as decimals may add up to a little more.
+constexpr double kMaxShareSum = 1.0001;
 
 void setReleaseDefaults(PolicySettings &policy) {
     policy.promotionRule = PromotionRule::quorum;
@@ -31,21 +31,23 @@
 void checkStages(SettingsReader &reader) {
     const PolicySettings &policy = reader.settings.module;
     if (policy.exposureLimits.size() != policy.stageShares.size())
-        reader.refuse("/release/caps", "has another number of stages than /release/shares");
+        reader.refuse("/release/caps", "must have as many stages as /release/shares");
     if (!std::ranges::is_sorted(policy.exposureLimits))
-        reader.refuse("/release/caps", "falls from one stage to the next");
+        reader.refuse("/release/caps", "must not decrease from one stage to the next");
     if (!std::ranges::is_sorted(policy.stageShares))
-        reader.refuse("/release/shares", "falls from one stage to the next");
+        reader.refuse("/release/shares", "must not decrease from one stage to the next");
 }
 
 void checkVotes(SettingsReader &reader) {
     const PolicySettings &policy = reader.settings.module;
     if (policy.voteTimeout >= policy.voteLifetime)
-        reader.refuse("/release/voteAnswerWithinMs",
-                      "is not below /release/voteLifeMs: votes would lapse unseen");
+        reader.refuse(
+            "/release/voteAnswerWithinMs",
+            "must be less than /release/voteLifeMs: a vote would expire before its missing "
+            "response is noticed");
     if (policy.votesToRollBack > policy.gateways)
         reader.refuse("/release/votesToGoBack",
-                      "is over /gateway/count: a bad build could never be sent back");
+                      "must not exceed /gateway/count: a bad build could never be rolled back");
 }
 
 }  // namespace
@@ -56,18 +58,18 @@
     policy.maxAttempts = 4;
     policy.maxRetryAfter = std::chrono::seconds(1);
     policy.retryAfterSupported = true;
-    // The module asks for the list and asks again after a failure: the data path makes no such
-    // choice.
+    // The module subscribes to the endpoint list and decides when to do so again after a failure;
+    // the data path doesn't.
     policy.subscriptionRequired = true;
     policy.subscribeWithin = std::chrono::seconds(10);
-    const json &from = reader.section("allowed");
-    readField(from, "copies", policy.hedgingAllowed);
-    readField(from, "cancel", policy.cancellationAllowed);
-    readField(from, "mostTries", policy.maxAttempts);
-    readField(from, "longestRetryAfterMs", policy.maxRetryAfter);
-    readField(from, "askWithinMs", policy.subscribeWithin);
-    readField(from, "crossZoneFee", policy.crossZoneCost);
-    readField(from, "inHandField", policy.inFlightReportField);
+    const json &section = reader.section("allowed");
+    readField(section, "copies", policy.hedgingAllowed);
+    readField(section, "cancel", policy.cancellationAllowed);
+    readField(section, "mostTries", policy.maxAttempts);
+    readField(section, "longestRetryAfterMs", policy.maxRetryAfter);
+    readField(section, "askWithinMs", policy.subscribeWithin);
+    readField(section, "crossZoneFee", policy.crossZoneCost);
+    readField(section, "inHandField", policy.inFlightReportField);
 }
 
 void readRules(SettingsReader &reader) {
@@ -76,14 +78,14 @@
     policy.warmUpTime = std::chrono::seconds(5);
     policy.overloadMultiple = 2;
     policy.overloadWindow = std::chrono::seconds(3);
-    const json &from = reader.section("rules");
-    readField(from, "coldFrom", policy.initialCapacity);
-    readField(from, "warmWithinMs", policy.warmUpTime);
-    readField(from, "tipMultiple", policy.overloadMultiple);
-    readField(from, "overloadForMs", policy.overloadWindow);
+    const json &section = reader.section("rules");
+    readField(section, "coldFrom", policy.initialCapacity);
+    readField(section, "warmWithinMs", policy.warmUpTime);
+    readField(section, "tipMultiple", policy.overloadMultiple);
+    readField(section, "overloadForMs", policy.overloadWindow);
     if (policy.initialCapacity <= 0)
         reader.refuse("/rules/coldFrom",
-                      "is not over 0: a cold instance would never be sent a req");
+                      "must be greater than 0: a cold endpoint would never be sent a request");
 }
 
 void readAccounts(SettingsReader &reader) {
@@ -94,32 +96,33 @@
         const auto name = accounts[index].at("name").get<std::string>();
         const auto share = accounts[index].at("share").get<double>();
         if (std::ranges::find(tenants, name) != tenants.end())
-            reader.refuse(elementPath("/accounts", index) + "/name", "stands twice");
+            reader.refuse(elementPath("/accounts", index) + "/name",
+                          "is used by an earlier account: names must be unique");
         tenants.push_back(name);
         reader.settings.module.tenantQuotas.push_back(share);
         sum += share;
     }
-    if (sum > kMaxSumOfShares)
-        reader.refuse("/accounts", "the shares add up to more than 1");
+    if (sum > kMaxShareSum)
+        reader.refuse("/accounts", "the shares must not add up to more than 1");
 }
 
 void readRelease(SettingsReader &reader) {
     PolicySettings &policy = reader.settings.module;
     setReleaseDefaults(policy);
-    const json &from = reader.section("release");
-    readWord(from, "gate", kPromotionRules, policy.promotionRule);
-    readField(from, "replacedInPlace", policy.inPlaceReplacement);
-    readField(from, "exposurePerRoute", policy.exposurePerRoute);
-    readField(from, "keysStay", policy.stickyKeys);
-    readField(from, "guardedStages", policy.idempotentOnlyStages);
-    readField(from, "spareTries", policy.exposureAllowance);
-    readField(from, "exposureSpanMs", policy.exposureWindow);
-    readField(from, "caps", policy.exposureLimits);
-    readField(from, "shares", policy.stageShares);
-    readField(from, "voteLifeMs", policy.voteLifetime);
-    readField(from, "voteAnswerWithinMs", policy.voteTimeout);
-    readField(from, "votesToGoBack", policy.votesToRollBack);
-    readField(from, "wrongReported", policy.incorrectReportRate);
+    const json &section = reader.section("release");
+    readEnum(section, "gate", kPromotionRules, policy.promotionRule);
+    readField(section, "replacedInPlace", policy.inPlaceReplacement);
+    readField(section, "exposurePerRoute", policy.exposurePerRoute);
+    readField(section, "keysStay", policy.stickyKeys);
+    readField(section, "guardedStages", policy.idempotentOnlyStages);
+    readField(section, "spareTries", policy.exposureAllowance);
+    readField(section, "exposureSpanMs", policy.exposureWindow);
+    readField(section, "caps", policy.exposureLimits);
+    readField(section, "shares", policy.stageShares);
+    readField(section, "voteLifeMs", policy.voteLifetime);
+    readField(section, "voteAnswerWithinMs", policy.voteTimeout);
+    readField(section, "votesToGoBack", policy.votesToRollBack);
+    readField(section, "wrongReported", policy.incorrectReportRate);
     checkStages(reader);
     checkVotes(reader);
 }
--- a/src/settings/request_sections.cpp
+++ b/src/settings/request_sections.cpp
@@ -1,4 +1,4 @@
-// The sections on requests and connections: gateway, limits, upstream, routes, headers.
+// Readers of the sections on requests and connections: gateway, limits, upstream, routes, headers.
 #include <algorithm>
 #include <cctype>
 #include <set>
@@ -11,68 +11,77 @@
 using nlohmann::json;
 
 constexpr std::array kIdempotencies{
-    Word<Idempotency>{"retriable", Idempotency::idempotent},
-    Word<Idempotency>{"deduped", Idempotency::withKey},
-    Word<Idempotency>{"non-retriable", Idempotency::nonIdempotent},
+    EnumName<Idempotency>{"retriable", Idempotency::idempotent},
+    EnumName<Idempotency>{"deduped", Idempotency::withKey},
+    EnumName<Idempotency>{"non-retriable", Idempotency::nonIdempotent},
 };
 constexpr std::array kDeduplicationScopes{
-    Word<DeduplicationScope>{"all", DeduplicationScope::all},
-    Word<DeduplicationScope>{"zone", DeduplicationScope::zone},
-    Word<DeduplicationScope>{"cell", DeduplicationScope::cell},
+    EnumName<DeduplicationScope>{"all", DeduplicationScope::all},
+    EnumName<DeduplicationScope>{"zone", DeduplicationScope::zone},
+    EnumName<DeduplicationScope>{"cell", DeduplicationScope::cell},
 };
 
-/// A route as both sides of the gateway see it, and where it stands.
-struct ReadRoute {
-    std::string path;
+/// A route as the request handling (`rule`) and the decision module (`route`) use it.
+struct ParsedRoute {
+    std::string path;  ///< JSON pointer to the route
     const json &document;
     RouteRule rule;
     Route route;
 };
 
-ReadRoute readRoute(const json &document, std::size_t index) {
-    ReadRoute read{elementPath("/routes", index), document, {}, {}};
-    readField(document, "name", read.rule.name);
-    readField(document, "method", read.rule.method);
-    readField(document, "pathPrefix", read.rule.pathPrefix);
-    readField(document, "routeTimeoutMs", read.rule.routeTimeout);
-    readField(document, "latencyObjectiveMs", read.route.latencyObjective);
-    readWord(document, "effect", kIdempotencies, read.route.idempotency);
-    readWord(document, "group", kDeduplicationScopes, read.route.deduplicationScope);
-    readField(document, "repeatWindowMs", read.route.deduplicationWindow);
-    return read;
+ParsedRoute readRoute(const json &document, std::size_t index) {
+    ParsedRoute parsed{elementPath("/routes", index), document, {}, {}};
+    readField(document, "name", parsed.rule.name);
+    readField(document, "method", parsed.rule.method);
+    readField(document, "pathPrefix", parsed.rule.pathPrefix);
+    readField(document, "routeTimeoutMs", parsed.rule.routeTimeout);
+    readField(document, "latencyObjectiveMs", parsed.route.latencyObjective);
+    readEnum(document, "effect", kIdempotencies, parsed.route.idempotency);
+    readEnum(document, "group", kDeduplicationScopes, parsed.route.deduplicationScope);
+    readField(document, "repeatWindowMs", parsed.route.deduplicationWindow);
+    return parsed;
 }
 
-void checkTimes(SettingsReader &reader, const ReadRoute &read) {
-    if (read.route.latencyObjective > read.rule.routeTimeout)
-        reader.refuse(read.path + "/latencyObjectiveMs",
-                      "is over the route timeout: no answer would come in time");
-    if (read.rule.routeTimeout <= 2 * reader.settings.answerMargin)
-        reader.refuse(read.path + "/routeTimeoutMs",
-                      "is not over twice /limits/answerMarginMs: no time is left for a try");
+void checkTimeouts(SettingsReader &reader, const ParsedRoute &parsed) {
+    if (parsed.route.latencyObjective > parsed.rule.routeTimeout)
+        reader.refuse(
+            parsed.path + "/latencyObjectiveMs",
+            "must not exceed routeTimeoutMs of the route: a response within the objective could "
+            "be too late for the client");
+    if (parsed.rule.routeTimeout <= 2 * reader.settings.answerMargin)
+        reader.refuse(
+            parsed.path + "/routeTimeoutMs",
+            "must be more than twice /limits/answerMarginMs: no time would be left for an attempt");
 }
 
-void checkDeduplication(SettingsReader &reader, const ReadRoute &read) {
-    const bool withKey = read.route.idempotency == Idempotency::withKey;
-    if (withKey && read.route.deduplicationWindow <= Duration{0})
-        reader.refuse(read.path + "/repeatWindowMs",
-                      "is needed for a deduped route: after it a repeat would run twice");
-    if (!withKey && (read.document.contains("repeatWindowMs") || read.document.contains("group")))
+void checkDeduplication(SettingsReader &reader, const ParsedRoute &parsed) {
+    const bool withKey = parsed.route.idempotency == Idempotency::withKey;
+    if (withKey && parsed.route.deduplicationWindow <= Duration{0})
+        reader.refuse(
+            parsed.path + "/repeatWindowMs",
+            "is required for a deduped route: once this time has passed, a repeated request "
+            "would be executed again");
+    if (!withKey &&
+        (parsed.document.contains("repeatWindowMs") || parsed.document.contains("group")))
         reader.refuse(
-            read.path,
-            "repeatWindowMs and group are for deduped routes only: nothing drops its repeats");
+            parsed.path,
+            "repeatWindowMs and group are allowed for deduped routes only: on other routes, "
+            "endpoints don't drop repeated requests");
 }
 
-/// A request belongs to the first rule that fits it, so none may stand behind one that takes all
-/// of its requests.
-void checkReached(SettingsReader &reader, const ReadRoute &read) {
+/// Refuses a route with the name of an earlier one, and a route whose requests all match an earlier
+/// one: a request belongs to the first route that matches it, so the later one would never be used.
+void checkReachable(SettingsReader &reader, const ParsedRoute &parsed) {
     for (std::size_t index = 0; index < reader.settings.routes.size(); ++index) {
         const RouteRule &earlier = reader.settings.routes[index];
         const std::string earlierPath = elementPath("/routes", index);
-        if (earlier.name == read.rule.name)
-            reader.refuse(read.path + "/name", "stands at " + earlierPath + " too");
-        const bool takesMethod = earlier.method.empty() || earlier.method == read.rule.method;
-        if (takesMethod && read.rule.pathPrefix.starts_with(earlier.pathPrefix))
-            reader.refuse(read.path, "is never reached: " + earlierPath + " takes all of it first");
+        if (earlier.name == parsed.rule.name)
+            reader.refuse(parsed.path + "/name",
+                          "is used by " + earlierPath + " already: names must be unique");
+        const bool matchesMethod = earlier.method.empty() || earlier.method == parsed.rule.method;
+        if (matchesMethod && parsed.rule.pathPrefix.starts_with(earlier.pathPrefix))
+            reader.refuse(parsed.path, "is never matched: " + earlierPath +
+                                           " matches all of its requests first");
     }
 }
 
@@ -89,7 +98,7 @@
     HeaderField{"load", &HeaderNames::load},
 };
 
-/// A token of RFC 9110, 5.6.2.
+/// Whether the text has only characters of a token (RFC 9110, section 5.6.2).
 bool isToken(const std::string &text) {
     constexpr std::string_view kPunctuation = "!#$%&'*+-.^_`|~";
     return std::ranges::all_of(text, [&](char character) {
@@ -104,13 +113,14 @@
     const std::string &value = headers.*field.value;
     const std::string path = std::string("/headers/") + field.name;
     if (!isToken(value))
-        reader.refuse(path, "is no field name (RFC 9110, 5.1)");
+        reader.refuse(path, "is not a valid field name: must be a token (RFC 9110, section 5.1)");
     if (!http::travels({}, value))
-        reader.refuse(path, "is a field of one connection and never passed on");
-    for (std::size_t before = 0; before < index; ++before) {
-        const HeaderField &other = kHeaderFields.at(before);
+        reader.refuse(path, "is a hop-by-hop field, which is never forwarded");
+    for (std::size_t otherIndex = 0; otherIndex < index; ++otherIndex) {
+        const HeaderField &other = kHeaderFields.at(otherIndex);
         if (http::equalFieldNames(headers.*other.value, value))
-            reader.refuse(path, std::string("is the name of /headers/") + other.name + " too");
+            reader.refuse(path, std::string("has the same name as /headers/") + other.name +
+                                    ": names must be unique, ignoring case");
     }
 }
 
@@ -118,63 +128,63 @@
 
 void readGateway(SettingsReader &reader) {
     GatewaySettings &settings = reader.settings;
-    const json &from = reader.section("gateway");
-    readField(from, "id", settings.id);
-    readField(from, "count", settings.module.gateways);
+    const json &section = reader.section("gateway");
+    readField(section, "id", settings.id);
+    readField(section, "count", settings.module.gateways);
     readField(reader.document, "zones", settings.zones);
-    const std::set<std::string> different(settings.zones.begin(), settings.zones.end());
-    if (different.size() != settings.zones.size())
-        reader.refuse("/zones", "a name stands twice");
-    settings.module.zone = reader.zone(from, "/gateway");
+    const std::set<std::string> distinctZones(settings.zones.begin(), settings.zones.end());
+    if (distinctZones.size() != settings.zones.size())
+        reader.refuse("/zones", "names must be unique");
+    settings.module.zone = reader.readZone(section, "/gateway");
 }
 
 void readLimits(SettingsReader &reader) {
     GatewaySettings &settings = reader.settings;
     http::ListenerLimits &listener = settings.listener;
-    const json &from = reader.section("limits");
-    readField(from, "clientConnections", listener.connections);
-    readField(from, "reqsInHand", settings.maxRequestsInFlight);
-    readField(from, "headBytes", listener.headBytes);
-    readField(from, "bodyBytes", listener.bodyBytes);
-    readField(from, "pipelinedBytes", listener.pipelinedBytes);
-    readField(from, "waitingBytes", listener.waitingBytes);
-    readField(from, "messageWithinMs", listener.messageWithin);
-    readField(from, "clientIdleMs", listener.idleFor);
-    readField(from, "slowPeerMs", listener.slowPeerFor);
-    readField(from, "answerMarginMs", settings.answerMargin);
-    readField(from, "standstillMs", settings.standstill);
+    const json &section = reader.section("limits");
+    readField(section, "clientConnections", listener.connections);
+    readField(section, "reqsInHand", settings.maxRequestsInFlight);
+    readField(section, "headBytes", listener.headBytes);
+    readField(section, "bodyBytes", listener.bodyBytes);
+    readField(section, "pipelinedBytes", listener.pipelinedBytes);
+    readField(section, "waitingBytes", listener.waitingBytes);
+    readField(section, "messageWithinMs", listener.messageWithin);
+    readField(section, "clientIdleMs", listener.idleFor);
+    readField(section, "slowPeerMs", listener.slowPeerFor);
+    readField(section, "answerMarginMs", settings.answerMargin);
+    readField(section, "standstillMs", settings.standstill);
 }
 
 void readUpstream(SettingsReader &reader) {
     UpstreamLimits &upstream = reader.settings.upstream;
-    const json &from = reader.section("upstream");
-    readField(from, "connections", upstream.connections);
-    readField(from, "connectWithinMs", upstream.connectWithin);
-    readField(from, "idleMs", upstream.idleFor);
-    readField(from, "stalledMs", upstream.streamStallTimeout);
-    readField(from, "heldAnswerBytes", upstream.bufferedResponseBytes);
-    readField(from, "probeWithinMs", upstream.probeWithin);
-    readField(from, "probePath", upstream.probePath);
+    const json &section = reader.section("upstream");
+    readField(section, "connections", upstream.connections);
+    readField(section, "connectWithinMs", upstream.connectWithin);
+    readField(section, "idleMs", upstream.idleFor);
+    readField(section, "stalledMs", upstream.streamStallTimeout);
+    readField(section, "heldAnswerBytes", upstream.bufferedResponseBytes);
+    readField(section, "probeWithinMs", upstream.probeWithin);
+    readField(section, "probePath", upstream.probePath);
     reader.settings.module.maxSendDelay = upstream.connectWithin;
 }
 
 void readRoutes(SettingsReader &reader) {
     const json &routes = reader.document.at("routes");
     for (std::size_t index = 0; index < routes.size(); ++index) {
-        const ReadRoute read = readRoute(routes[index], index);
-        checkTimes(reader, read);
-        checkDeduplication(reader, read);
-        checkReached(reader, read);
-        reader.settings.routes.push_back(read.rule);
-        reader.settings.module.routes.push_back(read.route);
+        const ParsedRoute parsed = readRoute(routes[index], index);
+        checkTimeouts(reader, parsed);
+        checkDeduplication(reader, parsed);
+        checkReachable(reader, parsed);
+        reader.settings.routes.push_back(parsed.rule);
+        reader.settings.module.routes.push_back(parsed.route);
     }
 }
 
 void readHeaders(SettingsReader &reader) {
-    const json &from = reader.section("headers");
+    const json &section = reader.section("headers");
     for (std::size_t index = 0; index < kHeaderFields.size(); ++index) {
         const HeaderField &field = kHeaderFields.at(index);
-        readField(from, field.name, reader.settings.headers.*field.value);
+        readField(section, field.name, reader.settings.headers.*field.value);
         checkHeader(reader, index);
     }
 }
--- a/src/settings/schema.cpp
+++ b/src/settings/schema.cpp
@@ -1,5 +1,5 @@
-// The schema of the settings document: shapes, ranges and words. What the fields mean is in
-// docs/operate/gateway.md.
+// JSON schema of the settings document: structure, ranges and allowed values. The meaning of the
+// fields is documented in docs/operate/gateway.md.
 #include "gateway_settings.hpp"
 
 namespace deckcart {
--- a/src/settings/settings_reader.hpp
+++ b/src/settings/settings_reader.hpp
@@ -1,5 +1,5 @@
-// What the sections of the settings document share while they are read: the document, the values so
-// far and what is refused. Internal to this folder.
+// State and helpers shared by the readers of the sections of the settings document. Internal to
+// this folder.
 #pragma once
 
 #include <array>
@@ -13,58 +13,65 @@
 
 namespace deckcart::settings {
 
-/// One reading of a document that fits the schema: types and ranges of single fields are right.
+/// Reads one settings document. The document must match the schema, so that types and ranges of
+/// single fields are known to be valid.
 class SettingsReader {
   public:
-    explicit SettingsReader(const nlohmann::json &of) : document(of) {}
+    explicit SettingsReader(const nlohmann::json &settingsDocument) : document(settingsDocument) {}
 
     const nlohmann::json &document;
-    GatewaySettings settings;
-    std::vector<Refusal> refused;
+    GatewaySettings settings;      ///< the values read so far
+    std::vector<Refusal> refused;  ///< the violations found so far
 
-    /// @param path  JSON pointer to the field that has to give way
+    /// Records a violation.
+    /// @param path  JSON pointer to the field that has to be changed
+    /// @param reason  for operators: what is wrong or what is required, continues after the path
     void refuse(std::string path, std::string reason);
-    /// The section of that name; an empty object if there is none.
+    /// The section of this name; an empty object if the document has none.
     [[nodiscard]] const nlohmann::json &section(const char *name) const;
-    /// The address at a field that is there; refused at `path` and empty if it is none.
+    /// Reads an address from a field that must exist. An invalid address is refused at `path`, and
+    /// the result is empty.
     [[nodiscard]] std::optional<asio::ip::tcp::endpoint>
-    address(const nlohmann::json &from, const char *name, const std::string &path);
-    /// The number of the zone that `from` names; 0 if it names none, or one that is refused.
-    /// @param path  JSON pointer to `from`
-    [[nodiscard]] int zone(const nlohmann::json &from, const std::string &path);
+    readAddress(const nlohmann::json &object, const char *name, const std::string &path);
+    /// Reads the field "zone" and returns the zone's number; 0 if the field is missing. An unknown
+    /// zone is refused and gives 0.
+    /// @param path  JSON pointer to `object`
+    [[nodiscard]] int readZone(const nlohmann::json &object, const std::string &path);
 };
 
-/// Each reads a field if it is there; what is not there keeps its default.
+/// Reads an optional field; `target` keeps its value if the field is missing.
 template <class Value>
-void readField(const nlohmann::json &from, const char *name, Value &into) {
-    if (const auto field = from.find(name); field != from.end())
-        into = field->get<Value>();
+void readField(const nlohmann::json &object, const char *name, Value &target) {
+    if (const auto field = object.find(name); field != object.end())
+        target = field->get<Value>();
 }
-/// Documents hold whole milliseconds.
-void readField(const nlohmann::json &from, const char *name, Duration &into);
+/// Reads an optional field in whole milliseconds.
+void readField(const nlohmann::json &object, const char *name, Duration &target);
 
-/// A word of a document and what it stands for.
+/// The name of an enum value in documents.
 template <class Value>
-struct Word {
+struct EnumName {
     const char *text;
     Value value;
 };
-/// The schema has refused words that are not known.
+/// Reads an optional field. Unknown names don't occur, since the schema rejects them.
 template <class Value, std::size_t Count>
-void readWord(const nlohmann::json &from, const char *name,
-              const std::array<Word<Value>, Count> &words, Value &into) {
-    const auto field = from.find(name);
-    if (field == from.end())
+void readEnum(const nlohmann::json &object, const char *name,
+              const std::array<EnumName<Value>, Count> &names, Value &target) {
+    const auto field = object.find(name);
+    if (field == object.end())
         return;
-    for (const auto &word : words)
-        if (*field == word.text)
-            into = word.value;
+    for (const auto &candidate : names)
+        if (*field == candidate.text)
+            target = candidate.value;
 }
 
-/// JSON pointer to an element of a list.
-[[nodiscard]] std::string elementPath(const char *list, std::size_t index);
+/// JSON pointer to an element of an array.
+/// @param arrayPath  JSON pointer to the array
+[[nodiscard]] std::string elementPath(const char *arrayPath, std::size_t index);
 
-/// The sections in the order in which they are read: later ones rest on values of earlier ones.
+// Readers of the sections, in the order in which they must be called: later ones depend on values
+// that earlier ones have read.
 void readGateway(SettingsReader &reader);
 void readLimits(SettingsReader &reader);
 void readUpstream(SettingsReader &reader);
--- a/src/settings/source_sections.cpp
+++ b/src/settings/source_sections.cpp
@@ -1,4 +1,4 @@
-// The sections on where the endpoint list comes from: desk, sources; and logs.
+// Readers of the sections on the sources of the endpoint list (desk, sources) and of logs.
 #include <algorithm>
 #include <set>
 #include <string_view>
@@ -12,53 +12,56 @@
 using membership::SourceKind;
 using nlohmann::json;
 
-constexpr auto kListTimeout = std::chrono::seconds(1);   // unless the document says so
-constexpr auto kWatchSilence = std::chrono::seconds(3);  // as above
+constexpr auto kDefaultListTimeout = std::chrono::seconds(1);
+constexpr auto kDefaultWatchSilence = std::chrono::seconds(3);
 
-// As the document names the kinds of sources.
+// The kinds of sources as they are named in the document.
 constexpr std::string_view kControlPlaneKind = "desk";
 constexpr std::string_view kNodesKind = "nodes";
 constexpr std::string_view kSrvKind = "srv";
 
-void readMergeRules(SettingsReader &reader, const json &from, membership::MergeRules &merge) {
-    readField(from, "longestStalenessMs", merge.longestStale);
-    readField(from, "confirmShare", merge.confirmShare);
-    readField(from, "confirmAfterMs", merge.confirmAfter);
-    readField(from, "graceMs", merge.grace);
-    readField(from, "reserveBelow", merge.reserveBelow);
+void readMergeRules(SettingsReader &reader, const json &section, membership::MergeRules &merge) {
+    readField(section, "longestStalenessMs", merge.longestStale);
+    readField(section, "confirmShare", merge.confirmShare);
+    readField(section, "confirmAfterMs", merge.confirmAfter);
+    readField(section, "graceMs", merge.grace);
+    readField(section, "reserveBelow", merge.reserveBelow);
     merge.reserveUntil = std::max(merge.reserveUntil, merge.reserveBelow);
-    readField(from, "reserveUntil", merge.reserveUntil);
+    readField(section, "reserveUntil", merge.reserveUntil);
     if (merge.reserveUntil < merge.reserveBelow)
-        reader.refuse("/sources/reserveUntil",
-                      "is below /sources/reserveBelow: a class would open and close for ever");
+        reader.refuse(
+            "/sources/reserveUntil",
+            "must not be less than /sources/reserveBelow: a priority class would keep opening "
+            "and closing");
 }
 
-/// Whether the control plane's list is a source.
-bool readControlPlaneList(SettingsReader &reader, const json &from) {
+/// Returns whether the control plane's list is a source; by default, if there is a control plane.
+bool readControlPlaneList(SettingsReader &reader, const json &section) {
     const bool hasControlPlane = reader.document.contains("desk");
     bool listed = hasControlPlane;
-    readField(from, "deskList", listed);
+    readField(section, "deskList", listed);
     if (listed && !hasControlPlane)
-        reader.refuse("/sources/deskList", "is set, but there is no /desk");
+        reader.refuse("/sources/deskList", "must not be true: there is no section /desk");
     return listed;
 }
 
-void readNodes(SettingsReader &reader, const json &from, SourceSettings &sources) {
-    const json nodes = from.value("nodes", json::array());
+void readNodes(SettingsReader &reader, const json &section, SourceSettings &sources) {
+    const json nodes = section.value("nodes", json::array());
     for (std::size_t index = 0; index < nodes.size(); ++index) {
         const std::string path = elementPath("/sources/nodes", index);
         membership::Claim claim;
         EndpointEntry &entry = claim.entry;
-        if (const auto address = reader.address(nodes[index], "address", path + "/address"))
+        if (const auto address = reader.readAddress(nodes[index], "address", path + "/address"))
             entry.id = format(*address);
         readField(nodes[index], "build", entry.build);
         readField(nodes[index], "cell", entry.cell);
         readField(nodes[index], "weight", entry.weight);
-        entry.zone = reader.zone(nodes[index], path);
+        entry.zone = reader.readZone(nodes[index], path);
         claim.as = entry.id;
         for (const auto &other : sources.nodes)
             if (other.entry.id == entry.id)
-                reader.refuse(path + "/address", "stands twice");
+                reader.refuse(path + "/address",
+                              "is used by an earlier node: addresses must be unique");
         sources.nodes.push_back(std::move(claim));
     }
 }
@@ -69,13 +72,13 @@
         membership::SrvName srv;
         srv.name = dns::canonicalName(names[index].at("name").get<std::string>());
         if (srv.name.empty())
-            reader.refuse(path + "/name", "is no DNS name");
+            reader.refuse(path + "/name", "is not a valid DNS name");
         readField(names[index], "build", srv.build);
         readField(names[index], "cell", srv.cell);
-        srv.zone = reader.zone(names[index], path);
+        srv.zone = reader.readZone(names[index], path);
         for (const auto &other : sources.names)
             if (other.name == srv.name)
-                reader.refuse(path + "/name", "stands twice");
+                reader.refuse(path + "/name", "is used by an earlier entry: names must be unique");
         sources.names.push_back(std::move(srv));
     }
 }
@@ -85,16 +88,19 @@
         const auto text = servers[index].get<std::string>();
         const auto address = parseAddress(text);
         if (!address || address->port() == 0)
-            reader.refuse(elementPath("/sources/srv/servers", index),
-                          "'" + text + "' is not HOST:PORT with a numeric host and a port");
+            reader.refuse(
+                elementPath("/sources/srv/servers", index),
+                "'" + text +
+                    "' is not a valid address: must be HOST:PORT, where HOST is an IPv4 "
+                    "address, an IPv6 address in brackets or localhost, and PORT is not 0");
         else
             resolver.servers.emplace_back(address->address(), address->port());
     }
 }
 
-void readSrv(SettingsReader &reader, const json &from, SourceSettings &sources) {
-    const auto found = from.find("srv");
-    if (found == from.end())
+void readSrv(SettingsReader &reader, const json &section, SourceSettings &sources) {
+    const auto found = section.find("srv");
+    if (found == section.end())
         return;
     const json &srv = *found;
     dns::ResolverSettings &resolver = sources.resolver;
@@ -106,16 +112,17 @@
     readField(srv, "questionsASecond", resolver.questionsASecond);
     readField(srv, "questionsInFlight", resolver.inFlight);
     if (resolver.refresh.floor > resolver.refresh.ceiling)
-        reader.refuse("/sources/srv/lifetimeFloorMs", "is over /sources/srv/lifetimeCeilingMs");
+        reader.refuse("/sources/srv/lifetimeFloorMs",
+                      "must not exceed /sources/srv/lifetimeCeilingMs");
 }
 
-/// The kinds as asked for; those that are not named come behind, in the order control plane, nodes,
-/// SRV.
-std::vector<std::string> readPrecedence(SettingsReader &reader, const json &from) {
-    auto kinds = from.value("precedence", std::vector<std::string>{});
-    const std::set<std::string> different(kinds.begin(), kinds.end());
-    if (different.size() != kinds.size())
-        reader.refuse("/sources/precedence", "a kind stands twice");
+/// Returns all kinds of sources, highest precedence first. Kinds that the document leaves out
+/// follow those that it names, in the order control plane, nodes, SRV.
+std::vector<std::string> readPrecedence(SettingsReader &reader, const json &section) {
+    auto kinds = section.value("precedence", std::vector<std::string>{});
+    const std::set<std::string> distinctKinds(kinds.begin(), kinds.end());
+    if (distinctKinds.size() != kinds.size())
+        reader.refuse("/sources/precedence", "each kind may be named only once");
     for (const auto kind : {kControlPlaneKind, kNodesKind, kSrvKind})
         if (std::ranges::find(kinds, kind) == kinds.end())
             kinds.emplace_back(kind);
@@ -139,9 +146,9 @@
     const auto found = reader.document.find("desk");
     if (found == reader.document.end())
         return;
-    const auto address = reader.address(*found, "address", "/desk/address");
-    ControlPlaneSettings settings{address.value_or(asio::ip::tcp::endpoint{}), kListTimeout,
-                                  kWatchSilence};
+    const auto address = reader.readAddress(*found, "address", "/desk/address");
+    ControlPlaneSettings settings{address.value_or(asio::ip::tcp::endpoint{}), kDefaultListTimeout,
+                                  kDefaultWatchSilence};
     readField(*found, "answerWithinMs", settings.answerWithin);
     readField(*found, "silentForMs", settings.silentFor);
     reader.settings.controlPlane = settings;
@@ -155,16 +162,17 @@
     const auto found = reader.document.find("sources");
     if (found == reader.document.end())
         return;
-    const json &from = *found;
+    const json &section = *found;
     SourceSettings sources;
-    readMergeRules(reader, from, sources.merge);
-    const bool controlPlaneListed = readControlPlaneList(reader, from);
-    readNodes(reader, from, sources);
-    readSrv(reader, from, sources);
-    for (const auto &kind : readPrecedence(reader, from))
+    readMergeRules(reader, section, sources.merge);
+    const bool controlPlaneListed = readControlPlaneList(reader, section);
+    readNodes(reader, section, sources);
+    readSrv(reader, section, sources);
+    for (const auto &kind : readPrecedence(reader, section))
         addSources(kind, controlPlaneListed, sources);
     if (sources.merge.sources.empty())
-        reader.refuse("/sources", "names no source: no instance could ever be listed");
+        reader.refuse("/sources",
+                      "must define at least one source: no endpoint could ever be listed");
     reader.settings.sources = std::move(sources);
 }
 
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -1,5 +1,5 @@
-// The settings document: a good one is read as given, a bad one is refused with the place of what
-// is wrong.
+// Parsing of the settings document: a valid document is read as given, an invalid one is refused
+// with the path of the invalid field.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,7 +23,7 @@
       "release": {"caps": [0.1, 1], "shares": [0.1, 1], "votesToGoBack": 2}})");
 }
 
-TEST(Settings, AreReadAsGiven) {
+TEST(Settings, ValidDocumentIsRead) {
     const auto read = parseSettings(settings());
     ASSERT_TRUE(read.settings);
     EXPECT_EQ(read.settings->module.routes.at(1).idempotency, Idempotency::withKey);
@@ -33,21 +33,21 @@
     EXPECT_TRUE(read.settings->module.subscriptionRequired);
 }
 
-TEST(Settings, AreRefusedWithThePlace) {
+TEST(Settings, InvalidFieldsAreRefusedWithTheirPath) {
     const std::vector<std::tuple<const char *, json, const char *>> bad = {
-        // what is set, to what, and the place that is named
+        // the field that is set, its value, and the expected path (nullptr: accepted)
         {"/routes/0/latencyObjectiveMs", 3000, "/routes/0/latencyObjectiveMs"},
         {"/routes/0/routeTimeoutMs", 0, "/routes/0/routeTimeoutMs"},
         {"/routes/0/routeTimeoutMs", "2 s", "/routes/0/routeTimeoutMs"},
         {"/routes/0/repeatWindowMs", 10, "/routes/0"},
         {"/routes/0/pathPrefix", "status", "/routes/0/pathPrefix"},
         {"/routes/1/name", "status", "/routes/1/name"},
-        {"/routes/1/pathPrefix", "/status/x", nullptr},  // another method: reached
+        {"/routes/1/pathPrefix", "/status/x", nullptr},  // accepted: /routes/0 has another method
         {"/routes/0/method", "get", "/routes/0/method"},
         {"/routes/0/effect", "safe", "/routes/0/effect"},
         {"/routes", json::array(), "/routes"},
         {"/gateway/zone", "c", "/gateway/zone"},
-        {"/gateway/index", 0, "/gateway"},  // no longer known, like the next
+        {"/gateway/index", 0, "/gateway"},  // a field that the schema no longer has
         {"/gateway/id", "a b", "/gateway/id"},
         {"/desk/address", "relay:x", "/desk/address"},
         {"/desk/address", "relay.example.org:80", "/desk/address"},
@@ -65,6 +65,7 @@
          "/accounts"},
         {"/limits", {{"headBytes", 10}}, "/limits/headBytes"},
         {"/limits", {{"answerMarginMs", 2000}}, "/routes/0/routeTimeoutMs"},
+        // an unknown section
         {"/peers", {{"listen", "127.0.0.1:0"}, {"known", json::array()}}, ""},
         {"/sources", json::object(), nullptr},
         {"/sources", {{"deskList", false}}, "/sources"},
@@ -90,21 +91,21 @@
          "/sources/precedence"},
         {"/unknown", 1, ""},
     };
-    for (const auto &[where, what, named] : bad) {
+    for (const auto &[pointer, value, expectedPath] : bad) {
         json document = settings();
-        document[json::json_pointer(where)] = what;
+        document[json::json_pointer(pointer)] = value;
         const auto read = parseSettings(document);
-        const char *const path = named;
-        if (!named) {
-            EXPECT_TRUE(read.settings) << where;
+        const char *const path = expectedPath;
+        if (!expectedPath) {
+            EXPECT_TRUE(read.settings) << pointer;
             continue;
         }
-        EXPECT_FALSE(read.settings) << where << " " << what;
+        EXPECT_FALSE(read.settings) << pointer << " " << value;
         EXPECT_TRUE(std::ranges::any_of(read.refused,
                                         [&](const Refusal &refusal) {
                                             return refusal.path == path && !refusal.reason.empty();
                                         }))
-            << where << " " << what << " gave " << toJson(read.refused);
+            << pointer << " " << value << " gave " << toJson(read.refused);
     }
     json shadowed = settings();
     shadowed["routes"].push_back(shadowed["routes"][1]);
@@ -115,20 +116,21 @@
     EXPECT_EQ(parseSettings(noWindow).refused.at(0).path, "/routes/1/repeatWindowMs");
 }
 
-TEST(Settings, TellWhichChangesNeedANewModule) {
+TEST(Settings, OnlyChangesToPolicySettingsRequireANewModule) {
     json other = settings();
     other["limits"] = {{"reqsInHand", 10}};
     EXPECT_TRUE(sameModule(settings(), other));
     other["upstream"]["idleMs"] = 100;
     EXPECT_TRUE(sameModule(settings(), other));
     other["upstream"]["connectWithinMs"] = 100;
-    EXPECT_FALSE(sameModule(settings(), other)) << "a repeat leaves time for it";
+    EXPECT_FALSE(sameModule(settings(), other))
+        << "the decision module reserves this time before a retry";
     other = settings();
     other["release"]["spareTries"] = 7;
     EXPECT_FALSE(sameModule(settings(), other));
 }
 
-TEST(Settings, EveryRuleThatIsBrokenIsNamed) {
+TEST(Settings, AllViolationsAreReported) {
     json document = settings();
     document["routes"][0]["latencyObjectiveMs"] = 3000;
     document["zones"] = {"a", "a"};
@@ -142,13 +144,13 @@
     std::vector<std::string> paths;
     for (const auto &refusal : parsed.refused)
         paths.push_back(refusal.path);
-    // By section, in the order in which they are read.
+    // In the order in which the sections are read.
     EXPECT_EQ(paths, (std::vector<std::string>{"/zones", "/routes/0/latencyObjectiveMs",
                                                "/headers/account", "/release/votesToGoBack",
                                                "/sources/reserveUntil"}));
 }
 
-TEST(Settings, WhatIsNotGivenHasTheDocumentedDefault) {
+TEST(Settings, MissingFieldsHaveTheDocumentedDefaults) {
     json document = settings();
     document.erase("release");
     const auto parsed = parseSettings(document);
@@ -167,7 +169,7 @@
     EXPECT_EQ(parsed.settings->controlPlane->silentFor, std::chrono::seconds(3));
 }
 
-TEST(Settings, KindsThatPrecedenceLeavesOutComeBehind) {
+TEST(Settings, KindsLeftOutOfPrecedenceComeLast) {
     json document = settings();
     document["sources"] = {{"nodes", {{{"address", "127.0.0.1:1"}, {"build", 1}}}},
                            {"precedence", {"nodes"}}};
