--- a/src/base/address.hpp
+++ b/src/base/address.hpp
@@ -1,5 +1,5 @@
-// HOST:PORT, as operators write it. Numeric hosts only: names are the resolver's business. Used
-// wherever an address is given or shown.
+// Parsing and formatting of HOST:PORT addresses. Hosts must be numeric: resolving names is left to
+// the DNS resolver.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -9,9 +9,10 @@
 
 namespace deckcart {
 
-/// 127.0.0.1:80, [::1]:80 or localhost:80; empty if it is none of these. Port 0 picks one.
+/// Parses addresses of the form 127.0.0.1:80, [::1]:80 or localhost:80; empty for any other text. A
+/// listener on port 0 gets a free port from the system.
 [[nodiscard]] std::optional<asio::ip::tcp::endpoint> parseAddress(std::string_view text);
-/// The same form, IPv6 hosts in brackets.
+/// Formats as HOST:PORT, with IPv6 hosts in brackets.
 [[nodiscard]] std::string format(const asio::ip::tcp::endpoint &address);
 
 }  // namespace deckcart
--- a/src/base/back_off.hpp
+++ b/src/base/back_off.hpp
@@ -1,5 +1,4 @@
-// How long to wait before what has failed is attempted again. Used by reconnecting streams and the
-// resolver.
+// Exponential backoff. Used by reconnecting streams and by the resolver.
 #pragma once
 
 #include <algorithm>
@@ -9,15 +8,19 @@
 
 namespace deckcart {
 
-// Sixty-four times the first wait: by then every caller's longest wait is reached.
+// 64 times the first delay, which reaches the maximum delay of every caller.
 constexpr int kMaxDoublings = 6;
 
-/// Doubles with each failure, from `first` up to `most`.
-/// @param failures  in a row, before this one; 0 or more
-/// @param part  0 to 1, drawn by the caller so that many of them spread: the part to be waited
-[[nodiscard]] inline Duration backedOff(Duration first, Duration most, int failures, double part) {
-    const Duration whole = std::min(most, first * (1 << std::min(failures, kMaxDoublings)));
-    return Duration{std::llround(double(whole.count()) * part)};
+/// The delay before the next retry. Doubles with each failure, from `initialDelay` up to
+/// `maxDelay`.
+/// @param failures  number of consecutive failures before this one, 0 or more
+/// @param jitter  0 to 1: the delay is multiplied by it. The caller draws it at random, so that
+///                many clients don't retry at the same time.
+[[nodiscard]] inline Duration backedOff(Duration initialDelay, Duration maxDelay, int failures,
+                                        double jitter) {
+    const Duration delay =
+        std::min(maxDelay, initialDelay * (1 << std::min(failures, kMaxDoublings)));
+    return Duration{std::llround(double(delay.count()) * jitter)};
 }
 
 }  // namespace deckcart
--- a/src/base/callback_guard.hpp
+++ b/src/base/callback_guard.hpp
@@ -1,6 +1,7 @@
-// The one idiom for callbacks that may outlive the object that they call into: the owner holds a
-// CallbackGuard and wraps its callbacks in it. Objects that own a socket are kept alive by the
-// operations on it instead (std::enable_shared_from_this). One thread; not for use across threads.
+// For callbacks that may be invoked after the object that they access has been destroyed: the
+// object has a CallbackGuard as a member and wraps its callbacks with it. Objects that own a socket
+// are kept alive by their pending operations instead (std::enable_shared_from_this). Not
+// thread-safe.
 #pragma once
 
 #include <memory>
@@ -8,15 +9,16 @@
 
 namespace deckcart {
 
-/// Passes calls on while it exists and drops them afterwards. Members are destroyed in reverse
-/// order: a guard that stands last among the members ends first.
+/// Forwards calls while it exists and drops them afterwards. Declare it as the last member of its
+/// owner: members are destroyed in reverse order, so that calls are dropped before any other member
+/// is destroyed.
 class CallbackGuard {
   public:
     CallbackGuard() = default;
     CallbackGuard(const CallbackGuard &) = delete;
     CallbackGuard &operator=(const CallbackGuard &) = delete;
 
-    /// A callback with the same arguments that does nothing once this guard is gone.
+    /// Returns a callback with the same parameters that does nothing once this guard is destroyed.
     template <class Callback>
     [[nodiscard]] auto wrap(Callback callback) const {
         return [token = token(), callback = std::move(callback)](auto &&...arguments) mutable {
@@ -25,7 +27,8 @@
         };
     }
 
-    /// For a callback that has something left to do when the owner is gone: expired() from then on.
+    /// A token that expires when this guard is destroyed, for callbacks that still have work to do
+    /// after that.
     [[nodiscard]] std::weak_ptr<const bool> token() const { return alive; }
 
   private:
--- a/src/base/clock.hpp
+++ b/src/base/clock.hpp
@@ -1,5 +1,5 @@
-// Time is passed in: a gateway reads it through this interface, steady in service, set by hand in
-// tests.
+// Time types and the clock interface. A gateway reads the time through this interface, so that
+// tests can set it.
 #pragma once
 
 #include <chrono>
@@ -8,17 +8,17 @@
 
 /// A length of time in microseconds.
 using Duration = std::chrono::microseconds;
-/// A point in time: the duration since the clock's start. The same type for now.
+/// A point in time: the duration since the epoch of the clock. The same type as Duration for now.
 using TimePoint = Duration;
 
-/// Never goes back.
+/// A source of the current time, which never goes back.
 class Clock {
   public:
     virtual ~Clock() = default;
     [[nodiscard]] virtual TimePoint now() const = 0;
 };
 
-/// CLOCK_MONOTONIC, the same in all processes of one machine until it restarts.
+/// CLOCK_MONOTONIC: the same for all processes of a machine until the machine restarts.
 class SteadyClock final : public Clock {
   public:
     [[nodiscard]] TimePoint now() const override {
@@ -27,7 +27,7 @@
     }
 };
 
-/// With fractions, as documents and logs have it.
+/// The duration in milliseconds with fractions, as written in documents and logs.
 [[nodiscard]] inline double milliseconds(Duration duration) {
     return std::chrono::duration<double, std::milli>(duration).count();
 }
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -4,11 +4,11 @@
 
 namespace deckcart {
 
-Log::Log(LogForm logForm, std::string writer) : form(logForm), who(std::move(writer)) {
+Log::Log(LogForm logForm, std::string writer) : form(logForm), writerName(std::move(writer)) {
     if (form == LogForm::none)
         return;
-    logger =
-        std::make_shared<spdlog::logger>(who, std::make_shared<spdlog::sinks::stderr_sink_st>());
+    logger = std::make_shared<spdlog::logger>(writerName,
+                                              std::make_shared<spdlog::sinks::stderr_sink_st>());
     logger->set_pattern(form == LogForm::json ? "%v" : "%Y-%m-%dT%H:%M:%S.%e %L %v");
     logger->flush_on(spdlog::level::warn);
 }
@@ -26,17 +26,19 @@
         return;
     std::string line;
     if (form == LogForm::json) {
-        const auto since = std::chrono::system_clock::now().time_since_epoch();
-        nlohmann::json out = fields;
-        out["t_ms"] = std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
-        out["level"] = level == spdlog::level::warn ? "warn" : "info";
-        out["event"] = event;
-        if (!who.empty())
-            out["writer"] = who;
-        // What came from outside may hold any bytes: they are replaced, not thrown over.
-        line = out.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+        const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
+        nlohmann::json document = fields;
+        document["t_ms"] =
+            std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count();
+        document["level"] = level == spdlog::level::warn ? "warn" : "info";
+        document["event"] = event;
+        if (!writerName.empty())
+            document["writer"] = writerName;
+        // Text from outside may not be valid UTF-8: invalid bytes are replaced rather than reported
+        // by an exception.
+        line = document.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
     } else {
-        line = who.empty() ? event : who + " " + event;
+        line = writerName.empty() ? event : writerName + " " + event;
         for (const auto &[name, value] : fields.items())
             line += " " + name + "=" +
                     value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -1,5 +1,5 @@
-// Structured logs on spdlog: an event's name and its fields, as text or as JSON lines, on standard
-// error. The events of a gateway are listed in docs/operate/gateway.md.
+// Structured logging to standard error with spdlog: each line holds the name of an event and its
+// fields, as text or as JSON. The events of a gateway are listed in docs/operate/gateway.md.
 #pragma once
 
 #include <memory>
@@ -11,22 +11,24 @@
 
 enum class LogForm { text, json, none };
 
-/// A value: copies write to the same place. One thread. Each line is flushed at once.
+/// Copies share one spdlog logger. Not thread-safe. Each line is flushed at once.
 class Log {
   public:
-    /// @param writer  stands in each line, as "writer" in JSON; empty: left out
+    /// @param writer  name of the component, written in each line (JSON field "writer"); empty:
+    ///                left out
     explicit Log(LogForm logForm = LogForm::none, std::string writer = {});
-    /// @param fields  an object; written in the order of their names
+    /// @param fields  a JSON object; its fields are written in the order of their names
     void info(const char *event, const nlohmann::json &fields = nlohmann::json::object()) const;
+    /// Parameters as for info().
     void warn(const char *event, const nlohmann::json &fields = nlohmann::json::object()) const;
-    /// Whether anything is written: spares the making of fields.
+    /// Whether lines are written, so that callers can skip building the fields.
     [[nodiscard]] bool on() const { return form != LogForm::none; }
 
   private:
     void write(spdlog::level::level_enum level, const char *event,
                const nlohmann::json &fields) const;
     LogForm form;
-    std::string who;
+    std::string writerName;
     std::shared_ptr<spdlog::logger> logger;
 };
 
--- a/src/base/parse_error.hpp
+++ b/src/base/parse_error.hpp
@@ -1,4 +1,4 @@
-// The error of all readers of documents, forms and commands.
+// The exception that readers of documents, forms and commands throw.
 #pragma once
 
 #include <stdexcept>
@@ -6,14 +6,15 @@
 
 namespace deckcart {
 
-/// A text or document that can't be read: where in it, and what is wrong there.
+/// An invalid text or document, with the place of the error in it.
 class ParseError : public std::invalid_argument {
   public:
-    /// @param where  the field, JSON pointer or line at fault; empty: the whole document
-    /// @param message  what is wrong, with the place, as it is shown to operators
+    /// @param where  the field, JSON pointer or line that is invalid; empty: the whole document
+    /// @param message  for operators: what is wrong, including the place
     ParseError(std::string where, const std::string &message)
         : std::invalid_argument(message), location(std::move(where)) {}
 
+    /// The field, JSON pointer or line that is invalid; empty: the whole document.
     [[nodiscard]] const std::string &place() const { return location; }
 
   private:
--- a/src/base/schema.cpp
+++ b/src/base/schema.cpp
@@ -14,7 +14,8 @@
 using Adapter = valijson::adapters::NlohmannJsonAdapter;
 using Error = valijson::ValidationResults::Error;
 
-/// The error's context is "<root>", then "[name]" or "[3]".
+/// The JSON pointer to the place of an error. valijson gives the place as a list of steps:
+/// "<root>", then "[name]" for a field or "[3]" for an array element.
 std::string pointerTo(const Error &error) {
     std::string path;
     for (const auto &step : error.context) {
@@ -25,8 +26,8 @@
     return path;
 }
 
-/// The validator reports a fault deep down again for each level above it, in these words: the
-/// deepest says it best.
+/// Whether the refusal only repeats that of a nested field. valijson reports an error in a nested
+/// field again for each enclosing level, with this text; the innermost report is the most specific.
 bool isRepeated(const Refusal &refusal, const std::vector<Refusal> &refused) {
     return refusal.reason.starts_with("Failed to validate") &&
            std::ranges::any_of(refused, [&](const Refusal &other) {
@@ -38,26 +39,26 @@
 }  // namespace
 
 std::vector<Refusal> checkSchema(const nlohmann::json &schema, const nlohmann::json &document) {
-    valijson::Schema parsed;
+    valijson::Schema parsedSchema;
     valijson::SchemaParser parser;
     try {
-        parser.populateSchema(Adapter(schema), parsed);
-    } catch (const std::exception &fault) {
-        throw std::logic_error(std::string("schema: ") + fault.what());
+        parser.populateSchema(Adapter(schema), parsedSchema);
+    } catch (const std::exception &schemaError) {
+        throw std::logic_error(std::string("invalid schema: ") + schemaError.what());
     }
     valijson::Validator validator;
     valijson::ValidationResults results;
-    if (validator.validate(parsed, Adapter(document), &results))
+    if (validator.validate(parsedSchema, Adapter(document), &results))
         return {};
     std::vector<Refusal> refused;
     Error error;
     while (results.popError(error))
         refused.push_back({pointerTo(error), error.description});
-    std::vector<Refusal> once;
+    std::vector<Refusal> distinct;
     for (const auto &refusal : refused)
         if (!isRepeated(refusal, refused))
-            once.push_back(refusal);
-    return once;
+            distinct.push_back(refusal);
+    return distinct;
 }
 
 nlohmann::json toJson(const std::vector<Refusal> &refused) {
--- a/src/base/schema.hpp
+++ b/src/base/schema.hpp
@@ -1,5 +1,5 @@
-// JSON documents checked by JSON Schema (draft 7) with valijson; what is wrong comes with its
-// place. Used by all readers of documents that operators write.
+// Validation of JSON documents against a JSON schema (draft 7) with valijson. Used by all readers
+// of documents that operators write.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,17 +8,17 @@
 
 namespace deckcart {
 
-/// One thing that is wrong with a document.
+/// One violation in a document.
 struct Refusal {
-    std::string path;    ///< JSON pointer into the document; empty: the whole
-    std::string reason;  ///< for operators
+    std::string path;    ///< JSON pointer to the invalid field; empty: the whole document
+    std::string reason;  ///< what is wrong, for operators
 };
 
-/// Empty if the document fits. The schema itself is the program's own: a faulty one throws
-/// std::logic_error.
+/// Returns the violations; empty if the document matches. Throws std::logic_error if the schema
+/// itself is invalid, since schemas are part of the program.
 [[nodiscard]] std::vector<Refusal> checkSchema(const nlohmann::json &schema,
                                                const nlohmann::json &document);
-/// A list of {"path", "reason"}.
+/// An array of {"path", "reason"} objects.
 [[nodiscard]] nlohmann::json toJson(const std::vector<Refusal> &refused);
 
 }  // namespace deckcart
--- a/src/base/snapshot.cpp
+++ b/src/base/snapshot.cpp
@@ -11,19 +11,19 @@
 namespace deckcart {
 namespace {
 
-constexpr mode_t kOwnerOnly = 0600;  // state holds addresses that are nobody else's business
+constexpr mode_t kOwnerOnly = 0600;  // snapshots hold addresses, which other users must not read
 
-/// Closes its file at the end.
-class Descriptor {
+/// A file descriptor that is closed on destruction.
+class FileDescriptor {
   public:
-    Descriptor(const std::filesystem::path &path, int flags)
+    FileDescriptor(const std::filesystem::path &path, int flags)
         : descriptor(::open(path.c_str(), flags | O_CLOEXEC, kOwnerOnly)) {}
-    ~Descriptor() {
+    ~FileDescriptor() {
         if (isOpen())
             ::close(descriptor);
     }
-    Descriptor(const Descriptor &) = delete;
-    Descriptor &operator=(const Descriptor &) = delete;
+    FileDescriptor(const FileDescriptor &) = delete;
+    FileDescriptor &operator=(const FileDescriptor &) = delete;
 
     [[nodiscard]] bool isOpen() const { return descriptor >= 0; }
     [[nodiscard]] bool sync() const { return ::fsync(descriptor) == 0; }
@@ -43,28 +43,28 @@
     int descriptor;
 };
 
-/// Of the system call that has just failed.
-std::string failed(const char *what, const std::filesystem::path &path) {
+/// The error message for the system call that has just failed, read from errno.
+std::string systemError(const char *what, const std::filesystem::path &path) {
     return std::string(what) + " " + path.string() + ": " + std::generic_category().message(errno);
 }
 
 std::string writeFile(const std::filesystem::path &path, const std::string &bytes,
                       Durable durability) {
-    const Descriptor file(path, O_WRONLY | O_CREAT | O_TRUNC);
+    const FileDescriptor file(path, O_WRONLY | O_CREAT | O_TRUNC);
     if (!file.isOpen())
-        return failed("open", path);
+        return systemError("open", path);
     if (!file.write(bytes))
-        return failed("write", path);
+        return systemError("write", path);
     if (durability == Durable::yes && !file.sync())
-        return failed("sync", path);
+        return systemError("sync", path);
     return {};
 }
 
-/// A rename is durable once its folder is synced.
+/// Makes a rename durable, which it is only after its folder is synced.
 std::string syncFolder(const std::filesystem::path &path) {
-    const Descriptor folder(path, O_RDONLY | O_DIRECTORY);
+    const FileDescriptor folder(path, O_RDONLY | O_DIRECTORY);
     if (!folder.isOpen() || !folder.sync())
-        return failed("sync", path);
+        return systemError("sync", path);
     return {};
 }
 
@@ -72,11 +72,11 @@
 
 std::string writeWhole(const std::filesystem::path &path, const std::string &bytes,
                        Durable durability) {
-    const std::filesystem::path beside = path.string() + ".new";
-    if (auto fault = writeFile(beside, bytes, durability); !fault.empty())
-        return fault;
-    if (::rename(beside.c_str(), path.c_str()) != 0)
-        return failed("rename", beside);
+    const std::filesystem::path temporaryPath = path.string() + ".new";
+    if (auto error = writeFile(temporaryPath, bytes, durability); !error.empty())
+        return error;
+    if (::rename(temporaryPath.c_str(), path.c_str()) != 0)
+        return systemError("rename", temporaryPath);
     return durability == Durable::yes ? syncFolder(path.parent_path()) : std::string{};
 }
 
@@ -89,8 +89,8 @@
     return bytes.str();
 }
 
-SnapshotRead readSnapshot(const std::filesystem::path &path, int format) {
-    SnapshotRead snapshot;
+SnapshotResult readSnapshot(const std::filesystem::path &path, int format) {
+    SnapshotResult snapshot;
     const auto bytes = readWhole(path);
     if (!bytes)
         return snapshot;
@@ -98,12 +98,12 @@
     if (document.is_discarded() || !document.is_object())
         snapshot.fault = path.string() + " is damaged";
     else if (document.value("format", nlohmann::json{}) != format)
-        snapshot.fault = path.string() + " has another format";
+        snapshot.fault = path.string() + " has an unsupported format";
     if (snapshot.fault.empty()) {
         snapshot.document = std::move(document);
         return snapshot;
     }
-    std::error_code ignored;  // where it can't be renamed it is refused all the same
+    std::error_code ignored;  // the file is rejected even if it can't be renamed
     std::filesystem::rename(path, path.string() + ".bad", ignored);
     return snapshot;
 }
--- a/src/base/snapshot.hpp
+++ b/src/base/snapshot.hpp
@@ -1,5 +1,6 @@
-// Small files that are either the old one or the new one: written beside it, synced, renamed, the
-// folder synced. Used for state folders, ready files and records of runs.
+// Atomic replacement of small files: the new content is written to a temporary file in the same
+// folder, synced and renamed over the old file, then the folder is synced. Used for state folders,
+// ready files and records of runs.
 #pragma once
 
 #include <filesystem>
@@ -9,27 +10,28 @@
 
 namespace deckcart {
 
-/// What a written file outlives.
+/// What a written file survives.
 enum class Durable {
-    yes,       ///< a power loss
-    atLeisure  ///< a kill of the process
+    yes,       ///< a power loss: the file and its folder are synced
+    atLeisure  ///< a kill of the process only: nothing is synced
 };
 
-/// Writes the file whole. Returns an empty text, or what failed with the path; the old file stands
-/// then.
+/// Replaces the file atomically, or creates it. Returns an empty string, or an error message with
+/// the failed operation and the path. If writing or renaming fails, the old file is kept.
 [[nodiscard]] std::string writeWhole(const std::filesystem::path &path, const std::string &bytes,
                                      Durable durability);
 
-/// Empty where the file can't be read.
+/// Reads the whole file; empty if it can't be opened.
 [[nodiscard]] std::optional<std::string> readWhole(const std::filesystem::path &path);
 
-/// What stands in a snapshot file.
-struct SnapshotRead {
-    std::optional<nlohmann::json> document;  ///< empty: there is no file, or it was renamed
-    std::string fault;                       ///< why it was renamed to PATH.bad; else empty
+/// The result of reading a snapshot file.
+struct SnapshotResult {
+    std::optional<nlohmann::json> document;  ///< empty if there is no file or it was rejected
+    std::string fault;                       ///< why the file was rejected; otherwise empty
 };
-/// Reads {"format": N, ...}. A file that is damaged or of another format is renamed to PATH.bad, so
-/// that it is never read as something else and can be looked at.
-[[nodiscard]] SnapshotRead readSnapshot(const std::filesystem::path &path, int format);
+/// Reads a snapshot, a JSON object with the field "format". A file that is damaged or has another
+/// format than expected is renamed to PATH.bad: it is never misread, and can still be inspected.
+/// @param format  the expected value of "format"
+[[nodiscard]] SnapshotResult readSnapshot(const std::filesystem::path &path, int format);
 
 }  // namespace deckcart
--- a/src/base/socket.cpp
+++ b/src/base/socket.cpp
@@ -4,7 +4,7 @@
 
 using asio::ip::tcp;
 
-constexpr int kBacklog = 1024;  // connections of a burst that wait to be accepted
+constexpr int kBacklog = 1024;  // connections of a burst that can wait to be accepted
 
 void listenAt(tcp::acceptor &acceptor, const tcp::endpoint &address) {
     acceptor.open(address.protocol());
@@ -22,26 +22,26 @@
 
 Unread peek(tcp::socket &socket) {
     char byte = 0;
-    asio::error_code fault;
-    socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, fault);
-    if (!fault)
+    asio::error_code error;
+    socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
+    if (!error)
         return Unread::bytes;
-    return fault == asio::error::would_block ? Unread::nothing : Unread::end;
+    return error == asio::error::would_block ? Unread::nothing : Unread::end;
 }
 
 void connectWithin(tcp::socket &socket, asio::steady_timer &timer, const tcp::endpoint &to,
                    Duration within, std::function<void(bool)> done) {
     timer.expires_after(within);
-    timer.async_wait([done](asio::error_code fault) {
-        if (!fault)
+    timer.async_wait([done](asio::error_code error) {
+        if (!error)
             done(false);
     });
-    socket.async_connect(to, [&socket, &timer, done = std::move(done)](asio::error_code fault) {
-        // Read after its bound, as after a stall of this process, it is late as well: what was
-        // decided then is not sent now.
+    socket.async_connect(to, [&socket, &timer, done = std::move(done)](asio::error_code error) {
+        // After a stall of this process, a successful connect may be handled past its time limit.
+        // It counts as late too, since what was decided before the stall must not be sent now.
         const bool late = timer.expiry() <= std::chrono::steady_clock::now();
         timer.cancel();
-        if (fault || late)
+        if (error || late)
             return done(false);
         settle(socket);
         done(true);
--- a/src/base/socket.hpp
+++ b/src/base/socket.hpp
@@ -1,5 +1,4 @@
-// What every listening and calling side of this project does to its sockets, whatever they speak.
-// Used by src/http and src/resp.
+// Socket operations shared by servers and clients of all protocols. Used by src/http and src/resp.
 #pragma once
 
 #include <asio.hpp>
@@ -9,26 +8,28 @@
 
 namespace deckcart {
 
-/// How a call on a connection of ours has ended.
+/// How a call on an outgoing connection has ended.
 enum class CallEnd {
-    complete,       ///< the whole answer came
-    connectFailed,  ///< no connection: nothing was handed over
-    broken,         ///< the connection failed or closed before the answer's end
-    garbage         ///< what came is no answer
+    complete,       ///< the whole response was received
+    connectFailed,  ///< no connection was established, and nothing was sent
+    broken,         ///< the connection failed or was closed before the end of the response
+    garbage         ///< the response is malformed
 };
 
-/// Opens, binds and listens, without blocking. Throws std::system_error.
+/// Opens the acceptor in non-blocking mode, binds it and listens. Throws std::system_error.
 void listenAt(asio::ip::tcp::acceptor &acceptor, const asio::ip::tcp::endpoint &address);
 
-/// A connected socket as all here use it: nothing waits for more to send, no call blocks.
+/// Sets the options of a connected socket: TCP_NODELAY and non-blocking mode.
 void settle(asio::ip::tcp::socket &socket);
 
-/// What lies unread in a connected socket; it stays there.
+/// What can be read from a socket. `end`: the peer has closed the connection, or it has failed.
 enum class Unread { nothing, bytes, end };
+/// Checks a connected, non-blocking socket for unread bytes without consuming them.
 [[nodiscard]] Unread peek(asio::ip::tcp::socket &socket);
 
-/// Connects within the time and settles the socket. `done` may come twice, the later ones false:
-/// its owner knows whether it still waits. It keeps alive what owns the socket and the timer.
+/// Connects within a time limit and sets the socket's options by settle(). `done` may be called
+/// twice, the second time with false; its owner has to ignore calls that it no longer expects.
+/// `done` must keep the owner of the socket and the timer alive.
 void connectWithin(asio::ip::tcp::socket &socket, asio::steady_timer &timer,
                    const asio::ip::tcp::endpoint &to, Duration within,
                    std::function<void(bool connected)> done);
--- a/src/net/client_socket.cpp
+++ b/src/net/client_socket.cpp
@@ -8,7 +8,7 @@
     if (!close(Closing::orderly))
         return false;
     connected = false;
-    ++number;
+    ++currentCall;
     timer.cancel();
     return true;
 }
--- a/src/net/client_socket.hpp
+++ b/src/net/client_socket.hpp
@@ -1,5 +1,5 @@
-// The socket of a calling connection, which carries one call at a time: connects within a time, and
-// numbers its calls, so that what was begun for one call does nothing in a later one.
+// The socket of an outgoing connection, which carries one call at a time. Connects within a time
+// limit and numbers its calls, so that a callback of one call has no effect on a later call.
 #pragma once
 
 #include <cstdint>
@@ -9,47 +9,50 @@
 
 namespace deckcart::net {
 
-/// A turn's share of one connection, in bytes: others wait no longer.
+/// The most bytes that are read from one connection per turn of the event loop, so that it doesn't
+/// delay other connections.
 constexpr std::size_t kReadAtOnce = 16 * 1024;
 
-/// As for StreamSocket, the handlers hold the owner.
+/// As for StreamSocket, handlers must keep the owner alive.
 class ClientSocket : public StreamSocket {
   public:
     explicit ClientSocket(asio::io_context &context);
 
     bool isConnected() const { return connected; }
-    /// Grows with each call, and once it is closed.
-    std::uint64_t callNumber() const { return number; }
-    void beginCall() { ++number; }
+    /// The number of the present call. Increases with each call and when the socket is closed.
+    std::uint64_t callNumber() const { return currentCall; }
+    /// Starts a new call: handlers of the previous one have no effect from now on.
+    void beginCall() { ++currentCall; }
 
-    /// Connects within the time; `handler(bool connected)` comes once, from the loop, unless the
-    /// call has ended or the socket was closed before.
+    /// Connects within the time limit. `handler(bool connected)` is called once from the event
+    /// loop, unless the call has ended or the socket was closed before.
     template <class Handler>
     void connect(const asio::ip::tcp::endpoint &to, Duration within, Handler handler) {
-        connectWithin(socket, timer, to, within,
-                      [this, began = number, handler = std::move(handler)](bool done) {
-                          if (isClosed() || connected || number != began)
-                              return;
-                          connected = done;
-                          handler(done);
-                      });
+        connectWithin(
+            socket, timer, to, within,
+            [this, startedCall = currentCall, handler = std::move(handler)](bool success) {
+                if (isClosed() || connected || currentCall != startedCall)
+                    return;
+                connected = success;
+                handler(success);
+            });
     }
 
-    /// Calls `handler()` on a turn of its own, unless the present call has ended by then.
+    /// Calls `handler()` later from the event loop, unless the present call has ended by then.
     template <class Handler>
     void postInCall(Handler handler) {
-        post([this, began = number, handler = std::move(handler)] {
-            if (number == began)
+        post([this, startedCall = currentCall, handler = std::move(handler)] {
+            if (currentCall == startedCall)
                 handler();
         });
     }
 
-    /// Ends the present call too. False if it was closed before.
+    /// Closes the socket and ends the present call. Returns false if it was closed before.
     bool shut();
 
   private:
     asio::steady_timer timer;
-    std::uint64_t number = 0;
+    std::uint64_t currentCall = 0;
     bool connected = false;
 };
 
--- a/src/net/stream_socket.hpp
+++ b/src/net/stream_socket.hpp
@@ -1,5 +1,5 @@
-// What every connection of ours, listening or calling, does with its socket whatever it speaks:
-// waiting for bytes, ending in order or by a reset. Used by the connections of http and resp.
+// The socket of a connection, incoming or outgoing, independent of the protocol: waiting for bytes,
+// and closing in an orderly way or by a reset. Used by the connections of src/http and src/resp.
 #pragma once
 
 #include <asio.hpp>
@@ -7,43 +7,45 @@
 
 namespace deckcart::net {
 
-/// How a connection is ended: after what was written has gone out, or at once, with a reset (RST)
-/// that tells the peer of it.
+/// How a connection is closed. `orderly`: written bytes are still sent before it ends. `reset`: it
+/// ends at once, and the peer is sent a reset (RST).
 enum class Closing { orderly, reset };
 
-/// The socket of one connection, with what is known of it. Its owner lives at least as long as the
-/// handlers that it passes: they hold it (std::enable_shared_from_this). One thread.
+/// The socket of one connection and its state. Handlers must keep the owner of the socket alive
+/// (std::enable_shared_from_this). Not thread-safe.
 class StreamSocket {
   public:
+    /// Takes over a connected socket.
     explicit StreamSocket(asio::ip::tcp::socket underlying) : socket(std::move(underlying)) {}
 
-    /// One that is to connect yet.
+    /// Creates a socket that is not connected yet.
     explicit StreamSocket(asio::io_context &context) : socket(context) {}
 
     bool isClosed() const { return closed; }
-    /// A wait begun by awaitRead() has not ended.
+    /// Whether a wait started by awaitRead() is pending.
     bool isAwaitingRead() const { return awaitingRead; }
 
-    /// Calls `handler(asio::error_code)` once, from the loop, when there are bytes to read, the
-    /// peer has ended, or waiting has failed; not at all once the socket was closed. One at a time.
+    /// Calls `handler(asio::error_code)` once from the event loop when there are bytes to read, the
+    /// peer has closed the connection, or waiting has failed. The handler is not called after the
+    /// socket was closed. Only one wait may be pending.
     template <class Handler>
     void awaitRead(Handler handler) {
         awaitingRead = true;
         socket.async_wait(asio::ip::tcp::socket::wait_read,
-                          [this, handler = std::move(handler)](asio::error_code fault) {
+                          [this, handler = std::move(handler)](asio::error_code error) {
                               awaitingRead = false;
                               if (!closed)
-                                  handler(fault);
+                                  handler(error);
                           });
     }
 
-    /// Calls `handler()` on a turn of its own.
+    /// Calls `handler()` later from the event loop.
     template <class Handler>
     void post(Handler handler) {
         asio::post(socket.get_executor(), std::move(handler));
     }
 
-    /// False if it was closed before.
+    /// Closes the socket. Returns false if it was closed before.
     bool close(Closing how);
 
     asio::ip::tcp::socket socket;
--- a/tests/unit/documents_test.cpp
+++ b/tests/unit/documents_test.cpp
@@ -1,5 +1,5 @@
-// Scenario files and addresses that operators write: each bad one is refused with the place of what
-// is wrong, and good ones are read.
+// Parsing of scenario files and addresses: invalid ones are refused, scenario files with the path
+// of the invalid field, and valid ones are read.
 #include <gtest/gtest.h>
 
 #include "../../src/base/address.hpp"
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-TEST(Days, AreRefusedWithThePlace) {
+TEST(ScenarioDocuments, InvalidFieldsAreRefusedWithTheirPath) {
     const json good = json::parse(
         R"({"name": "d", "lastsMs": 5000, "gateways": {"weights": [1]}, "instances": {"count": 2},
       "traffic": {"reqsPerS": 10, "routes": [{"name": "status", "effect": "retriable", "latencyObjectiveMs": 100,
@@ -29,16 +29,16 @@
         {"/release/toAdvance", 2, "/release/toAdvance"},
         {"/release/shares", json::array({1}), "/release/shares"},
         {"/instances/count", 0, "/instances/count"}};
-    for (const auto &[where, what, named] : bad) {
+    for (const auto &[pointer, value, expectedPath] : bad) {
         json document = good;
-        document[json::json_pointer(where)] = what;
+        document[json::json_pointer(pointer)] = value;
         const auto refused = scenarios::parseScenario(document).refused;
-        EXPECT_NE(std::ranges::find(refused, named, &Refusal::path), refused.end())
-            << where << toJson(refused);
+        EXPECT_NE(std::ranges::find(refused, expectedPath, &Refusal::path), refused.end())
+            << pointer << toJson(refused);
     }
 }
 
-TEST(Address, IsNumericWithAPort) {
+TEST(Address, MustBeNumericWithAPort) {
     EXPECT_EQ(format(*parseAddress("[::1]:80")), "[::1]:80");
     EXPECT_EQ(format(*parseAddress("localhost:0")), "127.0.0.1:0");
     for (const char *bad : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:70000",
--- a/tests/unit/snapshot_test.cpp
+++ b/tests/unit/snapshot_test.cpp
@@ -1,4 +1,4 @@
-// Small files: the old one or the new one, never something else.
+// Snapshot files: a reader gets the old or the new content, never a mixture or a damaged file.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -10,7 +10,7 @@
 namespace deckcart {
 namespace {
 
-TEST(Snapshot, IsTheOldOrTheNewAndNeverSomethingElse) {
+TEST(Snapshot, ReadsOnlyCompleteFilesOfTheExpectedFormat) {
     const auto folder =
         std::filesystem::path(testing::TempDir()) / ("snapshot-" + std::to_string(::getpid()));
     std::filesystem::create_directories(folder);
@@ -19,7 +19,7 @@
     EXPECT_EQ(writeWhole(path, R"({"format": 1, "n": 1})", Durable::yes), "");
     EXPECT_EQ(readSnapshot(path, 1).document->at("n"), 1);
     std::ofstream(path.string() + ".new")
-        << R"({"format": 1, "n")";  // a kill in the middle of the next write
+        << R"({"format": 1, "n")";  // the process was killed during the next write
     EXPECT_EQ(readSnapshot(path, 1).document->at("n"), 1);
     EXPECT_NE(readSnapshot(path, 2).fault, "");
     EXPECT_TRUE(std::filesystem::exists(path.string() + ".bad"));
@@ -40,24 +40,24 @@
     const std::filesystem::path path = folder / "one.json";
 };
 
-TEST_F(SnapshotFile, WhatIsRenamedKeepsItsBytes) {
+TEST_F(SnapshotFile, RejectedFileIsRenamedWithItsContent) {
     const std::string bytes = R"({"format": 7, "n": 1})";
     ASSERT_EQ(writeWhole(path, bytes, Durable::atLeisure), "");
     const auto snapshot = readSnapshot(path, 1);
     EXPECT_FALSE(snapshot.document);
-    EXPECT_EQ(snapshot.fault, path.string() + " has another format");
+    EXPECT_EQ(snapshot.fault, path.string() + " has an unsupported format");
     EXPECT_FALSE(std::filesystem::exists(path));
     EXPECT_EQ(readWhole(path.string() + ".bad"), bytes);
 }
 
-TEST_F(SnapshotFile, OnlyAnObjectIsADocument) {
+TEST_F(SnapshotFile, OnlyAJsonObjectIsAccepted) {
     for (const char *bytes : {"", "[]", "1", R"({"format": 1)"}) {
         std::ofstream(path) << bytes;
         EXPECT_EQ(readSnapshot(path, 1).fault, path.string() + " is damaged") << bytes;
     }
 }
 
-TEST_F(SnapshotFile, AFailedWriteNamesTheFileAndLeavesTheOldOne) {
+TEST_F(SnapshotFile, FailedWriteNamesTheFileAndKeepsTheOldOne) {
     ASSERT_EQ(writeWhole(path, "old", Durable::yes), "");
     std::filesystem::create_directory(path.string() + ".new");
     EXPECT_EQ(writeWhole(path, "new", Durable::yes),
@@ -65,7 +65,7 @@
     EXPECT_EQ(readWhole(path), "old");
 }
 
-TEST_F(SnapshotFile, WhatIsNotThereIsNoFault) {
+TEST_F(SnapshotFile, MissingFileIsNoError) {
     EXPECT_FALSE(readWhole(path));
     const auto snapshot = readSnapshot(path, 1);
     EXPECT_FALSE(snapshot.document);
