--- a/src/gateway/api.cpp
+++ b/src/gateway/api.cpp
@@ -11,9 +11,10 @@
 
 using nlohmann::json;
 
-// Settings of the largest site are a tenth of it.
+// Ten times the settings document of the largest site.
 constexpr std::size_t kMaxDocumentBytes = std::size_t{4} * 1024 * 1024;
-constexpr std::size_t kMaxConnections = 256;  // operators and their scripts are far fewer
+constexpr std::size_t kMaxConnections =
+    256;  // far above the number that operators and their scripts need
 
 http::ListenerLimits listenerLimits() {
     http::ListenerLimits limits;
@@ -22,7 +23,7 @@
     return limits;
 }
 
-void answer(http::Exchange &exchange, int status, const json &body) {
+void respond(http::Exchange &exchange, int status, const json &body) {
     http::ResponseHead head;
     head.status = status;
     const char *type = status >= 400 ? "application/problem+json" : "application/json";
@@ -31,16 +32,16 @@
                     body.dump(2, ' ', false, json::error_handler_t::replace) + "\n");
 }
 
-void problem(http::Exchange &exchange, int status, const std::string &detail,
-             json refused = json::array()) {
+void respondWithProblem(http::Exchange &exchange, int status, const std::string &detail,
+                        json refused = json::array()) {
     json body{{"status", status}, {"title", http::reasonOf(status)}, {"detail", detail}};
     if (!refused.empty())
         body["refused"] = std::move(refused);
-    answer(exchange, status, body);
+    respond(exchange, status, body);
 }
 
-/// Whether the sources have to be set up anew. Zones count too: entries of the sources name them
-/// by number.
+/// Whether the sources have to be set up again. This includes the zones, since the sources'
+/// entries refer to them by number.
 bool sourcesDiffer(const json &before, const json &after) {
     return before.value("sources", json{}) != after.value("sources", json{}) ||
            before.value("zones", json{}) != after.value("zones", json{}) ||
@@ -54,17 +55,19 @@
 
 }  // namespace
 
-/// A path and the one method that it takes; /v1/settings takes PUT besides.
+/// A path and its method. /v1/settings also accepts PUT, see serve().
 struct GatewayApi::Resource {
     std::string_view path;
     std::string_view method;
     void (GatewayApi::*handler)(http::Exchange &exchange);
 };
 
-GatewayApi::GatewayApi(asio::io_context &context, const asio::ip::tcp::endpoint &at, Gateway &of,
-                       const StateStore &in, Log to, json settings)
-    : gateway(of), store(in), log(std::move(to)), document(std::move(settings)),
-      listener(context, at, listenerLimits(),
+GatewayApi::GatewayApi(asio::io_context &context, const asio::ip::tcp::endpoint &listenAddress,
+                       Gateway &servedGateway, const StateStore &stateStore, Log target,
+                       json settings)
+    : gateway(servedGateway), store(stateStore), log(std::move(target)),
+      settingsDocument(std::move(settings)),
+      listener(context, listenAddress, listenerLimits(),
                [this](const std::shared_ptr<http::Exchange> &exchange) { serve(*exchange); }) {}
 
 const GatewayApi::Resource *GatewayApi::resourceAt(const std::string &path) {
@@ -86,24 +89,25 @@
     const std::string &method = exchange.head.method;
     const Resource *resource = resourceAt(path);
     if (!resource)
-        return problem(exchange, 404, "no such resource");
+        return respondWithProblem(exchange, 404, "no such resource");
     if (path == "/v1/settings" && method == "PUT")
         return putSettings(exchange);
     if (method != resource->method)
-        return problem(exchange, 405, "this takes " + std::string(resource->method) + " only");
+        return respondWithProblem(
+            exchange, 405, "this resource accepts " + std::string(resource->method) + " only");
     (this->*resource->handler)(exchange);
 }
 
 void GatewayApi::getSettings(http::Exchange &exchange) {
-    answer(exchange, 200, document);
+    respond(exchange, 200, settingsDocument);
 }
 
 void GatewayApi::getSchema(http::Exchange &exchange) {
-    answer(exchange, 200, settingsSchema());
+    respond(exchange, 200, settingsSchema());
 }
 
 void GatewayApi::getStatus(http::Exchange &exchange) {
-    answer(exchange, 200, statusOf(gateway));
+    respond(exchange, 200, statusJson(gateway));
 }
 
 void GatewayApi::getMembers(http::Exchange &exchange) {
@@ -117,47 +121,53 @@
     }
     if (const auto stage = gateway.stage())
         body["stage"] = toJson(*stage);
-    answer(exchange, 200, body);
+    respond(exchange, 200, body);
 }
 
 void GatewayApi::postIncorrectResponse(http::Exchange &exchange) {
     const json report = json::parse(exchange.body, nullptr, false);
     if (!report.is_object() || !report.contains("req") || !report["req"].is_string())
-        return problem(exchange, 400, "the body is not {\"req\": ID}");
+        return respondWithProblem(exchange, 400, "the body must have the form {\"req\": ID}");
     if (!gateway.reportIncorrectResponse(report["req"].get<std::string>()))
-        return problem(exchange, 404, "no answer to that req is remembered here");
-    answer(exchange, 202, json::object());
+        return respondWithProblem(exchange, 404,
+                                  "no response to this request id is in the history");
+    respond(exchange, 202, json::object());
 }
 
 void GatewayApi::putSettings(http::Exchange &exchange) {
-    json wanted;
+    json requested;
     try {
-        wanted = json::parse(exchange.body);
-    } catch (const json::parse_error &fault) {
-        return problem(exchange, 400, std::string("the body is not JSON: ") + fault.what());
+        requested = json::parse(exchange.body);
+    } catch (const json::parse_error &error) {
+        return respondWithProblem(exchange, 400,
+                                  std::string("the body is not JSON: ") + error.what());
     }
-    auto parsed = parseSettings(wanted);
+    auto parsed = parseSettings(requested);
     if (!parsed.settings)
-        return problem(exchange, 422, "refused; nothing has changed", toJson(parsed.refused));
-    const bool newModule = document.empty() || !sameModule(document, wanted);
-    if (newModule && !document.empty() && !gateway.mayRestartPolicy())
-        return problem(exchange, 409,
-                       "more than one build is listed: /gateway, /zones, /routes, /accounts, "
-                       "/allowed, /rules and "
-                       "/release can change when one is; the others can now");
-    const std::string fault = store.saveSettings(wanted);
-    if (!fault.empty()) {
-        log.warn("save", {{"fault", fault}});
-        return problem(exchange, 500, "not kept, so nothing has changed: " + fault);
+        return respondWithProblem(exchange, 422, "settings rejected; nothing has changed",
+                                  toJson(parsed.refused));
+    const bool policyChanged = settingsDocument.empty() || !sameModule(settingsDocument, requested);
+    if (policyChanged && !settingsDocument.empty() && !gateway.mayRestartPolicy())
+        return respondWithProblem(
+            exchange, 409,
+            "more than one build is listed: /gateway, /zones, /routes, /accounts, "
+            "/allowed, /rules and "
+            "/release can change only while a single build is listed; the other settings can "
+            "change now");
+    const std::string error = store.saveSettings(requested);
+    if (!error.empty()) {
+        log.warn("save", {{"fault", error}});
+        return respondWithProblem(exchange, 500,
+                                  "settings could not be saved, so nothing has changed: " + error);
     }
-    const bool newSources = sourcesDiffer(document, wanted);
-    document = std::move(wanted);
-    gateway.apply(std::move(*parsed.settings), newModule, newSources);
-    log.info("settings", {{"newModule", newModule}});
-    answer(exchange, 200, document);
+    const bool sourcesChanged = sourcesDiffer(settingsDocument, requested);
+    settingsDocument = std::move(requested);
+    gateway.apply(std::move(*parsed.settings), policyChanged, sourcesChanged);
+    log.info("settings", {{"newModule", policyChanged}});
+    respond(exchange, 200, settingsDocument);
 }
 
-json statusOf(const Gateway &gateway) {
+json statusJson(const Gateway &gateway) {
     json status = countersJson(gateway);
     status["unrouted"] = gateway.counts().unrouted;
     status["connections"] = gateway.connections();
--- a/src/gateway/api.hpp
+++ b/src/gateway/api.hpp
@@ -1,5 +1,6 @@
-// A gateway's own HTTP API under /v1: settings, their schema, status, members, reports of wrong
-// answers. For operators, described in docs/operate/gateway.md; problems are RFC 9457 documents.
+// The gateway's own HTTP API under /v1 for operators: settings, their schema, status, endpoints,
+// and reports of incorrect responses. Described in docs/operate/gateway.md; errors are RFC 9457
+// problem documents.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -12,10 +13,10 @@
 
 namespace deckcart {
 
-/// Serves one gateway, on its thread. The gateway and the store outlive it.
+/// Serves one gateway, on its thread. The gateway and the store must outlive this object.
 class GatewayApi {
   public:
-    /// @param settings  the document that is in force; empty: none yet
+    /// @param settings  the settings document in force; empty if there is none yet
     /// Throws std::system_error if it can't listen.
     GatewayApi(asio::io_context &context, const asio::ip::tcp::endpoint &address, Gateway &gateway,
                const StateStore &store, Log log, nlohmann::json settings);
@@ -39,11 +40,11 @@
     Gateway &gateway;
     const StateStore &store;
     Log log;
-    nlohmann::json document;
-    http::Listener listener;  // last: it calls into all of the above
+    nlohmann::json settingsDocument;
+    http::Listener listener;  // last, since it calls into all members above
 };
 
-/// The counts of GET /v1/status, which the log has too at the end.
-[[nodiscard]] nlohmann::json statusOf(const Gateway &gateway);
+/// The status document of GET /v1/status, which is also logged when the process ends.
+[[nodiscard]] nlohmann::json statusJson(const Gateway &gateway);
 
 }  // namespace deckcart
--- a/src/gateway/attempt_dispatcher.cpp
+++ b/src/gateway/attempt_dispatcher.cpp
@@ -5,7 +5,7 @@
 namespace deckcart {
 namespace {
 
-// For the fault that sends an attempt again: what becomes of it is nobody's business.
+// Ignores the result of an attempt that was repeated by fault injection.
 class IgnoringObserver : public CallObserver {
   public:
     void onResponse(std::string_view /*part*/) override {}
@@ -14,28 +14,29 @@
 
 }  // namespace
 
-// Of one attempt's call. The attempt owns it, and its call is released before the attempt goes.
+// Observes the call of one attempt. Owned by the attempt, which releases the call before it is
+// destroyed.
 class AttemptDispatcher::Observer : public CallObserver {
   public:
     Observer(AttemptDispatcher &dispatcher, RequestId request, int number)
         : owner(dispatcher), id(request), attemptNumber(number) {}
 
     void onResponse(std::string_view part) override {
-        if (RequestContext *request = owner.use.requests.find(id))
+        if (RequestContext *request = owner.deps.requests.find(id))
             owner.onResponsePart(*request, attemptNumber, part);
     }
 
     void onCallEnd(Outcome outcome) override {
-        LoopClock &clock = owner.use.clock;
-        clock.turn();
+        LoopClock &clock = owner.deps.clock;
+        clock.tick();
         clock.countSocketEvent();
-        RequestContext *request = owner.use.requests.find(id);
+        RequestContext *request = owner.deps.requests.find(id);
         if (!request)
             return;
-        // A good response is passed on at once, even while a stall is being handled.
+        // A successful response is passed on at once, even while a stall is being handled.
         if (outcome == Outcome::ok)
             return owner.complete(*request, attemptNumber);
-        clock.afterStall([&dispatcher = owner, requestId = id, number = attemptNumber, outcome] {
+        clock.runAfterStall([&dispatcher = owner, requestId = id, number = attemptNumber, outcome] {
             dispatcher.end(requestId, number, outcome);
         });
     }
@@ -46,37 +47,40 @@
     int attemptNumber;
 };
 
-AttemptDispatcher::AttemptDispatcher(const Services &services, DataPathFaults shellFaults)
-    : use(services), faults(shellFaults) {}
+AttemptDispatcher::AttemptDispatcher(const Dependencies &dependencies,
+                                     DataPathFaults injectedFaults)
+    : deps(dependencies), faults(injectedFaults) {}
 
 // ---- sending ----
 
-void AttemptDispatcher::send(GatewayId record, const SendAttempt &decision) {
-    RequestContext *found = use.requests.find(decision.requestId);
-    if (!found)
+void AttemptDispatcher::send(GatewayId generation, const SendAttempt &decision) {
+    RequestContext *requestOrNull = deps.requests.find(decision.requestId);
+    if (!requestOrNull)
         return;
-    RequestContext &request = *found;
+    RequestContext &request = *requestOrNull;
     const int number = static_cast<int>(request.attempts.size());
     EndpointId endpoint = decision.endpoint;
-    if (faults.sendsAfterDrain && !use.endpoints.lastDraining().empty() && number == 0)
-        endpoint = use.endpoints.lastDraining();
-    // The client has closed, and this loop has not come to read that yet.
+    if (faults.sendsAfterDrain && !deps.endpoints.lastDraining().empty() && number == 0)
+        endpoint = deps.endpoints.lastDraining();
+    // The client has closed the connection, and the event loop has not read the close yet.
     if (!request.answered && !request.downstream->isClientConnected())
-        return refuseToSend(request, record, decision.endpoint, Outcome::obsolete, true);
-    // The request is over, or bound to a response that has begun, or its deadline has passed on the
-    // real clock.
-    if (request.answered || request.isStreaming() || use.clock.lastTurn() >= request.policyDeadline)
-        return refuseToSend(request, record, decision.endpoint, Outcome::obsolete, false);
-    const auto call = use.upstreams.take(endpoint);
-    if (!call)  // no address, or all of its connections are in use
-        return refuseToSend(request, record, decision.endpoint, Outcome::connectFailed, false);
-    ++use.counts.attempts;
+        return endWithoutSending(request, generation, decision.endpoint, Outcome::obsolete, true);
+    // The request has been answered, is bound to a response that is being streamed, or has passed
+    // its deadline on the real clock.
+    if (request.answered || request.isStreaming() ||
+        deps.clock.lastTick() >= request.policyDeadline)
+        return endWithoutSending(request, generation, decision.endpoint, Outcome::obsolete, false);
+    const auto call = deps.upstreams.take(endpoint);
+    if (!call)  // no address, or all connections are in use
+        return endWithoutSending(request, generation, decision.endpoint, Outcome::connectFailed,
+                                 false);
+    ++deps.counts.attempts;
     AttemptContext attempt;
     attempt.endpoint = endpoint;
     attempt.call = call;
-    attempt.sentAt = use.clock.turn();
+    attempt.sentAt = deps.clock.tick();
     attempt.lastProgressAt = attempt.sentAt;
-    if (const EndpointEntry *entry = use.endpoints.find(endpoint))
+    if (const EndpointEntry *entry = deps.endpoints.find(endpoint))
         attempt.build = entry->build;
     attempt.observer = std::make_unique<Observer>(*this, request.id, number);
     CallObserver *observer = attempt.observer.get();
@@ -87,26 +91,26 @@
         [this, id = request.id] { return timeLeftToSend(id); }, build, observer);
 }
 
-void AttemptDispatcher::refuseToSend(RequestContext &request, GatewayId record,
-                                     const EndpointId &endpoint, Outcome outcome,
-                                     bool requestEnded) {
+void AttemptDispatcher::endWithoutSending(RequestContext &request, GatewayId generation,
+                                          const EndpointId &endpoint, Outcome outcome,
+                                          bool requestEnded) {
     const int number = static_cast<int>(request.attempts.size());
     AttemptContext attempt;
     attempt.endpoint = endpoint;
     attempt.ended = true;
     attempt.outcome = outcome;
-    attempt.sentAt = use.clock.turn();
+    attempt.sentAt = deps.clock.tick();
     request.attempts.push_back(std::move(attempt));
-    use.policy.notify(AttemptEnded{request.id, number, requestEnded || request.answered, outcome},
-                      record);
+    deps.policy.notify(AttemptEnded{request.id, number, requestEnded || request.answered, outcome},
+                       generation);
 }
 
-// The last check before an attempt's first byte: its connection may have taken a while.
+// The last check before an attempt is written, since connecting may have taken some time.
 std::optional<Duration> AttemptDispatcher::timeLeftToSend(RequestId id) {
-    const RequestContext *request = use.requests.find(id);
+    const RequestContext *request = deps.requests.find(id);
     if (!request)
         return std::nullopt;
-    const TimePoint now = use.clock.realTime();
+    const TimePoint now = deps.clock.realTime();
     if (request->answered || now >= request->policyDeadline ||
         !request->downstream->isClientConnected())
         return std::nullopt;
@@ -116,32 +120,32 @@
 // ---- ending ----
 
 void AttemptDispatcher::cancel(const CancelAttempt &decision) {
-    // A response that has come is not withdrawn any more, nor is one that the client is getting.
+    // An attempt whose response has arrived or is being streamed is not cancelled.
     if (!isOutstandingAfterRead(decision.requestId, decision.attemptNumber))
         return;
-    RequestContext &request = *use.requests.find(decision.requestId);
+    RequestContext &request = *deps.requests.find(decision.requestId);
     if (!request.attempt(decision.attemptNumber).streaming || request.answered)
         end(decision.requestId, decision.attemptNumber, Outcome::cancelled);
 }
 
 bool AttemptDispatcher::isOutstandingAfterRead(RequestId id, int attemptNumber) {
-    const auto outstanding = [&]() -> const AttemptContext * {
-        RequestContext *request = use.requests.find(id);
+    const auto findOutstanding = [&]() -> const AttemptContext * {
+        RequestContext *request = deps.requests.find(id);
         if (!request || static_cast<std::size_t>(attemptNumber) >= request->attempts.size())
             return nullptr;
         const AttemptContext &attempt = request->attempt(attemptNumber);
         return attempt.ended ? nullptr : &attempt;
     };
-    const AttemptContext *attempt = outstanding();
+    const AttemptContext *attempt = findOutstanding();
     if (!attempt)
         return false;
-    const auto call = attempt->call;  // kept here: it may go with its request
+    const auto call = attempt->call;  // keeps the call alive if the request is removed
     call->look();
-    return outstanding() != nullptr;
+    return findOutstanding() != nullptr;
 }
 
 void AttemptDispatcher::end(RequestId id, int attemptNumber, Outcome outcome) {
-    RequestContext *request = use.requests.find(id);
+    RequestContext *request = deps.requests.find(id);
     if (!request)
         return;
     AttemptContext &attempt = request->attempt(attemptNumber);
@@ -149,43 +153,43 @@
         return;
     attempt.ended = true;
     attempt.outcome = outcome;
-    // Nothing may come of an attempt whose outcome the policy knows: a connection in the middle of
-    // one is closed.
-    attempt.call->release(use.clock.lastTurn());
+    // The policy now knows the outcome, so no response may arrive later: a connection in the
+    // middle of a call is closed.
+    attempt.call->release(deps.clock.lastTick());
     attempt.bufferedResponse.clear();
     bool requestEnded = request->answered;
     if (request->streamingAttempt == attemptNumber && !request->answered) {
-        // The response broke off in the middle: only a cut connection tells the client.
-        use.requests.fail(*request, false);
+        // The response broke off after its head was sent: only closing the connection tells the
+        // client.
+        deps.requests.fail(*request, false);
         requestEnded = true;
     }
     if (faults.repeatsNonRetriable && outcome == Outcome::reset)
-        repeatByFault(*request, attempt);
-    use.policy.notify(AttemptEnded{id, attemptNumber, requestEnded, outcome}, request->record);
-    if (RequestContext *left = use.requests.find(id))
-        use.requests.removeIfOver(*left);
+        injectRepeat(*request, attempt);
+    deps.policy.notify(AttemptEnded{id, attemptNumber, requestEnded, outcome}, request->generation);
+    if (RequestContext *remaining = deps.requests.find(id))
+        deps.requests.removeIfFinished(*remaining);
 }
 
-void AttemptDispatcher::repeatByFault(const RequestContext &request,
-                                      const AttemptContext &attempt) {
-    static IgnoringObserver ignoring;
-    const auto call = use.upstreams.take(attempt.endpoint);
+void AttemptDispatcher::injectRepeat(const RequestContext &request, const AttemptContext &attempt) {
+    static IgnoringObserver ignoringObserver;
+    const auto call = deps.upstreams.take(attempt.endpoint);
     if (!call)
         return;
     call->start(
         *request.downstream, request.clientRequestId,
-        [most = use.settings.upstream.streamStallTimeout] { return std::optional(most); },
-        attempt.build, &ignoring);
-    faultyRepeats.push_back(call);
+        [timeout = deps.settings.upstream.streamStallTimeout] { return std::optional(timeout); },
+        attempt.build, &ignoringObserver);
+    injectedRepeats.push_back(call);
 }
 
-// An attempt that is still being connected when its endpoint is listed as draining or as running
-// another build, or when its build's exposure limit is lowered, would break what has just been
-// said: it ends as one that could not be connected, and where the request goes then is the policy's
-// decision.
+// Sending an attempt that is still connecting would violate an update that has just been applied:
+// its endpoint is now draining or runs another build, or the exposure limit of its build has been
+// lowered. Such an attempt ends as connectFailed, so that the policy decides where the request
+// goes next.
 void AttemptDispatcher::endUnsent(const std::function<bool(const AttemptContext &)> &mayBeSent) {
     std::vector<AttemptKey> unsent;
-    for (const auto &[id, request] : use.requests.all()) {
+    for (const auto &[id, request] : deps.requests.all()) {
         int number = 0;
         for (const AttemptContext &attempt : request->attempts) {
             if (!attempt.ended && !mayBeSent(attempt) && !attempt.call->startedSending())
@@ -199,13 +203,14 @@
 
 void AttemptDispatcher::endStalledStreams(TimePoint now) {
     std::vector<AttemptKey> stalled;
-    for (const auto &[id, request] : use.requests.all()) {
+    for (const auto &[id, request] : deps.requests.all()) {
         if (!request->isStreaming())
             continue;
         const AttemptContext &attempt = request->attempt(*request->streamingAttempt);
-        const bool slowReader = request->downstream->waiting() > 0;  // the listener ends those
+        const bool slowReader =
+            request->downstream->waiting() > 0;  // the listener's time-out closes slow clients
         if (!attempt.ended && !slowReader &&
-            now - attempt.lastProgressAt > use.settings.upstream.streamStallTimeout)
+            now - attempt.lastProgressAt > deps.settings.upstream.streamStallTimeout)
             stalled.push_back({id, *request->streamingAttempt});
     }
     for (const AttemptKey &key : stalled)
@@ -214,28 +219,29 @@
 
 // ---- responses ----
 
-// A part of a response is buffered while the response is short enough to be passed on whole, so
-// that an error in it can be retried; a longer one is streamed as it comes.
+// Buffers the response while it is short enough to be passed on as a whole, so that a failure in
+// the middle can be retried. A longer response is streamed.
 void AttemptDispatcher::onResponsePart(RequestContext &request, int attemptNumber,
                                        std::string_view part) {
-    use.clock.turn();
-    use.clock.countSocketEvent();
+    deps.clock.tick();
+    deps.clock.countSocketEvent();
     AttemptContext &attempt = request.attempt(attemptNumber);
-    attempt.lastProgressAt = use.clock.lastTurn();
+    attempt.lastProgressAt = deps.clock.lastTick();
     if (attempt.streaming) {
         request.downstream->write(part);
     } else {
         attempt.bufferedResponse.append(part);
-        if (attempt.bufferedResponse.size() <= use.settings.upstream.bufferedResponseBytes)
+        if (attempt.bufferedResponse.size() <= deps.settings.upstream.bufferedResponseBytes)
             return;
         if (request.answered || request.isStreaming()) {
-            attempt.bufferedResponse.clear();  // no client will get it
+            attempt.bufferedResponse.clear();  // no client is waiting for it
             return;
         }
         startStreaming(request, attemptNumber);
     }
-    // A reader slower than the endpoint holds the endpoint back, not this process's memory.
-    if (request.downstream->waiting() > use.settings.listener.waitingBytes)
+    // Backpressure: if the client reads more slowly than the endpoint sends, reading pauses, which
+    // bounds the memory used here.
+    if (request.downstream->waiting() > deps.settings.listener.waitingBytes)
         attempt.call->pause();
 }
 
@@ -252,13 +258,13 @@
 }
 
 void AttemptDispatcher::resumeReading(RequestId id, int attemptNumber) {
-    RequestContext *request = use.requests.find(id);
+    RequestContext *request = deps.requests.find(id);
     if (!request)
         return;
     AttemptContext &paused = request->attempt(attemptNumber);
     if (paused.ended)
         return;
-    paused.lastProgressAt = use.clock.turn();
+    paused.lastProgressAt = deps.clock.tick();
     paused.call->resume();
 }
 
@@ -268,17 +274,17 @@
         return;
     attempt.ended = true;
     attempt.outcome = Outcome::ok;
-    attempt.call->release(use.clock.lastTurn());
+    attempt.call->release(deps.clock.lastTick());
     if (!request.answered && request.streamingAttempt.value_or(attemptNumber) == attemptNumber)
-        passOnWhole(request, attemptNumber);
+        deliverResponse(request, attemptNumber);
     const RequestId id = request.id;
     attempt.bufferedResponse = {};
-    use.policy.notify(AttemptEnded{id, attemptNumber, true, Outcome::ok}, request.record);
-    if (RequestContext *left = use.requests.find(id))
-        use.requests.removeIfOver(*left);
+    deps.policy.notify(AttemptEnded{id, attemptNumber, true, Outcome::ok}, request.generation);
+    if (RequestContext *remaining = deps.requests.find(id))
+        deps.requests.removeIfFinished(*remaining);
 }
 
-void AttemptDispatcher::passOnWhole(RequestContext &request, int attemptNumber) {
+void AttemptDispatcher::deliverResponse(RequestContext &request, int attemptNumber) {
     const AttemptContext &attempt = request.attempt(attemptNumber);
     if (request.isStreaming())
         request.downstream->end();
@@ -286,9 +292,9 @@
         request.downstream->completed(*attempt.call, attempt.bufferedResponse);
     if (faults.answersTwice)
         request.downstream->injectDuplicateResponse();
-    use.requests.markCompleted(request);
-    use.history.add(request.clientRequestId, {attempt.endpoint, attempt.sentAt},
-                    use.settings.responseHistorySize);
+    deps.requests.markCompleted(request);
+    deps.history.add(request.clientRequestId, {attempt.endpoint, attempt.sentAt},
+                     deps.settings.responseHistorySize);
 }
 
 }  // namespace deckcart
--- a/src/gateway/attempt_dispatcher.hpp
+++ b/src/gateway/attempt_dispatcher.hpp
@@ -1,6 +1,6 @@
-// The attempts of requests in flight: sends them, passes responses on to the client, ends them and
-// notifies the policy. Sends only what the policy has decided, but for a fault that a scenario asks
-// for.
+// Manages the attempts of requests in flight: sends them, passes their responses on to the client,
+// ends them and notifies the policy. Sends only what the policy has decided, except for faults
+// that a scenario injects.
 #pragma once
 
 #include <functional>
@@ -13,18 +13,20 @@
 
 namespace deckcart {
 
-/// Faults of the data path that a scenario run asks for, to show that its invariant checks find
-/// them. Never set in service.
+/// Faults that a scenario run injects into the data path to prove that its invariant checks detect
+/// them. Never set in production.
 struct DataPathFaults {
-    bool sendsAfterDrain = false;      ///< First attempts go to what was listed as draining last.
-    bool answersTwice = false;         ///< Writes a second answer behind each first one.
-    bool repeatsNonRetriable = false;  ///< Sends an attempt that was reset again by itself.
+    /// Sends first attempts to the endpoint that was most recently listed as draining.
+    bool sendsAfterDrain = false;
+    bool answersTwice = false;  ///< Writes a second response after each response.
+    /// Sends an attempt again after a connection reset, without a decision of the policy.
+    bool repeatsNonRetriable = false;
 };
 
 class AttemptDispatcher {
   public:
-    /// What the dispatcher uses; all of it must outlive the dispatcher.
-    struct Services {
+    /// The collaborators of the dispatcher; all must outlive it.
+    struct Dependencies {
         const GatewaySettings &settings;
         LoopClock &clock;
         PolicyDriver &policy;
@@ -34,24 +36,23 @@
         ResponseHistory &history;
         GatewayCounts &counts;
     };
-    AttemptDispatcher(const Services &services, DataPathFaults faults);
+    AttemptDispatcher(const Dependencies &dependencies, DataPathFaults faults);
 
-    /// Carries out the policy's decision to send an attempt. One that can't be sent any more ends
-    /// at once, with the outcome that says why.
-    void send(GatewayId record, const SendAttempt &decision);
-    /// Carries out the policy's decision to cancel one, unless its response has come or is being
-    /// passed on.
+    /// Carries out the policy's decision to send an attempt. An attempt that can't be sent any
+    /// more ends at once, with an outcome that states the reason.
+    void send(GatewayId generation, const SendAttempt &decision);
+    /// Carries out the policy's decision to cancel an attempt, unless its response has arrived or
+    /// is being streamed.
     void cancel(const CancelAttempt &decision);
-    /// Ends an attempt that has failed or is given up; nothing where it has ended already. The
-    /// request may be gone afterwards.
+    /// Ends an attempt that has failed or is given up; does nothing if it has already ended. May
+    /// remove the request.
     void end(RequestId id, int attemptNumber, Outcome outcome);
-    /// Reads what has come of the response already. Whether the attempt is still outstanding
-    /// afterwards: reading may end it, and its request.
+    /// Processes response data that has already arrived, which may end the attempt and remove its
+    /// request. Returns whether the attempt is still outstanding afterwards.
     bool isOutstandingAfterRead(RequestId id, int attemptNumber);
-    /// Ends attempts that no endpoint can have got yet, where the endpoint may not get them any
-    /// more.
+    /// Ends attempts that have not been sent yet and for which `mayBeSent` returns false.
     void endUnsent(const std::function<bool(const AttemptContext &)> &mayBeSent);
-    /// Ends responses that have begun and have stopped coming.
+    /// Ends streamed responses that have made no progress for the configured time.
     void endStalledStreams(TimePoint now);
 
   private:
@@ -61,19 +62,19 @@
         int number = 0;
     };
 
-    void refuseToSend(RequestContext &request, GatewayId record, const EndpointId &endpoint,
-                      Outcome outcome, bool requestEnded);
+    void endWithoutSending(RequestContext &request, GatewayId generation,
+                           const EndpointId &endpoint, Outcome outcome, bool requestEnded);
     std::optional<Duration> timeLeftToSend(RequestId id);
     void onResponsePart(RequestContext &request, int attemptNumber, std::string_view part);
     void startStreaming(RequestContext &request, int attemptNumber);
     void resumeReading(RequestId id, int attemptNumber);
     void complete(RequestContext &request, int attemptNumber);
-    void passOnWhole(RequestContext &request, int attemptNumber);
-    void repeatByFault(const RequestContext &request, const AttemptContext &attempt);
+    void deliverResponse(RequestContext &request, int attemptNumber);
+    void injectRepeat(const RequestContext &request, const AttemptContext &attempt);
 
-    Services use;
+    Dependencies deps;
     DataPathFaults faults;
-    std::vector<std::shared_ptr<UpstreamCall>> faultyRepeats;
+    std::vector<std::shared_ptr<UpstreamCall>> injectedRepeats;
 };
 
 }  // namespace deckcart
--- a/src/gateway/endpoint_documents.cpp
+++ b/src/gateway/endpoint_documents.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-/// An entry without what only a control plane knows of it.
+/// An entry without the incarnation, which only a control plane provides.
 json toJson(const EndpointEntry &entry, const std::vector<std::string> &zones, TimePoint now) {
     json document = toJson(listedOf(entry, zones, now));
     document.erase("incarnation");
@@ -75,7 +75,7 @@
     return Duration{std::llround(document.at(name).get<double>() * 1000)};
 }
 
-/// Reads sources whose ages were written before `written`, on the reader's clock.
+/// Reads sources whose ages are relative to `written`, a time on the caller's clock.
 struct SavedSourceReader {
     TimePoint written;
 
--- a/src/gateway/endpoint_documents.hpp
+++ b/src/gateway/endpoint_documents.hpp
@@ -1,4 +1,4 @@
-// The merged endpoint list as JSON: as GET /v1/members shows it, and as sources.json keeps it.
+// JSON forms of the merged endpoint list: for GET /v1/members, and for sources.json.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -10,20 +10,21 @@
 
 namespace deckcart {
 
-/// What is routed to and why, and what each source last said.
-/// @param sources  the rules in the order of the view's sources
-/// @param zones  their names by number
+/// The merged endpoints with the reason for their inclusion, and the state of each source.
+/// @param sources  the rules, in the order of `view.sources`
+/// @param zones  zone names by number
 /// @param now  on the clock of the entries' start times
 [[nodiscard]] nlohmann::json toJson(const membership::View &view,
                                     const std::vector<membership::SourceRule> &sources,
                                     const std::vector<std::string> &zones, TimePoint now);
 
-/// What outlives the process: points in time are written as ages at `now`, zones by number.
+/// The state of the sources that is kept across restarts. Times are written as ages relative to
+/// `now`, zones as numbers.
 [[nodiscard]] nlohmann::json toJson(const std::vector<membership::SavedSource> &saved,
                                     TimePoint now);
-/// Reads it back, each age longer by what has passed since it was written. Throws
-/// nlohmann::json::exception or ParseError where it is no such document.
-/// @param now  on the reader's clock, which the result's times are on
+/// Reads such a document, adding the time that has passed since it was written to each age. Throws
+/// nlohmann::json::exception or ParseError if the document is invalid.
+/// @param now  on the caller's clock, which the times of the result refer to
 [[nodiscard]] std::vector<membership::SavedSource> readSavedSources(const nlohmann::json &document,
                                                                     TimePoint now, Duration passed);
 
--- a/src/gateway/endpoint_persistence.cpp
+++ b/src/gateway/endpoint_persistence.cpp
@@ -3,15 +3,14 @@
 namespace deckcart {
 namespace {
 
-// A restart loses the changes of so long at most; the list of a large site is written in
-// milliseconds.
+// The most that a crash can lose. Writing the list of a large site takes milliseconds.
 constexpr auto kSaveInterval = std::chrono::seconds(1);
 
 }  // namespace
 
-EndpointPersistence::EndpointPersistence(asio::io_context &context, Gateway &of,
-                                         const StateStore &in, Log to)
-    : gateway(of), store(in), log(std::move(to)), timer(context) {}
+EndpointPersistence::EndpointPersistence(asio::io_context &context, Gateway &savedGateway,
+                                         const StateStore &stateStore, Log target)
+    : gateway(savedGateway), store(stateStore), log(std::move(target)), timer(context) {}
 
 void EndpointPersistence::restore() {
     if (const auto *watcher = gateway.members())
@@ -28,8 +27,8 @@
         gateway.remember(stored->endpoints);
         log.info("recalled",
                  {{"instances", stored->endpoints.size()}, {"sinceMs", milliseconds(stored->age)}});
-    } catch (const std::exception &fault) {
-        log.warn("set-aside", {{"fault", std::string("list.json: ") + fault.what()}});
+    } catch (const std::exception &error) {
+        log.warn("set-aside", {{"fault", std::string("list.json: ") + error.what()}});
     }
 }
 
@@ -41,8 +40,8 @@
         gateway.remember(stored->sources);
         log.info("recalled",
                  {{"sources", stored->sources.size()}, {"sinceMs", stored->age.count()}});
-    } catch (const std::exception &fault) {
-        log.warn("set-aside", {{"fault", std::string("sources.json: ") + fault.what()}});
+    } catch (const std::exception &error) {
+        log.warn("set-aside", {{"fault", std::string("sources.json: ") + error.what()}});
     }
 }
 
@@ -56,11 +55,11 @@
 }
 
 void EndpointPersistence::scheduleSave() {
-    if (!store.keeps())
+    if (!store.keepsState())
         return;
     timer.expires_after(kSaveInterval);
-    timer.async_wait(guard.wrap([this](asio::error_code fault) {
-        if (fault)
+    timer.async_wait(guard.wrap([this](asio::error_code error) {
+        if (error)
             return;
         save();
         scheduleSave();
@@ -68,16 +67,16 @@
 }
 
 void EndpointPersistence::save() {
-    if (!store.keeps() || !changed)
+    if (!store.keepsState() || !changed)
         return;
     const auto *watcher = gateway.members();
-    const std::string fault = watcher ? store.saveSources(watcher->saved(), watcher->now())
+    const std::string error = watcher ? store.saveSources(watcher->saved(), watcher->now())
                                       : store.saveEndpointList(gateway.listed());
-    if (fault.empty())
+    if (error.empty())
         changed = false;
-    else if (fault != lastFault)
-        log.warn("save", {{"fault", fault}});
-    lastFault = fault;
+    else if (error != lastError)
+        log.warn("save", {{"fault", error}});
+    lastError = error;
 }
 
 }  // namespace deckcart
--- a/src/gateway/endpoint_persistence.hpp
+++ b/src/gateway/endpoint_persistence.hpp
@@ -1,5 +1,5 @@
-// Keeps what a gateway knows of its endpoints over a restart: restored once at the start, saved
-// while it runs. Used by the gateway's process; the files are StateStore's.
+// Keeps the endpoint data of a gateway across restarts: restores it once at the start and saves it
+// while the gateway runs. Used by the gateway's process; StateStore handles the files.
 #pragma once
 
 #include <asio/steady_timer.hpp>
@@ -12,7 +12,7 @@
 
 namespace deckcart {
 
-/// On the gateway's thread. The gateway and the store outlive it.
+/// Used on the gateway's thread only. The gateway and the store must outlive this object.
 class EndpointPersistence {
   public:
     EndpointPersistence(asio::io_context &context, Gateway &gateway, const StateStore &store,
@@ -20,15 +20,15 @@
     EndpointPersistence(const EndpointPersistence &) = delete;
     EndpointPersistence &operator=(const EndpointPersistence &) = delete;
 
-    /// Hands what was saved to the gateway; before its first request. What can't be read is logged
-    /// and left out.
+    /// Passes the saved data to the gateway. Must be called before the first request. Unreadable
+    /// data is logged and ignored.
     void restore();
-    /// From now on changes are saved, at most once a second.
+    /// Saves changes from now on, at most once a second.
     void start();
-    /// No more saves by the clock.
+    /// Stops the periodic saves.
     void stop();
-    /// Saves now, if there is a change. A failure is logged once for as long as it is the same, and
-    /// the save is tried again with the next one.
+    /// Saves now if there are changes. An error is logged when it first occurs or differs from the
+    /// previous one; the next save retries.
     void save();
 
   private:
@@ -41,7 +41,7 @@
     Log log;
     asio::steady_timer timer;
     bool changed = false;
-    std::string lastFault;
+    std::string lastError;
     CallbackGuard guard;
 };
 
--- a/src/gateway/endpoint_snapshot.cpp
+++ b/src/gateway/endpoint_snapshot.cpp
@@ -9,16 +9,16 @@
         std::set<EndpointId> stillListed;
         for (const EndpointEntry &entry : update.entries)
             stillListed.insert(entry.id);
-        for (const auto &[id, entry] : listed)
+        for (const auto &[id, entry] : entriesById)
             if (!stillListed.contains(id))
                 upstreams.closeIdle(id);
-        listed.clear();
+        entriesById.clear();
     }
     for (const EndpointEntry &entry : update.entries) {
         if (entry.state == EndpointState::removed)
-            listed.erase(entry.id);
+            entriesById.erase(entry.id);
         else
-            listed[entry.id] = entry;
+            entriesById[entry.id] = entry;
         if (entry.state != EndpointState::active)
             upstreams.closeIdle(entry.id);
         if (entry.state == EndpointState::draining)
@@ -27,8 +27,8 @@
 }
 
 const EndpointEntry *EndpointSnapshot::find(const EndpointId &endpoint) const {
-    const auto found = listed.find(endpoint);
-    return found == listed.end() ? nullptr : &found->second;
+    const auto found = entriesById.find(endpoint);
+    return found == entriesById.end() ? nullptr : &found->second;
 }
 
 bool EndpointSnapshot::isActive(const EndpointId &endpoint, BuildNumber build) const {
@@ -38,8 +38,8 @@
 
 std::vector<EndpointEntry> EndpointSnapshot::entries() const {
     std::vector<EndpointEntry> all;
-    all.reserve(listed.size());
-    for (const auto &[id, entry] : listed)
+    all.reserve(entriesById.size());
+    for (const auto &[id, entry] : entriesById)
         all.push_back(entry);
     return all;
 }
@@ -50,12 +50,12 @@
     const RolloutStage stage{update.build, update.step, update.phase, update.exposureLimit,
                              update.age};
     Change change;
-    change.stageMoved = !lastStage || lastStage->build != stage.build ||
-                        lastStage->step != stage.step || lastStage->phase != stage.phase;
-    if (lastStage && lastStage->build == stage.build &&
-        stage.exposureLimit < lastStage->exposureLimit)
-        change.loweredBuild = stage.build;
-    lastStage = stage;
+    change.stageChanged = !currentStage || currentStage->build != stage.build ||
+                          currentStage->step != stage.step || currentStage->phase != stage.phase;
+    if (currentStage && currentStage->build == stage.build &&
+        stage.exposureLimit < currentStage->exposureLimit)
+        change.buildWithLoweredLimit = stage.build;
+    currentStage = stage;
     return change;
 }
 
--- a/src/gateway/endpoint_snapshot.hpp
+++ b/src/gateway/endpoint_snapshot.hpp
@@ -1,5 +1,5 @@
-// What the control plane or the other sources have said last: the endpoint list and the rollout's
-// stage. For the data path's own checks, for whoever asks, and for a policy that starts anew.
+// The last known endpoint list and rollout stage. Used for the data path's own checks, by the API,
+// and to initialize a restarted policy.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -14,36 +14,37 @@
 
 class EndpointSnapshot {
   public:
-    /// Takes an update in and closes idle connections to endpoints that get no new requests.
+    /// Applies an update and closes idle connections to endpoints that get no new requests.
     void apply(const EndpointListUpdate &update, UpstreamPool &upstreams);
 
-    /// Null where it is not listed.
+    /// Returns null if the endpoint is not listed.
     const EndpointEntry *find(const EndpointId &endpoint) const;
-    /// Whether it may be sent requests as one of this build.
+    /// Whether requests may be sent to the endpoint as one that runs this build.
     bool isActive(const EndpointId &endpoint, BuildNumber build) const;
-    /// Ordered by endpoint.
+    /// Sorted by endpoint id.
     std::vector<EndpointEntry> entries() const;
-    /// The one that was listed as draining last; empty: none was.
+    /// The endpoint most recently listed as draining; empty if there was none.
     const EndpointId &lastDraining() const { return lastDrainingEndpoint; }
 
   private:
-    std::map<EndpointId, EndpointEntry> listed;
+    std::map<EndpointId, EndpointEntry> entriesById;
     EndpointId lastDrainingEndpoint;
 };
 
 class RolloutState {
   public:
     struct Change {
-        bool stageMoved = false;                  ///< Another build, step or phase than before.
-        std::optional<BuildNumber> loweredBuild;  ///< Its exposure limit is lower than before.
+        bool stageChanged = false;  ///< The build, the step or the phase has changed.
+        /// The build whose exposure limit has been lowered.
+        std::optional<BuildNumber> buildWithLoweredLimit;
     };
-    /// Updates that are no more than a failed vote change nothing.
+    /// Applies an update. Updates that only report a failed vote change nothing.
     Change apply(const RolloutUpdate &update);
     /// Empty until the first update.
-    const std::optional<RolloutStage> &stage() const { return lastStage; }
+    const std::optional<RolloutStage> &stage() const { return currentStage; }
 
   private:
-    std::optional<RolloutStage> lastStage;
+    std::optional<RolloutStage> currentStage;
 };
 
 }  // namespace deckcart
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -16,27 +16,27 @@
 
 }  // namespace
 
-EndpointWatcher::EndpointWatcher(asio::io_context &context, const Clock &steady,
-                                 const GatewaySettings &settings, std::uint64_t seed, Log to,
+EndpointWatcher::EndpointWatcher(asio::io_context &context, const Clock &steadyClock,
+                                 const GatewaySettings &settings, std::uint64_t seed, Log target,
                                  TimeSource now, EventHandler eventHandler,
                                  const std::vector<membership::SavedSource> &saved,
-                                 const EndpointWatcher *before)
-    : clock(std::move(now)), handler(std::move(eventHandler)), log(std::move(to)),
+                                 const EndpointWatcher *previous)
+    : clock(std::move(now)), handler(std::move(eventHandler)), log(std::move(target)),
       rules(settings.sources->merge), merge(rules), timer(context) {
-    if (before) {
-        merge.adopt(before->merge);
-        reported = before->reported;
-        hasReported = before->hasReported;
+    if (previous) {
+        merge.adopt(previous->merge);
+        published = previous->published;
+        hasPublished = previous->hasPublished;
     } else {
         merge.recall(saved);
     }
     addSources(*settings.sources);
-    if (!names.empty())
-        watchNames(*settings.sources, context, steady, seed);
-    update(Report::changes);
+    if (!watchedNames.empty())
+        watchNames(*settings.sources, context, steadyClock, seed);
+    update(PublishMode::ifChanged);
 }
 
-void EndpointWatcher::addSources(const SourceSettings &given) {
+void EndpointWatcher::addSources(const SourceSettings &sourceSettings) {
     for (std::size_t index = 0; index < rules.sources.size(); ++index) {
         const auto &source = rules.sources[index];
         switch (source.kind) {
@@ -44,26 +44,28 @@
             controlPlane = index;
             break;
         case membership::SourceKind::nodes:
-            merge.took(index, {clock(), membership::kForever, "settings", given.nodes, true, {}});
+            merge.took(index,
+                       {clock(), membership::kForever, "settings", sourceSettings.nodes, true, {}});
             break;
         case membership::SourceKind::srv:
-            names[source.name] = {
-                index, *std::ranges::find(given.names, source.name, &membership::SrvName::name)};
+            watchedNames[source.name] = {
+                index,
+                *std::ranges::find(sourceSettings.names, source.name, &membership::SrvName::name)};
             break;
         }
     }
 }
 
-void EndpointWatcher::watchNames(const SourceSettings &given, asio::io_context &context,
-                                 const Clock &steady, std::uint64_t seed) {
-    for (const auto &server : given.resolver.servers)
+void EndpointWatcher::watchNames(const SourceSettings &sourceSettings, asio::io_context &context,
+                                 const Clock &steadyClock, std::uint64_t seed) {
+    for (const auto &server : sourceSettings.resolver.servers)
         servers.push_back(format(asio::ip::tcp::endpoint(server.address(), server.port())));
     resolver = std::make_unique<dns::Resolver>(
-        context, steady, given.resolver, seed,
+        context, steadyClock, sourceSettings.resolver, seed,
         [this](const std::string &name, const dns::Found &found, Duration lifetime,
                std::size_t server) { onLookup(name, found, lifetime, server); });
     const auto merged = view();
-    for (const auto &[name, watched] : names) {
+    for (const auto &[name, watched] : watchedNames) {
         const bool known = merged.sources[watched.source].state != membership::SourceState::never;
         resolver->follow(name, known);
     }
@@ -86,14 +88,14 @@
 void EndpointWatcher::onControlPlaneFailure() {
     if (!controlPlane)
         return;
-    merge.lost(*controlPlane, clock(), "the desk does not answer");
-    update(Report::changes);
+    merge.lost(*controlPlane, clock(), "the control plane does not respond");
+    update(PublishMode::ifChanged);
 }
 
 void EndpointWatcher::onLookup(const std::string &name, const dns::Found &found, Duration lifetime,
                                std::size_t server) {
     logLookup(name, found);
-    const auto &watched = names.at(name);
+    const auto &watched = watchedNames.at(name);
     if (found.kind == dns::LookupOutcome::failed)
         merge.markFailedOnce(watched.source, found.fault);
     else
@@ -103,57 +105,57 @@
 }
 
 void EndpointWatcher::logLookup(const std::string &name, const dns::Found &found) {
-    std::string fault = found.fault;
+    std::string error = found.fault;
     for (const auto &note : found.notes)
-        fault += (fault.empty() ? "" : "; ") + note;
-    std::string &logged = lookupFaults[name];
-    if (fault != logged)
+        error += (error.empty() ? "" : "; ") + note;
+    std::string &logged = lastLookupErrors[name];
+    if (error != logged)
         log.warn("srv", {{"name", name},
                          {"found", nameOf(found.kind)},
                          {"targets", found.targets.size()},
-                         {"says", fault}});
-    logged = fault;
+                         {"says", error}});
+    logged = error;
 }
 
 void EndpointWatcher::sourceRead() {
-    if (onRead)
-        onRead();
-    update(Report::changes);
+    if (onSourceRead)
+        onSourceRead();
+    update(PublishMode::ifChanged);
 }
 
-void EndpointWatcher::reportAgain() {
-    update(Report::always);
+void EndpointWatcher::republish() {
+    update(PublishMode::always);
 }
 
 membership::View EndpointWatcher::view() {
     return merge.at(clock());
 }
 
-void EndpointWatcher::update(Report report) {
+void EndpointWatcher::update(PublishMode mode) {
     const TimePoint now = clock();
     const auto merged = merge.at(now);
-    reportList(report, merged);
+    publishList(mode, merged);
     confirmLosses(merged, now);
     scheduleUpdate(merged, now);
 }
 
-void EndpointWatcher::reportList(Report report, const membership::View &merged) {
+void EndpointWatcher::publishList(PublishMode mode, const membership::View &merged) {
     EndpointListUpdate list{true, {}};
     for (const auto &member : merged.members)
         if (member.inSet)
             list.entries.push_back(member.entry);
-    const bool changed = !std::ranges::equal(list.entries, reported, sameEntry);
+    const bool changed = !std::ranges::equal(list.entries, published, sameEntry);
     if (changed) {
         const auto active =
             std::ranges::count(list.entries, EndpointState::active, &EndpointEntry::state);
         log.info("members",
                  {{"live", active}, {"draining", list.entries.size() - std::size_t(active)}});
     }
-    // An empty list before any source has been read says nothing.
-    const bool known = hasReported || !list.entries.empty();
-    if (known && (changed || report == Report::always)) {
-        reported = list.entries;
-        hasReported = true;
+    // An empty list is not passed on before any source has been read.
+    const bool known = hasPublished || !list.entries.empty();
+    if (known && (changed || mode == PublishMode::always)) {
+        published = list.entries;
+        hasPublished = true;
         handler(std::move(list));
     }
 }
@@ -164,7 +166,7 @@
         if (rule.kind == membership::SourceKind::srv && resolver)
             resolver->refreshWithin(rule.name, std::max(Duration{0}, due - now));
         if (rule.kind == membership::SourceKind::controlPlane && now >= due)
-            handler(EndpointListFailed{});  // the decision module lists anew
+            handler(EndpointListFailed{});  // makes the decision module request the list again
     }
 }
 
@@ -174,9 +176,9 @@
         return;
     }
     timer.expires_after(*merged.changesAt - now);
-    timer.async_wait(guard.wrap([this](asio::error_code fault) {
-        if (!fault)
-            update(Report::changes);
+    timer.async_wait(guard.wrap([this](asio::error_code error) {
+        if (!error)
+            update(PublishMode::ifChanged);
     }));
 }
 
--- a/src/gateway/endpoint_watcher.hpp
+++ b/src/gateway/endpoint_watcher.hpp
@@ -1,6 +1,6 @@
-// Watches the sources of the endpoint list, hands what they say to the merge and the merged list to
-// the decision module. Owned by the gateway where settings name sources. Chooses nothing: when to
-// query DNS is src/dns/query_schedule's business, what is believed src/membership/merge's.
+// Watches the sources of the endpoint list, merges their data and passes the merged list on to the
+// decision module. Owned by a gateway whose settings name sources. src/dns/query_schedule decides
+// when DNS is queried, src/membership/merge which data is believed.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,62 +20,63 @@
 
 namespace deckcart {
 
-/// On the gateway's thread.
+/// Used on the gateway's thread only.
 class EndpointWatcher {
   public:
     using EventHandler = std::function<void(Event)>;
     using TimeSource = std::function<TimePoint()>;
 
-    /// @param steady  the resolver's clock
-    /// @param now  the gateway's clock, which all times of the list are on
-    /// @param handler  takes each new list, and EndpointListFailed when the control plane is to be
-    ///                 listed anew
-    /// @param saved  what a process before this one knew; unused with `before`
-    /// @param before  the watcher of the settings before these, whose knowledge is taken over; may
-    ///                be null
-    EndpointWatcher(asio::io_context &context, const Clock &steady, const GatewaySettings &settings,
-                    std::uint64_t seed, Log log, TimeSource now, EventHandler handler,
-                    const std::vector<membership::SavedSource> &saved,
-                    const EndpointWatcher *before);
+    /// @param steadyClock  the resolver's clock
+    /// @param now  the gateway's clock, which all times of the list refer to
+    /// @param handler  receives each new list, and EndpointListFailed when the control plane's
+    ///                 list has to be requested again
+    /// @param saved  the state saved by an earlier process; ignored if `previous` is given
+    /// @param previous  the watcher for the previous settings, whose state is taken over; may be
+    ///                  null
+    EndpointWatcher(asio::io_context &context, const Clock &steadyClock,
+                    const GatewaySettings &settings, std::uint64_t seed, Log log, TimeSource now,
+                    EventHandler handler, const std::vector<membership::SavedSource> &saved,
+                    const EndpointWatcher *previous);
     EndpointWatcher(const EndpointWatcher &) = delete;
     EndpointWatcher &operator=(const EndpointWatcher &) = delete;
 
-    /// The control plane's list, which counts where it is a source.
+    /// Handles the control plane's list; ignored if the control plane is not one of the sources.
     void onControlPlaneUpdate(const EndpointListUpdate &list);
     void onControlPlaneFailure();
-    /// Hands over the list as it is now, if there is one: the decision module asks for it.
-    void reportAgain();
+    /// Passes the current list on again, if there is one, at the request of the decision module.
+    void republish();
 
     [[nodiscard]] membership::View view();
     [[nodiscard]] const std::vector<membership::SourceRule> &sources() const {
         return rules.sources;
     }
     [[nodiscard]] std::vector<membership::SavedSource> saved() const { return merge.saved(); }
-    /// DNS queries so far; zeros where no source is an SRV name.
+    /// DNS query counts; all zero if no source is an SRV name.
     [[nodiscard]] dns::ResolverCounts asked() const {
         return resolver ? resolver->counts() : dns::ResolverCounts{};
     }
     [[nodiscard]] TimePoint now() const { return clock(); }
 
-    std::function<void()> onRead;  ///< a source was read: there is something to save
+    /// Called after a source was read, when there is new state to save.
+    std::function<void()> onSourceRead;
 
   private:
-    /// An SRV name and the source that it is.
+    /// An SRV name and the index of its source.
     struct WatchedName {
         std::size_t source = 0;
         membership::SrvName srv;
     };
-    enum class Report { changes, always };
+    enum class PublishMode { ifChanged, always };
 
-    void addSources(const SourceSettings &given);
-    void watchNames(const SourceSettings &given, asio::io_context &context, const Clock &steady,
-                    std::uint64_t seed);
+    void addSources(const SourceSettings &sourceSettings);
+    void watchNames(const SourceSettings &sourceSettings, asio::io_context &context,
+                    const Clock &steadyClock, std::uint64_t seed);
     void onLookup(const std::string &name, const dns::Found &found, Duration lifetime,
                   std::size_t server);
     void logLookup(const std::string &name, const dns::Found &found);
     void sourceRead();
-    void update(Report report);
-    void reportList(Report report, const membership::View &view);
+    void update(PublishMode mode);
+    void publishList(PublishMode mode, const membership::View &view);
     void confirmLosses(const membership::View &view, TimePoint now);
     void scheduleUpdate(const membership::View &view, TimePoint now);
 
@@ -84,12 +85,12 @@
     Log log;
     membership::MergeRules rules;
     membership::Merge merge;
-    std::optional<std::size_t> controlPlane;  // its place among the sources
-    std::map<std::string, WatchedName> names;
-    std::vector<std::string> servers;     // HOST:PORT of the name servers, by number
-    std::vector<EndpointEntry> reported;  // as the decision module has it
-    bool hasReported = false;
-    std::map<std::string, std::string> lookupFaults;  // by name, as logged
+    std::optional<std::size_t> controlPlane;  // index into `rules.sources`
+    std::map<std::string, WatchedName> watchedNames;
+    std::vector<std::string> servers;      // HOST:PORT of each name server, by its index
+    std::vector<EndpointEntry> published;  // the list last passed on to the decision module
+    bool hasPublished = false;
+    std::map<std::string, std::string> lastLookupErrors;  // by name, as logged
     asio::steady_timer timer;
     std::unique_ptr<dns::Resolver> resolver;
     CallbackGuard guard;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -16,7 +16,7 @@
 template <class... Handlers>
 Overload(Handlers...) -> Overload<Handlers...>;
 
-bool controlPlaneMoved(const GatewaySettings &before, const GatewaySettings &after) {
+bool controlPlaneChanged(const GatewaySettings &before, const GatewaySettings &after) {
     if (before.controlPlane.has_value() != after.controlPlane.has_value())
         return true;
     return after.controlPlane && after.controlPlane->address != before.controlPlane->address;
@@ -40,7 +40,7 @@
             {"longestDecidingMs", milliseconds(counts.longestDeciding)}};
 }
 
-// ---- start and end ----
+// ---- lifecycle ----
 
 Gateway::Gateway(asio::io_context &ioContext, const Clock &steadyClock, GatewaySettings settings,
                  std::uint64_t seed, Log target, const asio::ip::tcp::endpoint &listen,
@@ -54,26 +54,27 @@
       realClock(steadyClock), clock(ioContext, steadyClock, activeSettings,
                                     [this](const LoopClock::Stall &stall) { onStall(stall); }),
       policy(seed, clock, gatewayCounts,
-             [this](GatewayId record, const Action &action) { onAction(record, action); }),
+             [this](GatewayId generation, const Action &action) { onAction(generation, action); }),
       requestLog(log, activeSettings, random),
       requests({context, activeSettings, clock, policy, requestLog, gatewayCounts}, seed,
                [this] { checkDrained(); }),
       upstreams(transport.upstreams(activeSettings)),
-      attempts(
+      dispatcher(
           {activeSettings, clock, policy, requests, *upstreams, endpoints, history, gatewayCounts},
           faults),
-      handler({activeSettings, clock, policy, requests, attempts, gatewayCounts}),
-      sweeper(ioContext), downstream(transport.downstream(
-                              activeSettings, {[this](std::shared_ptr<DownstreamRequest> request) {
-                                                   handler.onRequest(std::move(request));
-                                               },
-                                               [this] { ++gatewayCounts.unrouted; }})) {
+      requestHandler({activeSettings, clock, policy, requests, dispatcher, gatewayCounts}),
+      sweepTimer(ioContext),
+      downstream(
+          transport.downstream(activeSettings, {[this](std::shared_ptr<DownstreamRequest> request) {
+                                                    requestHandler.onRequest(std::move(request));
+                                                },
+                                                [this] { ++gatewayCounts.unrouted; }})) {
     controlPlane = transport.controlPlane(
         activeSettings,
-        {[this] { return clock.turn(); },
+        {[this] { return clock.tick(); },
          [this](Event event) {
              clock.countSocketEvent();
-             clock.afterStall([this, event = std::move(event)] { onControlPlaneEvent(event); });
+             clock.runAfterStall([this, event = std::move(event)] { onControlPlaneEvent(event); });
          }});
     policy.start(activeSettings.module);
     startWatcher({});
@@ -85,14 +86,14 @@
 }
 
 void Gateway::remember(const std::vector<ListedEndpoint> &saved) {
-    EndpointListUpdate known{true, {}};
+    EndpointListUpdate update{true, {}};
     for (const ListedEndpoint &endpoint : saved) {
         EndpointEntry entry = entryOf(endpoint, activeSettings);
         if (endpoint.age)
-            entry.startedAt = clock.turn() - *endpoint.age;
-        known.entries.push_back(std::move(entry));
+            entry.startedAt = clock.tick() - *endpoint.age;
+        update.entries.push_back(std::move(entry));
     }
-    onEvent(known);
+    onEvent(update);
 }
 
 void Gateway::remember(const std::vector<membership::SavedSource> &saved) {
@@ -100,15 +101,15 @@
 }
 
 void Gateway::startWatcher(const std::vector<membership::SavedSource> &saved) {
-    const auto before = std::move(watcher);
+    const auto previous = std::move(watcher);
     if (!activeSettings.sources)
         return;
     watcher = std::make_unique<EndpointWatcher>(
-        context, realClock, activeSettings, random(), log, [this] { return clock.turn(); },
+        context, realClock, activeSettings, random(), log, [this] { return clock.tick(); },
         guard.wrap(
-            [this](const Event &event) { clock.afterStall([this, event] { onEvent(event); }); }),
-        saved, saved.empty() ? before.get() : nullptr);
-    watcher->onRead = [this] { notifyListed(); };
+            [this](const Event &event) { clock.runAfterStall([this, event] { onEvent(event); }); }),
+        saved, saved.empty() ? previous.get() : nullptr);
+    watcher->onSourceRead = [this] { notifyEndpointsChanged(); };
 }
 
 bool Gateway::mayRestartPolicy() const {
@@ -117,56 +118,56 @@
                                     stage ? std::optional(stage->phase) : std::nullopt);
 }
 
-void Gateway::apply(GatewaySettings settings, bool newModule, bool sourcesMoved) {
-    const bool moved = controlPlaneMoved(activeSettings, settings);
-    // A request in flight keeps its route's number: routes only change with the policy, which then
-    // starts anew.
+void Gateway::apply(GatewaySettings settings, bool policyChanged, bool sourcesChanged) {
+    const bool controlPlaneMoved = controlPlaneChanged(activeSettings, settings);
+    // Requests in flight refer to their route by index: routes change only together with a restart
+    // of the policy.
     activeSettings = std::move(settings);
     downstream->limit();
-    if (newModule)
-        startPolicyAnew();
-    if (sourcesMoved)
+    if (policyChanged)
+        restartPolicy();
+    if (sourcesChanged)
         startWatcher({});
-    if (moved || (sourcesMoved && !watcher))
+    if (controlPlaneMoved || (sourcesChanged && !watcher))
         controlPlane->follow(true);
 }
 
-void Gateway::startPolicyAnew() {
-    const GatewayId before = policy.currentRecord();
+void Gateway::restartPolicy() {
+    const GatewayId previous = policy.currentGeneration();
     policy.start(activeSettings.module);
-    const GatewayId current = policy.currentRecord();
+    const GatewayId current = policy.currentGeneration();
     policy.notify(EndpointListUpdate{true, endpoints.entries()}, current);
     if (const auto &stage = rollout.stage())
         policy.notify(RolloutUpdate{false, Outcome::ok, stage->build, stage->step, stage->phase,
                                     stage->exposureLimit, stage->age},
                       current);
-    policy.stopIfIdle(before);
+    policy.stopIfIdle(previous);
 }
 
 void Gateway::drain(std::function<void()> done) {
     onDrained = std::move(done);
     downstream->drain([this] {
-        downstreamEnded = true;
+        downstreamDrained = true;
         checkDrained();
     });
 }
 
 void Gateway::checkDrained() {
-    if (onDrained && downstreamEnded && requests.allAnswered())
+    if (onDrained && downstreamDrained && requests.allAnswered())
         asio::post(context, std::exchange(onDrained, nullptr));
 }
 
 void Gateway::failRequestsInFlight() {
-    handler.failAll();
+    requestHandler.failAll();
 }
 
-// ---- events in ----
+// ---- incoming events ----
 
-// What is past its deadline is answered before anything else.
+// Requests that are past their deadline are answered before any other input is processed.
 void Gateway::onStall(const LoopClock::Stall &stall) {
     ++gatewayCounts.processStalls;
     log.warn("standstill", {{"ms", milliseconds(stall.length)}});
-    handler.failOverdue(stall.foundAt);
+    requestHandler.failOverdue(stall.detectedAt);
 }
 
 void Gateway::onControlPlaneEvent(const Event &event) {
@@ -182,12 +183,12 @@
     const auto *list = std::get_if<EndpointListUpdate>(&event);
     if (list) {
         endpoints.apply(*list, *upstreams);
-        notifyListed();
+        notifyEndpointsChanged();
     }
     RolloutState::Change change;
     if (const auto *update = std::get_if<RolloutUpdate>(&event))
         change = rollout.apply(*update);
-    if (change.stageMoved) {
+    if (change.stageChanged) {
         const RolloutStage &stage = *rollout.stage();
         log.info("stage", {{"build", stage.build},
                            {"step", stage.step},
@@ -196,15 +197,15 @@
     }
     policy.notifyAll(event);
     if (list)
-        attempts.endUnsent([this](const AttemptContext &attempt) {
+        dispatcher.endUnsent([this](const AttemptContext &attempt) {
             return endpoints.isActive(attempt.endpoint, attempt.build);
         });
-    if (const auto lowered = change.loweredBuild)
-        attempts.endUnsent(
+    if (const auto lowered = change.buildWithLoweredLimit)
+        dispatcher.endUnsent(
             [lowered](const AttemptContext &attempt) { return attempt.build != *lowered; });
 }
 
-void Gateway::notifyListed() const {
+void Gateway::notifyEndpointsChanged() const {
     if (onEndpointsChanged)
         onEndpointsChanged();
 }
@@ -212,31 +213,31 @@
 std::vector<ListedEndpoint> Gateway::listed() const {
     std::vector<ListedEndpoint> list;
     for (const EndpointEntry &entry : endpoints.entries())
-        list.push_back(listedOf(entry, activeSettings.zones, clock.lastTurn()));
+        list.push_back(listedOf(entry, activeSettings.zones, clock.lastTick()));
     return list;
 }
 
 bool Gateway::reportIncorrectResponse(const std::string &requestId) {
     const ResponseHistory::Report report = history.reportIncorrect(requestId);
     if (report.source)
-        clock.afterStall([this, source = *report.source] {
-            onEvent(IncorrectResponseReported{source.endpoint, clock.turn() - source.sentAt});
+        clock.runAfterStall([this, source = *report.source] {
+            onEvent(IncorrectResponseReported{source.endpoint, clock.tick() - source.sentAt});
         });
     return report.known;
 }
 
-// ---- actions out ----
+// ---- actions of the policy ----
 
-void Gateway::onAction(GatewayId record, const Action &action) {
+void Gateway::onAction(GatewayId generation, const Action &action) {
     std::visit(Overload{
-                   [&](const SendAttempt &decision) { attempts.send(record, decision); },
-                   [&](const CancelAttempt &decision) { attempts.cancel(decision); },
-                   [&](const ShedRequest &decision) { handler.shed(decision); },
-                   [&](const FailRequest &decision) { handler.fail(decision); },
-                   [&](const SetTimer &decision) { setTimer(record, decision); },
-                   [&](const ProbeEndpoint &decision) { probe(record, decision); },
-                   [&](const WatchEndpoints &decision) { watchEndpoints(record, decision); },
-                   [&](const Vote &decision) { vote(record, decision); },
+                   [&](const SendAttempt &decision) { dispatcher.send(generation, decision); },
+                   [&](const CancelAttempt &decision) { dispatcher.cancel(decision); },
+                   [&](const ShedRequest &decision) { requestHandler.shed(decision); },
+                   [&](const FailRequest &decision) { requestHandler.fail(decision); },
+                   [&](const SetTimer &decision) { setTimer(generation, decision); },
+                   [&](const ProbeEndpoint &decision) { probe(generation, decision); },
+                   [&](const WatchEndpoints &decision) { watchEndpoints(generation, decision); },
+                   [&](const Vote &decision) { vote(generation, decision); },
                    [&](const LogLine &line) {
                        log.info("module", {{"words", line.message}});
                    },
@@ -244,51 +245,51 @@
                action);
 }
 
-void Gateway::setTimer(GatewayId record, const SetTimer &action) {
+void Gateway::setTimer(GatewayId generation, const SetTimer &action) {
     const auto timer = std::make_shared<asio::steady_timer>(context, action.delay);
-    timer->async_wait(guard.wrap([this, record, timer](asio::error_code fault) {
-        if (!fault)
-            clock.afterStall([this, record] { policy.notify(TimerFired{}, record); });
+    timer->async_wait(guard.wrap([this, generation, timer](asio::error_code error) {
+        if (!error)
+            clock.runAfterStall([this, generation] { policy.notify(TimerFired{}, generation); });
     }));
 }
 
-void Gateway::probe(GatewayId record, const ProbeEndpoint &action) {
-    upstreams->probe(action.endpoint, guard.wrap([this, record, endpoint = action.endpoint](
+void Gateway::probe(GatewayId generation, const ProbeEndpoint &action) {
+    upstreams->probe(action.endpoint, guard.wrap([this, generation, endpoint = action.endpoint](
                                                      const std::vector<double> &load) {
         clock.countSocketEvent();
-        clock.afterStall([this, record, endpoint, load] {
-            policy.notify(ProbeEnded{endpoint, load}, record);
+        clock.runAfterStall([this, generation, endpoint, load] {
+            policy.notify(ProbeEnded{endpoint, load}, generation);
         });
     }));
 }
 
-void Gateway::watchEndpoints(GatewayId record, const WatchEndpoints &action) {
-    if (record != policy.currentRecord())
+void Gateway::watchEndpoints(GatewayId generation, const WatchEndpoints &action) {
+    if (generation != policy.currentGeneration())
         return;
     controlPlane->follow(action.active);
     if (watcher && action.active)
-        watcher->reportAgain();
+        watcher->republish();
 }
 
-void Gateway::vote(GatewayId record, const Vote &action) {
-    if (record != policy.currentRecord())
-        return;  // one vote a gateway
+void Gateway::vote(GatewayId generation, const Vote &action) {
+    if (generation != policy.currentGeneration())
+        return;  // a gateway has one vote, cast by the current generation
     log.info("vote",
              {{"build", action.build}, {"step", action.step}, {"verdict", nameOf(action.verdict)}});
     controlPlane->vote(action, activeSettings.module.voteTimeout);
 }
 
-// ---- upkeep ----
+// ---- maintenance ----
 
 void Gateway::sweep() {
-    const TimePoint now = clock.turn();
+    const TimePoint now = clock.tick();
     if (!clock.isStalled()) {
         upstreams->sweep(now);
-        attempts.endStalledStreams(now);
+        dispatcher.endStalledStreams(now);
     }
-    sweeper.expires_after(upstreams->sweepEvery());
-    sweeper.async_wait(guard.wrap([this](asio::error_code fault) {
-        if (!fault)
+    sweepTimer.expires_after(upstreams->sweepEvery());
+    sweepTimer.async_wait(guard.wrap([this](asio::error_code error) {
+        if (!error)
             sweep();
     }));
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,6 +1,6 @@
-// The data path: turns what crosses its sockets into the events of deckcart/policy.hpp and carries
-// out the actions. It picks no endpoint, limit or time-out of its own. One thread, one io_context,
-// one gateway.
+// The gateway's data path: translates network input into the events of deckcart/policy.hpp and
+// carries out the actions that the policy returns. It chooses no endpoint, limit or time-out by
+// itself. Each gateway runs on one thread with one io_context.
 #pragma once
 
 #include <asio.hpp>
@@ -32,80 +32,81 @@
 namespace deckcart {
 
 class Gateway;
-/// What every gateway reports of itself, whatever its transport: the counters as they stand in the
-/// HTTP API and in the logs.
+/// The counters that a gateway reports in the HTTP API and in its logs, for every transport.
 nlohmann::json countersJson(const Gateway &gateway);
 
-/// Wires the parts of the data path and owns them. All calls are made on the thread of the
-/// io_context, and callbacks come there.
+/// Creates, connects and owns the parts of the data path. All calls and callbacks happen on the
+/// thread of the io_context.
 class Gateway {
   public:
-    /// HTTP on both sides. Throws std::system_error where it can't listen. The context and the
+    /// Uses HTTP on both sides. Throws std::system_error if it can't listen. The context and the
     /// clock must outlive the gateway.
     Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings,
             std::uint64_t seed, Log log, const asio::ip::tcp::endpoint &listen,
             DataPathFaults faults = {});
-    /// The same over another transport, which is used during construction only.
+    /// Uses another transport. `transport` is needed during construction only.
     Gateway(asio::io_context &context, const Clock &clock, GatewaySettings settings,
             std::uint64_t seed, Log log, const Transport &transport, DataPathFaults faults = {});
-    /// Ends all calls and connections without an answer.
+    /// Closes all calls and connections without responding to the clients.
     ~Gateway();
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
-    /// Gives the policy the endpoint list of an earlier process as the last known one. To be called
-    /// before the first request.
+    /// Gives the policy the endpoint list saved by an earlier process, as the last known list.
+    /// Must be called before the first request.
     void remember(const std::vector<ListedEndpoint> &saved);
     void remember(const EndpointListUpdate &known) { onEvent(known); }
-    /// The same where the list has sources of its own: read with readSavedSources() on this
-    /// gateway's clock.
+    /// Restores the saved state of the endpoint sources, for gateways whose settings name sources.
+    /// Its times must be on this gateway's clock; see readSavedSources().
     void remember(const std::vector<membership::SavedSource> &saved);
-    /// Gives the policy the rollout's stage as last known.
+    /// Gives the policy the last known stage of the rollout.
     void tell(const RolloutUpdate &update) { onEvent(update); }
 
-    /// Takes new settings while requests go on. `newModule`: the policy starts anew and takes the
-    /// requests that arrive from now on; those in flight end under the old start. Only where
-    /// mayRestartPolicy(). `sourcesMoved`: the sources of the list have changed.
-    void apply(GatewaySettings settings, bool newModule, bool sourcesMoved = false);
-    /// Whether the policy may start anew now: only where one build is listed.
+    /// Replaces the settings while requests are in flight.
+    /// @param policyChanged  starts a new generation of the policy, which takes the requests that
+    ///                       arrive from now on; those in flight finish with the previous one.
+    ///                       Requires mayRestartPolicy().
+    /// @param sourcesChanged  the settings of the endpoint sources have changed
+    void apply(GatewaySettings settings, bool policyChanged, bool sourcesChanged = false);
+    /// Whether the policy may be restarted now: all listed endpoints must run the same build.
     bool mayRestartPolicy() const;
 
-    /// Accepts no new requests, finishes those in flight, then calls back.
+    /// Stops accepting requests, finishes those in flight, then calls `done`.
     void drain(std::function<void()> done);
-    /// Answers whatever is still in flight, as errored; rejects what comes from now on.
+    /// Fails all requests in flight and rejects all later ones.
     void failRequestsInFlight();
-    /// A client's report that a response it got here is incorrect. False where that response is not
-    /// known (any more).
+    /// Handles a client's report that a response of this gateway was incorrect. Returns false if
+    /// the response is unknown or has been dropped from the history.
     bool reportIncorrectResponse(const std::string &requestId);
 
     asio::ip::tcp::endpoint address() const { return downstream->address(); }
     const GatewayCounts &counts() const { return gatewayCounts; }
-    /// Requests in flight.
+    /// Number of requests in flight.
     std::size_t inHand() const { return requests.size(); }
-    /// Open connections of clients.
+    /// Number of open client connections.
     std::size_t connections() const { return downstream->connections(); }
     const GatewaySettings &settings() const { return activeSettings; }
-    /// The endpoint list as last known.
+    /// The last known endpoint list.
     std::vector<ListedEndpoint> listed() const;
-    /// Empty until the control plane has said one.
+    /// Empty until the control plane has reported a stage.
     std::optional<RolloutStage> stage() const { return rollout.stage(); }
-    /// Called when the list, or what a source says, has changed.
+    /// Called when the endpoint list, or the data of one of its sources, has changed.
     std::function<void()> onEndpointsChanged;
-    /// Null where the control plane's list is taken as it is.
+    /// Null if the settings name no sources, so that the control plane's list is used directly.
     EndpointWatcher *members() { return watcher.get(); }
 
   private:
     void onStall(const LoopClock::Stall &stall);
     void onControlPlaneEvent(const Event &event);
     void onEvent(const Event &event);
-    void onAction(GatewayId record, const Action &action);
-    void setTimer(GatewayId record, const SetTimer &action);
-    void probe(GatewayId record, const ProbeEndpoint &action);
-    void watchEndpoints(GatewayId record, const WatchEndpoints &action);
-    void vote(GatewayId record, const Vote &action);
-    void startPolicyAnew();
+    void onAction(GatewayId generation, const Action &action);
+    void setTimer(GatewayId generation, const SetTimer &action);
+    void probe(GatewayId generation, const ProbeEndpoint &action);
+    void watchEndpoints(GatewayId generation, const WatchEndpoints &action);
+    void vote(GatewayId generation, const Vote &action);
+    void restartPolicy();
     void startWatcher(const std::vector<membership::SavedSource> &saved);
-    void notifyListed() const;
+    void notifyEndpointsChanged() const;
     void checkDrained();
     void sweep();
 
@@ -125,13 +126,13 @@
     std::unique_ptr<UpstreamPool> upstreams;
     std::unique_ptr<ControlPlaneClient> controlPlane;
     std::unique_ptr<EndpointWatcher> watcher;
-    AttemptDispatcher attempts;
-    RequestHandler handler;
-    asio::steady_timer sweeper;
+    AttemptDispatcher dispatcher;
+    RequestHandler requestHandler;
+    asio::steady_timer sweepTimer;
     std::function<void()> onDrained;
-    bool downstreamEnded = false;  // no request can come any more
+    bool downstreamDrained = false;  // no further request can arrive
     CallbackGuard guard;
-    std::unique_ptr<Downstream> downstream;  // last: it calls into all of the above
+    std::unique_ptr<Downstream> downstream;  // last, since it calls into all members above
 };
 
 }  // namespace deckcart
--- a/src/gateway/http_downstream.cpp
+++ b/src/gateway/http_downstream.cpp
@@ -13,18 +13,18 @@
 namespace deckcart {
 namespace {
 
-constexpr double kMostRemainingMs = 1e9;  // beyond it the microseconds could overflow
-constexpr double kMicrosecondsAMillisecond = 1000;
+constexpr double kMaxRemainingMs = 1e9;  // prevents overflow when converted to microseconds
+constexpr double kMicrosecondsPerMillisecond = 1000;
 
-// For a request that the gateway is not given: it has no route.
-void refuse(http::Exchange &exchange, int status, const char *end, const char *text,
+// Answers a request that is not passed on to the gateway, since it has no route.
+void reject(http::Exchange &exchange, int status, const char *endReason, const char *text,
             std::vector<http::Header> headers) {
-    http::ResponseHead answer;
-    answer.status = status;
-    answer.headers = std::move(headers);
-    answer.headers.insert(answer.headers.end(),
-                          {{kEndHeader, end}, {"Content-Type", "text/plain"}});
-    exchange.answer(std::move(answer), text);
+    http::ResponseHead response;
+    response.status = status;
+    response.headers = std::move(headers);
+    response.headers.insert(response.headers.end(),
+                            {{kEndHeader, endReason}, {"Content-Type", "text/plain"}});
+    exchange.answer(std::move(response), text);
 }
 
 std::string headerText(const http::RequestHead &head, const std::string &name) {
@@ -42,27 +42,27 @@
           context, listen, gatewaySettings.listener,
           [this](std::shared_ptr<http::Exchange> exchange) { onExchange(std::move(exchange)); }) {}
 
-void HttpDownstream::drain(std::function<void()> ended) {
+void HttpDownstream::drain(std::function<void()> done) {
     listener.drain();
-    ended();
+    done();
 }
 
 void HttpDownstream::onExchange(std::shared_ptr<http::Exchange> exchange) {
     if (settings.routes.empty())
-        return refuse(*exchange, 503, "shed", "no settings yet\n", {{"Retry-After", "1"}});
+        return reject(*exchange, 503, "shed", "no settings yet\n", {{"Retry-After", "1"}});
     const auto route = matchRoute(settings.routes, exchange->head.method, exchange->head.target);
     if (!route) {
         handler.unrouted();
-        return refuse(*exchange, 404, "errored", "no route takes this\n", {});
+        return reject(*exchange, 404, "errored", "no route takes this\n", {});
     }
-    RequestAttributes attributes = attributesOf(exchange->head, *route);
+    RequestAttributes attributes = readAttributes(exchange->head, *route);
     auto request = std::make_shared<HttpRequest>(std::move(exchange), settings);
     request->attributes = std::move(attributes);
     handler.arrived(std::move(request));
 }
 
-RequestAttributes HttpDownstream::attributesOf(const http::RequestHead &head,
-                                               std::size_t route) const {
+RequestAttributes HttpDownstream::readAttributes(const http::RequestHead &head,
+                                                 std::size_t route) const {
     RequestAttributes attributes;
     attributes.route = route;
     attributes.key = headerText(head, settings.headers.key);
@@ -71,9 +71,9 @@
     attributes.wait = settings.routes[route].routeTimeout;
     const auto remaining = wholeNumber(headerText(head, settings.headers.remaining));
     if (remaining && *remaining >= 0) {
-        const double bounded = std::min(*remaining, kMostRemainingMs);
-        const Duration left{std::llround(bounded * kMicrosecondsAMillisecond)};
-        attributes.wait = std::min(attributes.wait, left);
+        const double bounded = std::min(*remaining, kMaxRemainingMs);
+        const Duration remainingTime{std::llround(bounded * kMicrosecondsPerMillisecond)};
+        attributes.wait = std::min(attributes.wait, remainingTime);
     }
     return attributes;
 }
--- a/src/gateway/http_downstream.hpp
+++ b/src/gateway/http_downstream.hpp
@@ -1,5 +1,5 @@
-// The HTTP side of a gateway that clients connect to: listens, matches routes, reads what the
-// gateway wants to know of a request from its header fields.
+// The HTTP listener that clients connect to: matches routes and reads the attributes of a request
+// from its header fields.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -14,19 +14,19 @@
 
 class HttpDownstream : public Downstream {
   public:
-    /// The context and the settings must outlive this object. Throws std::system_error where it
-    /// can't listen there.
+    /// The context and the settings must outlive this object. Throws std::system_error if it can't
+    /// listen.
     HttpDownstream(asio::io_context &context, const asio::ip::tcp::endpoint &listen,
                    const GatewaySettings &settings, DownstreamHandler handler);
 
     asio::ip::tcp::endpoint address() const override { return listener.address(); }
     void limit() override { listener.limit(settings.listener); }
-    void drain(std::function<void()> ended) override;
+    void drain(std::function<void()> done) override;
     std::size_t connections() const override { return listener.connections(); }
 
   private:
     void onExchange(std::shared_ptr<http::Exchange> exchange);
-    RequestAttributes attributesOf(const http::RequestHead &head, std::size_t route) const;
+    RequestAttributes readAttributes(const http::RequestHead &head, std::size_t route) const;
 
     const GatewaySettings &settings;
     DownstreamHandler handler;
--- a/src/gateway/http_request.cpp
+++ b/src/gateway/http_request.cpp
@@ -12,11 +12,11 @@
 constexpr int kShedStatus = 503;
 constexpr int kFailedStatus = 502;
 constexpr int kTimedOutStatus = 504;
-constexpr std::int64_t kMillisecondsASecond = 1000;
+constexpr std::int64_t kMillisecondsPerSecond = 1000;
 
 }  // namespace
 
-// A callback may replace itself while it runs: so a copy is called.
+// A callback may replace itself while it runs, so a copy of it is called.
 HttpRequest::HttpRequest(std::shared_ptr<http::Exchange> httpExchange,
                          const GatewaySettings &gatewaySettings)
     : exchange(std::move(httpExchange)), settings(gatewaySettings) {
@@ -38,40 +38,41 @@
 void HttpRequest::shed(const std::string &name, Duration retryAfter) {
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(retryAfter).count();
     const std::int64_t milliseconds = std::max<std::int64_t>(wait, 0);
-    const std::int64_t seconds =  // rounded up: no client comes back too early
-        (milliseconds + kMillisecondsASecond - 1) / kMillisecondsASecond;
-    refuse(
+    const std::int64_t seconds =  // rounded up, so that clients don't retry too early
+        (milliseconds + kMillisecondsPerSecond - 1) / kMillisecondsPerSecond;
+    sendError(
         kShedStatus, "shed", name,
         {{"Retry-After", std::to_string(seconds)}, {kRetryHeader, std::to_string(milliseconds)}});
 }
 
 void HttpRequest::errored(const std::string &name, bool late) {
-    refuse(late ? kTimedOutStatus : kFailedStatus, "errored", name, {});
+    sendError(late ? kTimedOutStatus : kFailedStatus, "errored", name, {});
 }
 
-void HttpRequest::refuse(int status, const char *end, const std::string &name,
-                         const std::vector<http::Header> &more) {
-    http::ResponseHead answer;
-    answer.status = status;
-    answer.headers = {
-        {kEndHeader, end}, {settings.headers.requestId, name}, {"Content-Type", "text/plain"}};
-    answer.headers.insert(answer.headers.end(), more.begin(), more.end());
-    exchange->answer(std::move(answer), std::string(end) + "\n");
+void HttpRequest::sendError(int status, const char *endReason, const std::string &name,
+                            const std::vector<http::Header> &extraHeaders) {
+    http::ResponseHead response;
+    response.status = status;
+    response.headers = {{kEndHeader, endReason},
+                        {settings.headers.requestId, name},
+                        {"Content-Type", "text/plain"}};
+    response.headers.insert(response.headers.end(), extraHeaders.begin(), extraHeaders.end());
+    exchange->answer(std::move(response), std::string(endReason) + "\n");
 }
 
-void HttpRequest::completed(UpstreamCall &from, std::string_view answer) {
-    const auto &call = static_cast<HttpCall &>(from);
+void HttpRequest::completed(UpstreamCall &upstreamCall, std::string_view responseBody) {
+    const auto &call = static_cast<HttpCall &>(upstreamCall);
     http::ResponseHead responseHead = call.forwardedHead();
-    if (head().method != "HEAD" || !call.length())
-        return exchange->answer(std::move(responseHead), answer);
-    // An answer to HEAD states the length of the body that it does not have.
-    responseHead.length = call.length();
+    if (head().method != "HEAD" || !call.contentLength())
+        return exchange->answer(std::move(responseHead), responseBody);
+    // The response to a HEAD request has a Content-Length but no body.
+    responseHead.length = call.contentLength();
     exchange->begin(std::move(responseHead));
     exchange->end();
 }
 
-void HttpRequest::begin(UpstreamCall &from) {
-    http::ResponseHead responseHead = static_cast<HttpCall &>(from).forwardedHead();
+void HttpRequest::begin(UpstreamCall &upstreamCall) {
+    http::ResponseHead responseHead = static_cast<HttpCall &>(upstreamCall).forwardedHead();
     responseHead.chunked = !responseHead.length;
     exchange->begin(std::move(responseHead));
 }
--- a/src/gateway/http_request.hpp
+++ b/src/gateway/http_request.hpp
@@ -1,4 +1,4 @@
-// A client's HTTP request as one of the gateway. Made by HttpDownstream.
+// A client's HTTP request as a DownstreamRequest. Created by HttpDownstream.
 #pragma once
 
 #include <memory>
@@ -14,8 +14,8 @@
 
 class HttpRequest : public DownstreamRequest {
   public:
-    /// The settings must outlive the request. The exchange's callbacks are this request's while it
-    /// exists.
+    /// The settings must outlive the request. Sets the callbacks of the exchange, and clears them
+    /// on destruction.
     HttpRequest(std::shared_ptr<http::Exchange> exchange, const GatewaySettings &settings);
     ~HttpRequest() override;
     HttpRequest(const HttpRequest &) = delete;
@@ -24,8 +24,8 @@
     bool open() const override { return exchange->open(); }
     void shed(const std::string &name, Duration retryAfter) override;
     void errored(const std::string &name, bool late) override;
-    void completed(UpstreamCall &from, std::string_view answer) override;
-    void begin(UpstreamCall &from) override;
+    void completed(UpstreamCall &upstreamCall, std::string_view responseBody) override;
+    void begin(UpstreamCall &upstreamCall) override;
     void write(std::string_view part) override { exchange->write(part); }
     void end() override { exchange->end(); }
     void abort() override { exchange->abort(); }
@@ -36,8 +36,8 @@
     const std::string &body() const { return exchange->body; }
 
   private:
-    void refuse(int status, const char *end, const std::string &name,
-                const std::vector<http::Header> &more);
+    void sendError(int status, const char *endReason, const std::string &name,
+                   const std::vector<http::Header> &extraHeaders);
 
     const std::shared_ptr<http::Exchange> exchange;
     const GatewaySettings &settings;
--- a/src/gateway/http_transport.hpp
+++ b/src/gateway/http_transport.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 on both sides of a gateway, and the control plane's documents: see transport.hpp.
+// HTTP/1.1 on both sides of a gateway, and the control plane client for HTTP: see transport.hpp.
 #pragma once
 
 #include <asio.hpp>
@@ -9,7 +9,7 @@
 
 class HttpTransport : public Transport {
   public:
-    /// The context must outlive all that is made here.
+    /// The context must outlive all parts created by this object.
     HttpTransport(asio::io_context &ioContext, const asio::ip::tcp::endpoint &listenAddress)
         : context(ioContext), listen(listenAddress) {}
     std::unique_ptr<Downstream> downstream(const GatewaySettings &settings,
--- a/src/gateway/http_upstream.cpp
+++ b/src/gateway/http_upstream.cpp
@@ -12,12 +12,12 @@
 
 constexpr int kFirstServerError = 500;
 constexpr int kUnavailable = 503;
-constexpr std::size_t kAddedHeaders = 3;  // the request id, the time that remains, Via
+constexpr std::size_t kAddedHeaders = 3;  // request id, remaining time, Via
 
 }  // namespace
 
-HttpCall::HttpCall(Pool &connectionPool, const GatewaySettings &gatewaySettings, EndpointId target,
-                   std::shared_ptr<http::ClientConnection> clientConnection)
+HttpCall::HttpCall(HttpConnectionPool &connectionPool, const GatewaySettings &gatewaySettings,
+                   EndpointId target, std::shared_ptr<http::ClientConnection> clientConnection)
     : pool(connectionPool), settings(gatewaySettings), endpoint(std::move(target)),
       connection(std::move(clientConnection)) {}
 
@@ -28,34 +28,35 @@
     build = buildOfEndpoint;
     const auto &httpRequest = static_cast<const HttpRequest &>(request);
     const http::RequestHead &received = httpRequest.head();
-    http::RequestHead sent;
-    sent.method = received.method;
-    sent.target = received.target;
-    sent.headers.reserve(received.headers.size() + kAddedHeaders);
+    http::RequestHead forwarded;
+    forwarded.method = received.method;
+    forwarded.target = received.target;
+    forwarded.headers.reserve(received.headers.size() + kAddedHeaders);
     for (const http::Header &header : received.headers) {
         const auto &[field, value] = header;
         if (http::travels(received, field) &&
             !http::equalFieldNames(field, settings.headers.remaining))
-            sent.headers.push_back(header);
+            forwarded.headers.push_back(header);
     }
     if (!received.find(settings.headers.requestId))
-        sent.headers.emplace_back(settings.headers.requestId, name);
-    // What is left of the client's wait, as it is now. None: the call ends while its connection is
-    // made, by its time.
-    const Duration left = preSendCheck().value_or(Duration{0});
-    const auto leftMs = std::chrono::duration_cast<std::chrono::milliseconds>(left).count();
-    sent.headers.emplace_back(settings.headers.remaining, std::to_string(leftMs));
-    sent.headers.emplace_back("Via", "1.1 deckcart");
+        forwarded.headers.emplace_back(settings.headers.requestId, name);
+    // The time that the client still waits, as of now. If none is left, 0 is sent, and the
+    // deadline timer ends the call while it is connecting.
+    const Duration remaining = preSendCheck().value_or(Duration{0});
+    const auto remainingMs =
+        std::chrono::duration_cast<std::chrono::milliseconds>(remaining).count();
+    forwarded.headers.emplace_back(settings.headers.remaining, std::to_string(remainingMs));
+    forwarded.headers.emplace_back("Via", "1.1 deckcart");
     if (!httpRequest.body().empty() || received.length || received.chunked)
-        sent.length = httpRequest.body().size();
+        forwarded.length = httpRequest.body().size();
     connection->call(*parseAddress(endpoint), settings.upstream.connectWithin,
-                     http::write(sent) + httpRequest.body(), received.method == "HEAD", this);
+                     http::write(forwarded) + httpRequest.body(), received.method == "HEAD", this);
 }
 
 void HttpCall::release(Duration now) {
     if (!connection->reusable())
         connection->drop();
-    pool.give(endpoint, connection, now);
+    pool.giveBack(endpoint, connection, now);
 }
 
 http::ResponseHead HttpCall::forwardedHead() const {
@@ -70,7 +71,7 @@
 }
 
 void HttpCall::onResponseBody(std::string_view part) {
-    // An error's body goes nowhere: the request may still be done elsewhere.
+    // The body of an error response is dropped, since the request may still be retried elsewhere.
     if (head.status < kFirstServerError)
         observer->onResponse(part);
 }
@@ -86,8 +87,8 @@
         const bool overloaded = head.status == kUnavailable && head.find(settings.headers.full);
         return overloaded ? Outcome::overloaded : Outcome::error;
     }
-    // An idle connection that closes as the request goes out has taken bytes of it: it may have
-    // run.
+    // A reused connection that the endpoint closes while the request is being written has taken
+    // some of its bytes, so the request may have run and the outcome is not connectFailed.
     if (callEnd == http::CallEnd::connectFailed || !connection->startedSending())
         return Outcome::connectFailed;
     return callEnd == http::CallEnd::garbage ? Outcome::malformed : Outcome::reset;
--- a/src/gateway/http_upstream.hpp
+++ b/src/gateway/http_upstream.hpp
@@ -1,5 +1,6 @@
-// The HTTP side of a gateway that calls endpoints: one call an attempt, over connections of a Pool.
-// Whether an attempt may have run is told by the bytes that were handed to its socket.
+// The HTTP client side of a gateway: one call per attempt, over connections of an
+// HttpConnectionPool. Whether an attempt may have run depends on whether bytes of it were handed
+// to the socket.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,11 +17,11 @@
 
 class HttpCall : public UpstreamCall, private http::CallHandler {
   public:
-    /// The pool, which the connection was taken from, and the settings must outlive the call.
-    HttpCall(Pool &pool, const GatewaySettings &settings, EndpointId endpoint,
+    /// The settings and the pool that the connection was taken from must outlive the call.
+    HttpCall(HttpConnectionPool &pool, const GatewaySettings &settings, EndpointId endpoint,
              std::shared_ptr<http::ClientConnection> connection);
 
-    /// The request must be an HttpRequest.
+    /// `request` must be an HttpRequest.
     void start(const DownstreamRequest &request, const std::string &name, PreSendCheck preSendCheck,
                BuildNumber build, CallObserver *observer) override;
     bool startedSending() const override { return connection->startedSending(); }
@@ -28,10 +29,10 @@
     void pause() override { connection->pause(); }
     void resume() override { connection->resume(); }
 
-    /// The head of the endpoint's response as the client gets it.
+    /// The head of the endpoint's response as it is forwarded to the client.
     http::ResponseHead forwardedHead() const;
-    /// Of the response's body, where the endpoint states it.
-    std::optional<std::uint64_t> length() const { return head.length; }
+    /// Content-Length of the endpoint's response; empty if it has none.
+    std::optional<std::uint64_t> contentLength() const { return head.length; }
 
   private:
     void onResponseHead(const http::ResponseHead &received) override { head = received; }
@@ -39,7 +40,7 @@
     void onCallEnd(http::CallEnd callEnd) override;
     Outcome outcomeOf(http::CallEnd callEnd) const;
 
-    Pool &pool;
+    HttpConnectionPool &pool;
     const GatewaySettings &settings;
     EndpointId endpoint;
     BuildNumber build = 0;
@@ -50,7 +51,8 @@
 
 class HttpUpstreamPool : public UpstreamPool {
   public:
-    /// The context and the settings must outlive this object, and this object its calls.
+    /// The context and the settings must outlive this object, and this object must outlive its
+    /// calls.
     HttpUpstreamPool(asio::io_context &context, const GatewaySettings &settings);
 
     std::shared_ptr<UpstreamCall> take(const EndpointId &endpoint) override;
@@ -61,7 +63,7 @@
   private:
     asio::io_context &context;
     const GatewaySettings &settings;
-    Pool pool;
+    HttpConnectionPool pool;
     http::Fetches probes;
 };
 
--- a/src/gateway/idle_connections.hpp
+++ b/src/gateway/idle_connections.hpp
@@ -1,5 +1,6 @@
-// Idle connections to endpoints, the latest used last: kept until they are taken, too old or closed
-// by the other side. Used by the connection pools of both transports.
+// Idle connections to endpoints, most recently used last. A connection is kept until it is taken,
+// has been idle for too long or is closed by the peer. Used by the connection pools of both
+// transports.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -11,13 +12,13 @@
 
 namespace deckcart {
 
-/// `Connection` has idleSince, onIdleClosed and drop(). Owns the connections that it keeps and
-/// drops them at its end. One thread.
+/// `Connection` must have idleSince, onIdleClosed and drop(). Owns the connections and drops them
+/// on destruction. Not thread-safe.
 template <class Connection>
 class IdleConnections {
   public:
     using ConnectionPtr = std::shared_ptr<Connection>;
-    /// What to do with a kept connection: take it, leave it where it is, or drop it.
+    /// What to do with an idle connection: take it, skip it, or drop it.
     enum class Use { takes, waits, none };
 
     IdleConnections() = default;
@@ -29,7 +30,7 @@
     IdleConnections(const IdleConnections &) = delete;
     IdleConnections &operator=(const IdleConnections &) = delete;
 
-    /// Keeps a connection that has become idle at `now`; forgets it when the peer closes it.
+    /// Keeps a connection that became idle at `now`; removes it when the peer closes it.
     void keep(const EndpointId &endpoint, const ConnectionPtr &connection, TimePoint now) {
         connection->idleSince = now;
         connection->onIdleClosed = guard.wrap([this, endpoint, weak = std::weak_ptr(connection)] {
@@ -41,8 +42,8 @@
         byEndpoint[endpoint].push_back(connection);
     }
 
-    /// The connection used last of those that `useOf` says may be taken, so that the others may end
-    /// by their idle time. Null: there is none.
+    /// Returns the most recently used connection that `useOf` allows to be taken, so that the
+    /// others can reach their idle time-out. Null if there is none.
     template <class UseOf>
     [[nodiscard]] ConnectionPtr take(const EndpointId &endpoint, UseOf useOf) {
         const auto found = byEndpoint.find(endpoint);
@@ -74,7 +75,7 @@
             drop(connection);
     }
 
-    /// Drops those that have been idle for `idleFor` or longer.
+    /// Drops connections that have been idle for `idleFor` or longer.
     void sweep(TimePoint now, Duration idleFor) {
         for (auto it = byEndpoint.begin(); it != byEndpoint.end();) {
             auto &connections = it->second;
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Drops the one that has been idle for longest, of all endpoints.
+    /// Drops the connection that has been idle for the longest time, across all endpoints.
     void dropOldest() {
         Connections *oldest = nullptr;
         for (auto &[endpoint, connections] : byEndpoint) {
--- a/src/gateway/load_report.cpp
+++ b/src/gateway/load_report.cpp
@@ -6,23 +6,23 @@
 namespace deckcart {
 namespace {
 
-constexpr std::size_t kMaxValues = 4;  // the fields that a report is defined to have
+constexpr std::size_t kMaxValues = 4;  // number of fields defined for a load report
 
 }  // namespace
 
 std::vector<double> parseLoadReport(std::string_view text) {
     std::vector<double> load;
-    const char *at = text.data();
-    const char *const end = at + text.size();
-    while (at != end && load.size() < kMaxValues) {
-        while (at != end && (*at == ' ' || *at == ','))
-            ++at;
+    const char *position = text.data();
+    const char *const end = position + text.size();
+    while (position != end && load.size() < kMaxValues) {
+        while (position != end && (*position == ' ' || *position == ','))
+            ++position;
         double value = 0;
-        const auto [next, fault] = std::from_chars(at, end, value);
-        if (fault != std::errc{})
+        const auto [next, error] = std::from_chars(position, end, value);
+        if (error != std::errc{})
             break;
         load.push_back(value);
-        at = next;
+        position = next;
     }
     return load;
 }
--- a/src/gateway/load_report.hpp
+++ b/src/gateway/load_report.hpp
@@ -1,4 +1,4 @@
-// The load that an endpoint reports in answer to a probe. Pure.
+// Parses the load that an endpoint reports in response to a probe.
 #pragma once
 
 #include <string_view>
@@ -6,8 +6,8 @@
 
 namespace deckcart {
 
-/// Reads numbers that are separated by commas or blanks, at most four, up to the first that is
-/// none. Empty where there is not one.
+/// Reads up to four numbers, separated by commas or blanks, and stops at the first text that is
+/// not a number. Empty if there is no number.
 [[nodiscard]] std::vector<double> parseLoadReport(std::string_view text);
 
 }  // namespace deckcart
--- a/src/gateway/loop_clock.cpp
+++ b/src/gateway/loop_clock.cpp
@@ -10,28 +10,28 @@
     : context(ioContext), clock(realClock), settings(gatewaySettings),
       onStall(std::move(stallHandler)), detector(realClock.now()) {}
 
-TimePoint LoopClock::turn() {
+TimePoint LoopClock::tick() {
     const TimePoint now = clock.now();
     if (const auto length = detector.observe(now, settings.standstill)) {
         onStall({now, *length});
-        awaitQuietLoop();
+        waitUntilQuiet();
     }
     return detector.policyTime();
 }
 
-void LoopClock::afterStall(std::function<void()> callback) {
-    turn();
+void LoopClock::runAfterStall(std::function<void()> callback) {
+    tick();
     detector.runAfterStall(std::move(callback));
 }
 
-// A posted callback runs once the loop has looked at all sockets that were ready.
-void LoopClock::awaitQuietLoop() {
-    detector.beginRound();
+// A posted callback runs after the event loop has polled all sockets that were ready.
+void LoopClock::waitUntilQuiet() {
+    detector.beginPass();
     asio::post(context, guard.wrap([this] {
-        if (detector.finishRound())
+        if (detector.finishPass())
             resume();
         else
-            awaitQuietLoop();
+            waitUntilQuiet();
     }));
 }
 
--- a/src/gateway/loop_clock.hpp
+++ b/src/gateway/loop_clock.hpp
@@ -1,5 +1,5 @@
-// The clock of a gateway's event loop: every callback from a socket or timer reads it first, which
-// is how a process stall is found. The rule of stalls is StallDetector's.
+// The clock of a gateway's event loop. Every callback of a socket or timer calls tick() first,
+// which detects process stalls. StallDetector implements the rules.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -12,37 +12,40 @@
 
 namespace deckcart {
 
-/// Owned by the gateway, used on the thread of its loop only.
+/// Owned by the gateway; used on its event loop thread only.
 class LoopClock {
   public:
     struct Stall {
-        TimePoint foundAt{};  ///< On the real clock.
+        TimePoint detectedAt{};  ///< On the real clock.
         Duration length{};
     };
-    /// Called within turn() when a stall is found, before anything that came meanwhile is handled.
+    /// Called from tick() when a stall is detected, before any input that arrived during the stall
+    /// is processed.
     using StallHandler = std::function<void(const Stall &)>;
 
-    /// All references must outlive this object. The settings' threshold is read on each turn.
+    /// All references must outlive this object. The stall threshold is read from the settings on
+    /// every tick.
     LoopClock(asio::io_context &context, const Clock &clock, const GatewaySettings &settings,
               StallHandler onStall);
 
-    /// Notes a turn of the loop. Returns the policy's time.
-    TimePoint turn();
+    /// Records the current real time as the latest tick. Returns the policy's time.
+    TimePoint tick();
     TimePoint policyTime() const { return detector.policyTime(); }
-    /// The real time of the last turn.
-    TimePoint lastTurn() const { return detector.lastTurn(); }
-    /// The real time at this moment; is no turn.
+    /// The real time of the latest tick.
+    TimePoint lastTick() const { return detector.lastTick(); }
+    /// The current real time, without recording a tick.
     TimePoint realTime() const { return clock.now(); }
     bool isStalled() const { return detector.isStalled(); }
 
-    /// To be called for whatever a socket has brought: a stall lasts until none comes any more.
+    /// To be called for every socket event: a stall counts as handled only when no more events
+    /// arrive.
     void countSocketEvent() { detector.countSocketEvent(); }
-    /// Notes a turn, then runs the callback: at once, or when the stall that this turn is in has
-    /// been handled. Deferred callbacks are dropped with this object.
-    void afterStall(std::function<void()> callback);
+    /// Records a tick, then runs the callback: immediately, or after the stall if the process is
+    /// handling one. Callbacks that are still deferred when this object is destroyed are dropped.
+    void runAfterStall(std::function<void()> callback);
 
   private:
-    void awaitQuietLoop();
+    void waitUntilQuiet();
     void resume();
 
     asio::io_context &context;
--- a/src/gateway/policy_driver.cpp
+++ b/src/gateway/policy_driver.cpp
@@ -7,7 +7,7 @@
 namespace deckcart {
 namespace {
 
-// The golden ratio in 64 bits: seeds of following records are far apart.
+// 2^64 divided by the golden ratio: spreads the seeds of consecutive generations.
 constexpr std::uint64_t kSeedStep = 0x9e3779b97f4a7c15U;
 
 }  // namespace
@@ -19,54 +19,54 @@
 
 void PolicyDriver::start(PolicySettings settings) {
     ++current;
-    requestsOf[current] = 0;
+    requestsInFlight[current] = 0;
     settings.seed = seed + static_cast<std::uint64_t>(current) * kSeedStep;
     notify(PolicyStarted{std::move(settings)}, current);
 }
 
-void PolicyDriver::notify(Event event, GatewayId record) {
-    queue.push_back({record, std::move(event)});
+void PolicyDriver::notify(Event event, GatewayId generation) {
+    queue.push_back({generation, std::move(event)});
     decide();
 }
 
 void PolicyDriver::notifyAll(const Event &event) {
-    for (const auto &[record, requests] : requestsOf)
-        queue.push_back({record, event});
+    for (const auto &[generation, requests] : requestsInFlight)
+        queue.push_back({generation, event});
     decide();
 }
 
-void PolicyDriver::removeRequest(GatewayId record) {
-    --requestsOf[record];
-    if (record != current)
-        stopIfIdle(record);
+void PolicyDriver::removeRequest(GatewayId generation) {
+    --requestsInFlight[generation];
+    if (generation != current)
+        stopIfIdle(generation);
 }
 
-void PolicyDriver::stopIfIdle(GatewayId record) {
-    if (requestsOf[record] != 0)
+void PolicyDriver::stopIfIdle(GatewayId generation) {
+    if (requestsInFlight[generation] != 0)
         return;
-    requestsOf.erase(record);
-    notify(PolicyStopped{}, record);
+    requestsInFlight.erase(generation);
+    notify(PolicyStopped{}, generation);
 }
 
 void PolicyDriver::decide() {
     if (deciding)
-        return;  // an action of the event in hand led here: the loop below goes on with the queue
+        return;  // called from an action of the current event: the loop below processes the queue
     deciding = true;
     while (!queue.empty()) {
-        const GatewayId record = queue.front().record;
-        eventInHand.clear();
-        eventInHand.push_back(std::move(queue.front().event));
+        const GatewayId generation = queue.front().generation;
+        currentEvent.clear();
+        currentEvent.push_back(std::move(queue.front().event));
         queue.pop_front();
-        const TimePoint now = clock.turn();
-        const auto from = std::chrono::steady_clock::now();
-        const auto actions = policy.decide(record, now, eventInHand);
-        const auto took =
-            std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - from);
-        counts.deciding += took;
-        counts.longestDeciding = std::max(counts.longestDeciding, took);
+        const TimePoint now = clock.tick();
+        const auto startedAt = std::chrono::steady_clock::now();
+        const auto actions = policy.decide(generation, now, currentEvent);
+        const auto elapsed =
+            std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - startedAt);
+        counts.deciding += elapsed;
+        counts.longestDeciding = std::max(counts.longestDeciding, elapsed);
         ++counts.decisions;
         for (const auto &action : actions)
-            onAction(record, action);
+            onAction(generation, action);
     }
     deciding = false;
 }
--- a/src/gateway/policy_driver.hpp
+++ b/src/gateway/policy_driver.hpp
@@ -1,5 +1,5 @@
-// Runs the decision module: queues events, has each decided on in its turn and hands the actions
-// out. Knows nothing of sockets.
+// Runs the decision module: queues events, lets the policy process them one by one and hands out
+// the resulting actions. Does no network I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,37 +14,38 @@
 
 namespace deckcart {
 
-/// Owns the policy and its records. A record is one start of the policy with one set of settings;
-/// it takes the requests that arrive while it is the current one and is stopped when the last of
-/// them has ended after that.
+/// Owns the policy and its generations. A generation is one start of the policy with one set of
+/// settings. It handles the requests that arrive while it is the current one; once replaced, it is
+/// stopped when the last of them has ended.
 class PolicyDriver {
   public:
-    using ActionHandler = std::function<void(GatewayId record, const Action &action)>;
+    using ActionHandler = std::function<void(GatewayId generation, const Action &action)>;
 
-    /// `clock` and `counts` must outlive this object. `onAction` may notify further events: they
-    /// are decided on after the actions at hand.
+    /// `clock` and `counts` must outlive this object. `onAction` may call notify(): such events
+    /// are processed after the remaining actions of the current event.
     PolicyDriver(std::uint64_t seed, LoopClock &clock, GatewayCounts &counts,
                  ActionHandler onAction);
 
-    /// Starts a new record, which becomes the current one. The seed is drawn here.
+    /// Starts a new generation and makes it the current one. Sets the generation's seed.
     void start(PolicySettings settings);
-    /// The record that new requests go to.
-    GatewayId currentRecord() const { return current; }
+    /// The generation that new requests are assigned to.
+    GatewayId currentGeneration() const { return current; }
 
-    void notify(Event event, GatewayId record);
-    /// To every record.
+    void notify(Event event, GatewayId generation);
+    /// Notifies every generation.
     void notifyAll(const Event &event);
 
-    /// A request of the current record is in flight from now on.
-    void addRequest() { ++requestsOf[current]; }
-    /// A request of this record has ended; the last one of a record that is not current stops it.
-    void removeRequest(GatewayId record);
-    /// Stops a record that has no requests in flight.
-    void stopIfIdle(GatewayId record);
+    /// Counts a request in flight for the current generation.
+    void addRequest() { ++requestsInFlight[current]; }
+    /// Records that a request of this generation has ended. A replaced generation is stopped when
+    /// its last request ends.
+    void removeRequest(GatewayId generation);
+    /// Stops the generation if it has no requests in flight.
+    void stopIfIdle(GatewayId generation);
 
   private:
     struct QueuedEvent {
-        GatewayId record = 0;
+        GatewayId generation = 0;
         Event event;
     };
     void decide();
@@ -55,9 +56,9 @@
     ActionHandler onAction;
     Policy policy;
     GatewayId current = 0;
-    std::map<GatewayId, std::size_t> requestsOf;  // in flight, by record
+    std::map<GatewayId, std::size_t> requestsInFlight;  // in flight, by generation
     std::deque<QueuedEvent> queue;
-    std::vector<Event> eventInHand;  // kept between events for its memory
+    std::vector<Event> currentEvent;  // holds one event; a member so that its memory is reused
     bool deciding = false;
 };
 
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -2,10 +2,11 @@
 
 namespace deckcart {
 
-Pool::Pool(asio::io_context &ioContext, const GatewaySettings &gatewaySettings)
+HttpConnectionPool::HttpConnectionPool(asio::io_context &ioContext,
+                                       const GatewaySettings &gatewaySettings)
     : context(ioContext), settings(gatewaySettings) {}
 
-std::shared_ptr<http::ClientConnection> Pool::take(const EndpointId &endpoint) {
+std::shared_ptr<http::ClientConnection> HttpConnectionPool::take(const EndpointId &endpoint) {
     using Use = IdleConnections<http::ClientConnection>::Use;
     auto connection = idle.take(endpoint, [](const http::ClientConnection &kept) {
         return kept.reusable() ? Use::takes : Use::none;
@@ -20,8 +21,9 @@
     return connection;
 }
 
-void Pool::give(const EndpointId &endpoint,
-                const std::shared_ptr<http::ClientConnection> &connection, TimePoint now) {
+void HttpConnectionPool::giveBack(const EndpointId &endpoint,
+                                  const std::shared_ptr<http::ClientConnection> &connection,
+                                  TimePoint now) {
     if (const auto found = inUse.find(endpoint); --found->second == 0)
         inUse.erase(found);
     if (!connection->reusable())
--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -1,5 +1,5 @@
-// HTTP connections to endpoints: bounded for each, kept while idle for a stated time, closed when
-// told so. Which endpoint to send to is not decided here.
+// Connection pool for HTTP endpoints: limits the connections in use per endpoint and keeps idle
+// connections for a configured time. The caller chooses the endpoint.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -12,26 +12,27 @@
 
 namespace deckcart {
 
-class Pool {
+class HttpConnectionPool {
   public:
-    /// Both must outlive the pool. The settings' bounds are read at each use.
-    Pool(asio::io_context &context, const GatewaySettings &settings);
+    /// Both must outlive the pool. The limits are read from the settings at each use.
+    HttpConnectionPool(asio::io_context &context, const GatewaySettings &settings);
 
-    /// An idle connection, else a new one that is not connected yet. Null when the bound on
+    /// Returns an idle connection, or a new one that is not connected yet. Null if the limit on
     /// connections in use is reached.
     [[nodiscard]] std::shared_ptr<http::ClientConnection> take(const EndpointId &endpoint);
-    /// Every connection taken is given back once, whatever became of it.
-    void give(const EndpointId &endpoint, const std::shared_ptr<http::ClientConnection> &connection,
-              TimePoint now);
+    /// Returns a connection to the pool. To be called exactly once for each connection taken,
+    /// whether its call has succeeded or failed.
+    void giveBack(const EndpointId &endpoint,
+                  const std::shared_ptr<http::ClientConnection> &connection, TimePoint now);
     void closeIdle(const EndpointId &endpoint) { idle.close(endpoint); }
-    /// Ends the connections that have been idle for too long.
+    /// Closes connections that have been idle for too long.
     void sweep(TimePoint now) { idle.sweep(now, settings.upstream.idleFor); }
 
   private:
     asio::io_context &context;
     const GatewaySettings &settings;
     IdleConnections<http::ClientConnection> idle;
-    std::map<EndpointId, std::size_t> inUse;  // connections taken, by endpoint
+    std::map<EndpointId, std::size_t> inUse;  // connections in use, by endpoint
 };
 
 }  // namespace deckcart
--- a/src/gateway/request_handler.cpp
+++ b/src/gateway/request_handler.cpp
@@ -9,119 +9,122 @@
 // ---- arrival ----
 
 void RequestHandler::onRequest(std::shared_ptr<DownstreamRequest> downstream) {
-    use.clock.turn();
-    use.clock.countSocketEvent();
-    if (rejectsAll || use.requests.isFull()) {
-        ++use.counts.rejected;
-        return downstream->shed(downstream->attributes.name, use.settings.rejectedRetryAfter);
+    deps.clock.tick();
+    deps.clock.countSocketEvent();
+    if (rejectAll || deps.requests.isFull()) {
+        ++deps.counts.rejected;
+        return downstream->shed(downstream->attributes.name, deps.settings.rejectedRetryAfter);
     }
-    // What is read after a stall came at some time during it: the earliest is taken, as its client
-    // may have been waiting since.
-    const TimePoint arrivedAt = use.clock.policyTime();
-    use.requests.reserve();
-    use.clock.afterStall(
+    // A request that is read after a stall arrived at an unknown time during it. The earliest
+    // possible time is assumed, since its client may have been waiting since then.
+    const TimePoint arrivedAt = deps.clock.policyTime();
+    deps.requests.reserve();
+    deps.clock.runAfterStall(
         [this, downstream = std::move(downstream), arrivedAt] { accept(downstream, arrivedAt); });
 }
 
 void RequestHandler::accept(std::shared_ptr<DownstreamRequest> downstream, TimePoint arrivedAt) {
-    RequestContext &request = use.requests.add(std::move(downstream), arrivedAt);
-    if (!request.downstream->open()) {  // its client left during a stall
-        use.requests.markAbandoned(request);
-        return use.requests.removeIfOver(request);
+    RequestContext &request = deps.requests.add(std::move(downstream), arrivedAt);
+    if (!request.downstream->open()) {  // the client disconnected during a stall
+        deps.requests.markAbandoned(request);
+        return deps.requests.removeIfFinished(request);
     }
-    if (use.clock.lastTurn() >= request.policyDeadline) {
-        // Nothing was sent for it: saying so lets the client come back.
-        use.requests.shed(request, use.settings.module.maxRetryAfter);
-        return use.requests.removeIfOver(request);
+    if (deps.clock.lastTick() >= request.policyDeadline) {
+        // No attempt was sent, so the request is shed rather than failed: the client may safely
+        // retry.
+        deps.requests.shed(request, deps.settings.module.maxRetryAfter);
+        return deps.requests.removeIfFinished(request);
     }
     request.downstream->onGone = [this, id = request.id] {
-        use.clock.turn();
-        use.clock.countSocketEvent();
-        use.clock.afterStall([this, id] { onClientGone(id); });
+        deps.clock.tick();
+        deps.clock.countSocketEvent();
+        deps.clock.runAfterStall([this, id] { onClientDisconnected(id); });
     };
-    wakeAfter(request, request.policyDeadline - use.clock.lastTurn());
+    scheduleDeadlineCheck(request, request.policyDeadline - deps.clock.lastTick());
     const RequestAttributes &attributes = request.downstream->attributes;
-    use.policy.notify(RequestArrived{request.id, attributes.key, static_cast<int>(attributes.route),
-                                     attributes.tenant, request.policyDeadline},
-                      request.record);
+    deps.policy.notify(RequestArrived{request.id, attributes.key,
+                                      static_cast<int>(attributes.route), attributes.tenant,
+                                      request.policyDeadline},
+                       request.generation);
 }
 
-// ---- the client leaves ----
+// ---- client disconnects ----
 
-void RequestHandler::onClientGone(RequestId id) {
-    RequestContext *request = use.requests.find(id);
+void RequestHandler::onClientDisconnected(RequestId id) {
+    RequestContext *request = deps.requests.find(id);
     if (!request)
         return;
     if (!request->answered) {
-        use.requests.markAbandoned(*request);
-        use.requests.logEnd(*request, "gone");
+        deps.requests.markAbandoned(*request);
+        deps.requests.logEnd(*request, "gone");
     }
-    use.policy.notify(RequestAbandoned{id}, request->record);
-    request = use.requests.find(id);
+    deps.policy.notify(RequestAbandoned{id}, request->generation);
+    request = deps.requests.find(id);
     if (!request)
         return;
-    // A stream has no reader any more; other attempts end by the policy's decision, or by their
-    // time.
+    // A streamed response has no reader any more and ends here. Other attempts end by the policy's
+    // decision or at their deadline.
     if (request->isStreaming() && !request->attempt(*request->streamingAttempt).ended)
-        return use.attempts.end(id, *request->streamingAttempt, Outcome::cancelled);
+        return deps.dispatcher.end(id, *request->streamingAttempt, Outcome::cancelled);
     endUnsentAttempts(id);
-    request = use.requests.find(id);
+    request = deps.requests.find(id);
     if (request && !request->hasOutstandingAttempts())
-        use.requests.removeIfOver(*request);
+        deps.requests.removeIfFinished(*request);
 }
 
-// What no endpoint can have got whole is not sent for a client that has left, whatever the settings
-// say of attempts that have been handed over.
+// Attempts that no endpoint can have received completely are not sent for a client that has
+// disconnected. Whether attempts that were already sent are cancelled depends on the settings.
 void RequestHandler::endUnsentAttempts(RequestId id) {
-    RequestContext *request = use.requests.find(id);
+    RequestContext *request = deps.requests.find(id);
     for (int number = 0; request && static_cast<std::size_t>(number) < request->attempts.size();
          ++number) {
         const AttemptContext &attempt = request->attempt(number);
         if (attempt.ended || attempt.call->startedSending())
             continue;
-        use.attempts.end(id, number, Outcome::obsolete);
-        request = use.requests.find(id);
+        deps.dispatcher.end(id, number, Outcome::obsolete);
+        request = deps.requests.find(id);
     }
 }
 
 // ---- deadlines ----
 
-void RequestHandler::wakeAfter(RequestContext &request, Duration delay) {
+void RequestHandler::scheduleDeadlineCheck(RequestContext &request, Duration delay) {
     request.deadlineTimer.expires_after(std::max(Duration{0}, delay));
-    request.deadlineTimer.async_wait(guard.wrap([this, id = request.id](asio::error_code fault) {
-        if (!fault)
-            use.clock.afterStall([this, id] { onDeadline(id); });
+    request.deadlineTimer.async_wait(guard.wrap([this, id = request.id](asio::error_code error) {
+        if (!error)
+            deps.clock.runAfterStall([this, id] { onDeadline(id); });
     }));
 }
 
 void RequestHandler::onDeadline(RequestId id) {
-    RequestContext *request = use.requests.find(id);
+    RequestContext *request = deps.requests.find(id);
     if (!request)
         return;
-    const TimePoint now = use.clock.lastTurn();
+    const TimePoint now = deps.clock.lastTick();
     if (now >= request->policyDeadline && !endOverdueAttempts(id))
         return;
     if (request->answered || request->isStreaming())
         return;
     if (now < request->policyDeadline)
-        return wakeAfter(*request, request->policyDeadline - use.clock.lastTurn());
-    // The policy's own turn to answer comes first.
-    const TimePoint guardTime = request->policyDeadline + use.settings.answerMargin / 2;
-    if (now < guardTime)
-        return wakeAfter(*request, guardTime - now);
-    // Guards the client against a policy that holds a request too long: it never should.
-    ++use.counts.overdue;
-    use.requests.fail(*request, true);
-    onClientGone(id);
+        return scheduleDeadlineCheck(*request, request->policyDeadline - deps.clock.lastTick());
+    // The policy is given the first half of the answer margin to answer by itself.
+    const TimePoint fallbackTime = request->policyDeadline + deps.settings.answerMargin / 2;
+    if (now < fallbackTime)
+        return scheduleDeadlineCheck(*request, fallbackTime - now);
+    // Protects the client from a policy that fails to answer in time, which should never happen.
+    ++deps.counts.overdue;
+    deps.requests.fail(*request, true);
+    onClientDisconnected(id);
 }
 
-// Ends the attempts that have had no response in time. False where the request is gone with them.
+// Ends the attempts that have had no response by the deadline. Returns false if the request was
+// removed with them.
 bool RequestHandler::endOverdueAttempts(RequestId id) {
-    RequestContext *request = use.requests.find(id);
-    // What has come in time is no time-out.
+    RequestContext *request = deps.requests.find(id);
+    // A response that has arrived but has not been read yet is not a time-out.
     for (int number = 0; static_cast<std::size_t>(number) < request->attempts.size(); ++number) {
-        use.attempts.isOutstandingAfterRead(id, number);
-        request = use.requests.find(id);
+        deps.dispatcher.isOutstandingAfterRead(id, number);
+        request = deps.requests.find(id);
         if (!request)
             return false;
     }
@@ -129,8 +132,8 @@
         const AttemptContext &attempt = request->attempt(number);
         if (attempt.ended || attempt.streaming)
             continue;
-        use.attempts.end(id, number, Outcome::timeout);
-        request = use.requests.find(id);
+        deps.dispatcher.end(id, number, Outcome::timeout);
+        request = deps.requests.find(id);
         if (!request)
             return false;
     }
@@ -140,46 +143,46 @@
 // ---- final answers ----
 
 void RequestHandler::failAll() {
-    rejectsAll = true;
-    failWhere([](const RequestContext &) { return true; });
+    rejectAll = true;
+    failMatching([](const RequestContext &) { return true; });
 }
 
 void RequestHandler::failOverdue(TimePoint now) {
-    failWhere([now](const RequestContext &request) {
+    failMatching([now](const RequestContext &request) {
         return !request.isStreaming() && now >= request.policyDeadline;
     });
 }
 
-// Answers in place of the policy, which is notified of them as abandoned.
-void RequestHandler::failWhere(const std::function<bool(const RequestContext &)> &isOverdue) {
-    std::vector<RequestId> overdue;
-    for (const auto &[id, request] : use.requests.all())
-        if (!request->answered && isOverdue(*request))
-            overdue.push_back(id);
-    for (const RequestId id : overdue) {
-        ++use.counts.overdue;
-        use.requests.fail(*use.requests.find(id), true);
-        use.clock.afterStall([this, id] { onClientGone(id); });
+// Answers without the policy, which is then notified that the requests were abandoned.
+void RequestHandler::failMatching(const std::function<bool(const RequestContext &)> &shouldFail) {
+    std::vector<RequestId> ids;
+    for (const auto &[id, request] : deps.requests.all())
+        if (!request->answered && shouldFail(*request))
+            ids.push_back(id);
+    for (const RequestId id : ids) {
+        ++deps.counts.overdue;
+        deps.requests.fail(*deps.requests.find(id), true);
+        deps.clock.runAfterStall([this, id] { onClientDisconnected(id); });
     }
 }
 
 void RequestHandler::shed(const ShedRequest &decision) {
-    RequestContext *request = use.requests.find(decision.requestId);
+    RequestContext *request = deps.requests.find(decision.requestId);
     if (!request)
         return;
-    use.requests.shed(*request, decision.retryAfter);
-    use.requests.removeIfOver(*request);
+    deps.requests.shed(*request, decision.retryAfter);
+    deps.requests.removeIfFinished(*request);
 }
 
 void RequestHandler::fail(const FailRequest &decision) {
-    RequestContext *request = use.requests.find(decision.requestId);
+    RequestContext *request = deps.requests.find(decision.requestId);
     if (!request)
         return;
     const auto &attempts = request->attempts;
     const bool late = !attempts.empty() && (attempts.back().outcome == Outcome::timeout ||
                                             attempts.back().outcome == Outcome::cancelled);
-    use.requests.fail(*request, late);
-    use.requests.removeIfOver(*request);
+    deps.requests.fail(*request, late);
+    deps.requests.removeIfFinished(*request);
 }
 
 }  // namespace deckcart
--- a/src/gateway/request_handler.hpp
+++ b/src/gateway/request_handler.hpp
@@ -1,5 +1,5 @@
-// The client's side of requests: accepts them, watches their deadlines, notices that a client has
-// left, and carries out the policy's final answers.
+// The client side of requests: accepts them, enforces their deadlines, handles clients that
+// disconnect, and carries out the policy's final answers.
 #pragma once
 
 #include <functional>
@@ -13,22 +13,22 @@
 
 class RequestHandler {
   public:
-    /// What the handler uses; all of it must outlive the handler.
-    struct Services {
+    /// The collaborators of the handler; all must outlive it.
+    struct Dependencies {
         const GatewaySettings &settings;
         LoopClock &clock;
         PolicyDriver &policy;
         RequestTable &requests;
-        AttemptDispatcher &attempts;
+        AttemptDispatcher &dispatcher;
         GatewayCounts &counts;
     };
-    explicit RequestHandler(const Services &services) : use(services) {}
+    explicit RequestHandler(const Dependencies &dependencies) : deps(dependencies) {}
 
-    /// A request that has been read whole.
+    /// Handles a request that has been read completely.
     void onRequest(std::shared_ptr<DownstreamRequest> downstream);
-    /// Fails all requests that are not answered yet and rejects what comes from now on.
+    /// Fails all requests that have not been answered and rejects all later ones.
     void failAll();
-    /// Fails those whose deadline has passed: the first thing done about a process stall.
+    /// Fails requests whose deadline has passed. Called first when a process stall is detected.
     void failOverdue(TimePoint now);
 
     void shed(const ShedRequest &decision);
@@ -36,15 +36,15 @@
 
   private:
     void accept(std::shared_ptr<DownstreamRequest> downstream, TimePoint arrivedAt);
-    void onClientGone(RequestId id);
+    void onClientDisconnected(RequestId id);
     void endUnsentAttempts(RequestId id);
-    void wakeAfter(RequestContext &request, Duration delay);
+    void scheduleDeadlineCheck(RequestContext &request, Duration delay);
     void onDeadline(RequestId id);
     bool endOverdueAttempts(RequestId id);
-    void failWhere(const std::function<bool(const RequestContext &)> &isOverdue);
+    void failMatching(const std::function<bool(const RequestContext &)> &shouldFail);
 
-    Services use;
-    bool rejectsAll = false;
+    Dependencies deps;
+    bool rejectAll = false;
     CallbackGuard guard;
 };
 
--- a/src/gateway/request_log.hpp
+++ b/src/gateway/request_log.hpp
@@ -1,4 +1,4 @@
-// The log line of a request that has ended: a sample of them, as the settings say.
+// Logs a configured sample of the requests that have ended, one line each.
 #pragma once
 
 #include <random>
@@ -11,11 +11,11 @@
 
 class RequestLog {
   public:
-    /// The references must outlive this object. Draws from `random` for each request that could be
-    /// logged.
+    /// The references must outlive this object. Draws one number from `random` for each request
+    /// that may be logged.
     RequestLog(Log log, const GatewaySettings &settings, std::mt19937_64 &random);
 
-    /// `end`: completed, shed, errored or gone. `now`: on the real clock.
+    /// `end` is completed, shed, errored or gone. `now` is on the real clock.
     void write(const RequestContext &request, const char *end, TimePoint now);
 
   private:
--- a/src/gateway/request_table.cpp
+++ b/src/gateway/request_table.cpp
@@ -5,7 +5,7 @@
 namespace deckcart {
 namespace {
 
-// Ids stay within the whole numbers that a JSON reader with doubles keeps apart.
+// Ids fit into 52 bits, so that JSON readers that parse numbers as doubles keep them distinct.
 constexpr int kIdBits = 52;
 constexpr RequestId kIdMask = (RequestId{1} << kIdBits) - 1;
 constexpr std::uint64_t kSeedMask = 0xffffff;
@@ -13,29 +13,29 @@
 
 }  // namespace
 
-RequestTable::RequestTable(const Services &services, std::uint64_t seed,
-                           std::function<void()> onFewerRequests)
-    : use(services), onFewer(std::move(onFewerRequests)), lastId((seed & kSeedMask) << kSeedShift) {
-}
+RequestTable::RequestTable(const Dependencies &dependencies, std::uint64_t seed,
+                           std::function<void()> finishedHandler)
+    : deps(dependencies), onRequestFinished(std::move(finishedHandler)),
+      lastId((seed & kSeedMask) << kSeedShift) {}
 
 RequestContext &RequestTable::add(std::shared_ptr<DownstreamRequest> downstream,
                                   TimePoint arrivedAt) {
     const RequestId id = ++lastId & kIdMask;
-    auto made = std::make_unique<RequestContext>(use.context);
-    RequestContext &request = *made;
+    auto newRequest = std::make_unique<RequestContext>(deps.context);
+    RequestContext &request = *newRequest;
     request.id = id;
-    request.record = use.policy.currentRecord();
+    request.generation = deps.policy.currentGeneration();
     request.downstream = std::move(downstream);
     const RequestAttributes &attributes = request.downstream->attributes;
     request.arrivedAt = arrivedAt;
     request.clientDeadline = arrivedAt + attributes.wait;
-    request.policyDeadline = request.clientDeadline - use.settings.answerMargin;
+    request.policyDeadline = request.clientDeadline - deps.settings.answerMargin;
     request.clientRequestId = attributes.name;
     if (request.clientRequestId.empty())
-        request.clientRequestId = use.settings.id + "-" + std::to_string(id);
-    requests.emplace(id, std::move(made));
-    use.policy.addRequest();
-    ++use.counts.taken;
+        request.clientRequestId = deps.settings.id + "-" + std::to_string(id);
+    requests.emplace(id, std::move(newRequest));
+    deps.policy.addRequest();
+    ++deps.counts.taken;
     return request;
 }
 
@@ -48,37 +48,37 @@
     if (request.answered)
         return;
     markAnswered(request);
-    ++use.counts.shed;
+    ++deps.counts.shed;
     if (request.isStreaming())
         request.downstream->abort();
     else
         request.downstream->shed(request.clientRequestId, retryAfter);
     logEnd(request, "shed");
-    onFewer();
+    onRequestFinished();
 }
 
 void RequestTable::fail(RequestContext &request, bool late) {
     if (request.answered)
         return;
     markAnswered(request);
-    ++use.counts.errored;
+    ++deps.counts.errored;
     if (request.isStreaming())
         request.downstream->abort();
     else
         request.downstream->errored(request.clientRequestId, late);
     logEnd(request, "errored");
-    onFewer();
+    onRequestFinished();
 }
 
 void RequestTable::markCompleted(RequestContext &request) {
     markAnswered(request);
-    ++use.counts.completed;
+    ++deps.counts.completed;
     logEnd(request, "completed");
 }
 
 void RequestTable::markAbandoned(RequestContext &request) {
     markAnswered(request);
-    ++use.counts.gone;
+    ++deps.counts.gone;
 }
 
 void RequestTable::markAnswered(RequestContext &request) {
@@ -87,18 +87,18 @@
 }
 
 void RequestTable::logEnd(const RequestContext &request, const char *end) {
-    use.log.write(request, end, use.clock.lastTurn());
+    deps.log.write(request, end, deps.clock.lastTick());
 }
 
-void RequestTable::removeIfOver(RequestContext &request) {
+void RequestTable::removeIfFinished(RequestContext &request) {
     if (request.hasOutstandingAttempts() || !request.answered)
         return;
-    const GatewayId record = request.record;
+    const GatewayId generation = request.generation;
     request.downstream->onGone = nullptr;
     request.downstream->onDrained = nullptr;
     requests.erase(request.id);
-    use.policy.removeRequest(record);
-    onFewer();
+    deps.policy.removeRequest(generation);
+    onRequestFinished();
 }
 
 void RequestTable::releaseAll() {
@@ -107,7 +107,7 @@
         request->downstream->onDrained = nullptr;
         for (const AttemptContext &attempt : request->attempts)
             if (!attempt.ended)
-                attempt.call->release(use.clock.lastTurn());
+                attempt.call->release(deps.clock.lastTick());
     }
 }
 
--- a/src/gateway/request_table.hpp
+++ b/src/gateway/request_table.hpp
@@ -1,5 +1,5 @@
-// The requests in flight of a gateway: their numbers, their final answers to the client, their
-// removal. What happens to their attempts is AttemptDispatcher's job.
+// The requests in flight of a gateway: assigns their ids, gives their final answers and removes
+// them. AttemptDispatcher manages their attempts.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -16,8 +16,8 @@
   public:
     using Requests = std::unordered_map<RequestId, std::unique_ptr<RequestContext>>;
 
-    /// What the table uses; all of it must outlive the table.
-    struct Services {
+    /// The collaborators of the table; all must outlive it.
+    struct Dependencies {
         asio::io_context &context;
         const GatewaySettings &settings;
         LoopClock &clock;
@@ -26,48 +26,51 @@
         GatewayCounts &counts;
     };
 
-    /// `onFewer` is called after a request has been answered or removed. Request ids begin at a
-    /// number that is drawn from the seed, so that restarts do not use the same ones.
-    RequestTable(const Services &services, std::uint64_t seed, std::function<void()> onFewer);
+    /// `onRequestFinished` is called after a request has been answered or removed. Request ids
+    /// start at a number derived from the seed, so that they are not reused after a restart.
+    RequestTable(const Dependencies &dependencies, std::uint64_t seed,
+                 std::function<void()> onRequestFinished);
 
-    /// Counts a request as in flight that add() will take as soon as a stall has been handled.
+    /// Reserves a place for a request whose add() is deferred until a process stall has been
+    /// handled.
     void reserve() { ++unanswered; }
-    bool isFull() const { return unanswered >= use.settings.maxRequestsInFlight; }
+    bool isFull() const { return unanswered >= deps.settings.maxRequestsInFlight; }
     bool allAnswered() const { return unanswered == 0; }
 
-    /// Takes a reserved request as one of the policy's current record.
+    /// Adds a request, for which a place has been reserved, to the policy's current generation.
     RequestContext &add(std::shared_ptr<DownstreamRequest> downstream, TimePoint arrivedAt);
-    /// Null once it has been removed.
+    /// Returns null if the request has been removed.
     RequestContext *find(RequestId id);
     const Requests &all() const { return requests; }
     std::size_t size() const { return requests.size(); }
 
-    /// Answers a request with a rejection; nothing where it has been answered already. A response
-    /// that is being streamed is cut instead: that is all that tells the client.
+    /// Rejects a request; does nothing if it has already been answered. A streamed response is
+    /// aborted instead, since its head has already been sent.
     void shed(RequestContext &request, Duration retryAfter);
-    /// The same with an error. `late`: its time has run out.
+    /// Like shed(), but responds with an error. `late`: the deadline has passed.
     void fail(RequestContext &request, bool late);
-    /// Notes that the whole of a response has been written.
+    /// Records that the complete response has been written.
     void markCompleted(RequestContext &request);
-    /// Notes that the client has left.
+    /// Records that the client has disconnected.
     void markAbandoned(RequestContext &request);
     void logEnd(const RequestContext &request, const char *end);
 
-    /// Removes a request that has been answered and has no attempt outstanding; else does nothing.
-    /// The reference is void afterwards.
-    void removeIfOver(RequestContext &request);
+    /// Removes the request if it has been answered and has no outstanding attempt. The reference
+    /// may be invalid afterwards.
+    void removeIfFinished(RequestContext &request);
 
-    /// Ends all calls without a word to anyone: for the destruction of the gateway.
+    /// Releases all calls without notifying the policy or the clients. For the destruction of the
+    /// gateway.
     void releaseAll();
 
   private:
     void markAnswered(RequestContext &request);
 
-    Services use;
-    std::function<void()> onFewer;
+    Dependencies deps;
+    std::function<void()> onRequestFinished;
     Requests requests;
     RequestId lastId;
-    std::size_t unanswered = 0;  // reserved ones too
+    std::size_t unanswered = 0;  // including reserved places
 };
 
 }  // namespace deckcart
--- a/src/gateway/response_headers.hpp
+++ b/src/gateway/response_headers.hpp
@@ -1,13 +1,13 @@
-// The header fields that the gateway itself writes into HTTP responses to clients.
+// Header fields that the gateway adds to HTTP responses to clients.
 #pragma once
 
 namespace deckcart {
 
 /// How the request ended: completed, shed or errored.
 constexpr const char *kEndHeader = "Deckcart-End";
-/// The build of the endpoint that the response came from.
+/// The build of the endpoint that sent the response.
 constexpr const char *kBuildHeader = "Deckcart-Build";
-/// Retry-After in milliseconds.
+/// Like Retry-After, in milliseconds.
 constexpr const char *kRetryHeader = "Deckcart-Retry-Ms";
 
 }  // namespace deckcart
--- a/src/gateway/response_history.cpp
+++ b/src/gateway/response_history.cpp
@@ -6,10 +6,10 @@
 
 void ResponseHistory::add(const std::string &requestId, Source source, std::size_t capacity) {
     if (capacity > 0 && entries.try_emplace(requestId, Entry{std::move(source)}).second)
-        oldestFirst.push_back(requestId);
-    if (oldestFirst.size() > capacity) {
-        entries.erase(oldestFirst.front());
-        oldestFirst.pop_front();
+        insertionOrder.push_back(requestId);
+    if (insertionOrder.size() > capacity) {
+        entries.erase(insertionOrder.front());
+        insertionOrder.pop_front();
     }
 }
 
--- a/src/gateway/response_history.hpp
+++ b/src/gateway/response_history.hpp
@@ -1,5 +1,5 @@
-// The responses that were passed on lately, by the client's request id: a client may report one of
-// them as incorrect. Pure.
+// The most recent responses passed on to clients, by the client's request id, for clients that
+// report a response as incorrect.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -12,19 +12,19 @@
 
 class ResponseHistory {
   public:
-    /// Where a response came from.
+    /// The origin of a response.
     struct Source {
         EndpointId endpoint;
-        TimePoint sentAt{};  ///< When its attempt was sent.
+        TimePoint sentAt{};  ///< When the attempt was sent.
     };
     struct Report {
         bool known = false;
-        /// Set by the first report of a response only: one response is incorrect once.
+        /// Set for the first report of a response only: repeated reports are not counted again.
         std::optional<Source> source;
     };
 
-    /// Keeps the latest `capacity` responses; 0 keeps none. The first response of a request id
-    /// stays.
+    /// Adds a response; keeps at most `capacity` entries, and none if it is 0. An id that is
+    /// already present keeps its first response.
     void add(const std::string &requestId, Source source, std::size_t capacity);
     [[nodiscard]] Report reportIncorrect(const std::string &requestId);
 
@@ -34,7 +34,7 @@
         bool reported = false;
     };
     std::unordered_map<std::string, Entry> entries;
-    std::deque<std::string> oldestFirst;
+    std::deque<std::string> insertionOrder;
 };
 
 }  // namespace deckcart
--- a/src/gateway/route_matcher.hpp
+++ b/src/gateway/route_matcher.hpp
@@ -1,4 +1,4 @@
-// Which route an HTTP request belongs to. Pure.
+// Finds the route of an HTTP request.
 #pragma once
 
 #include <optional>
@@ -9,8 +9,8 @@
 
 namespace deckcart {
 
-/// The place of the first route whose method (empty: any) and path prefix match. `target` is the
-/// request's target: a query is no part of the path. Empty where no route matches.
+/// Returns the index of the first route whose method (empty matches any) and path prefix match.
+/// `target` is the request target; its query is not part of the path. Empty if no route matches.
 [[nodiscard]] std::optional<std::size_t>
 matchRoute(const std::vector<RouteRule> &routes, std::string_view method, std::string_view target);
 
--- a/src/gateway/service.cpp
+++ b/src/gateway/service.cpp
@@ -16,59 +16,61 @@
 
 using nlohmann::json;
 
-// The last answers are written when a drain ends; their readers get a moment to take them.
+// Time for clients to read the last responses, which are written just before the drain completes.
 constexpr auto kDrainGrace = std::chrono::milliseconds(50);
 
 class Service {
   public:
-    explicit Service(const ServiceStart &with)
-        : start(with), log(with.logs, "gateway"), store(with.state, log), signals(context),
-          endTimer(context) {}
+    explicit Service(const ServiceStart &startOptions)
+        : options(startOptions), log(startOptions.logs, "gateway"), store(startOptions.state, log),
+          signals(context), endTimer(context) {}
 
     int run() {
         std::signal(SIGPIPE, SIG_IGN);
-        if (!store.open() || !open())
+        if (!store.createFolder() || !createGateway())
             return 1;
         endpoints->restore();
         endpoints->start();
         if (!reportReady())
             return 1;
-        signals.start([this](int signal) { drain(signal); }, [this](int signal) { end(signal); });
+        signals.start([this](int signal) { drain(signal); },
+                      [this](int signal) { stopNow(signal); });
         context.run();
         endpoints->save();
-        log.info("ended", statusOf(*gateway));
+        log.info("ended", statusJson(*gateway));
         return 0;
     }
 
   private:
-    /// Makes the gateway and its API, with the settings that were kept. False if one can't listen.
-    bool open() {
+    /// Creates the gateway and its API from the saved settings. Returns false if one of them can't
+    /// listen.
+    bool createGateway() {
         auto stored = store.loadSettings();
         const auto seed = stored.document.value("/gateway/seed"_json_pointer,
                                                 std::uint64_t{std::random_device{}()});
         try {
             gateway = std::make_unique<Gateway>(context, clock, std::move(stored.settings), seed,
-                                                log, start.listen, start.faults);
-            api = std::make_unique<GatewayApi>(context, start.api, *gateway, store, log,
+                                                log, options.listen, options.faults);
+            api = std::make_unique<GatewayApi>(context, options.api, *gateway, store, log,
                                                std::move(stored.document));
-        } catch (const std::system_error &fault) {
-            log.warn("listen", {{"fault", fault.what()}});
+        } catch (const std::system_error &error) {
+            log.warn("listen", {{"fault", error.what()}});
             return false;
         }
         endpoints = std::make_unique<EndpointPersistence>(context, *gateway, store, log);
         return true;
     }
 
-    /// False if the file for it can't be written.
+    /// Logs the addresses and writes the ready file. Returns false if the file can't be written.
     bool reportReady() {
         const json ready{{"listen", format(gateway->address())}, {"api", format(api->address())}};
         log.info("ready", ready);
-        if (start.readyFile.empty())
+        if (options.readyFile.empty())
             return true;
-        const auto fault = writeWhole(start.readyFile, ready.dump() + "\n", Durable::atLeisure);
-        if (!fault.empty())
-            log.warn("ready-file", {{"fault", fault}});
-        return fault.empty();
+        const auto error = writeWhole(options.readyFile, ready.dump() + "\n", Durable::atLeisure);
+        if (!error.empty())
+            log.warn("ready-file", {{"fault", error}});
+        return error.empty();
     }
 
     void drain(int signal) {
@@ -80,12 +82,12 @@
         });
     }
 
-    void end(int signal) {
+    void stopNow(int signal) {
         log.warn("ended-at-once", {{"signal", signal}, {"inHand", gateway->inHand()}});
         context.stop();
     }
 
-    ServiceStart start;
+    ServiceStart options;
     Log log;
     SteadyClock clock;
     StateStore store;
@@ -99,8 +101,8 @@
 
 }  // namespace
 
-int runGateway(const ServiceStart &start) {
-    return Service(start).run();
+int runGateway(const ServiceStart &options) {
+    return Service(options).run();
 }
 
 }  // namespace deckcart
--- a/src/gateway/service.hpp
+++ b/src/gateway/service.hpp
@@ -1,5 +1,5 @@
-// The process around a gateway: starts it with what its state folder holds, ends it by signal.
-// Called by the command line; API, state folder and signals are modules of their own.
+// The process of a gateway: starts the gateway with the contents of its state folder and shuts it
+// down on signals. Called by the command line.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -10,18 +10,19 @@
 
 namespace deckcart {
 
-/// How the process was started.
+/// Start options of the process.
 struct ServiceStart {
-    asio::ip::tcp::endpoint listen;   ///< for clients; port 0 picks one
-    asio::ip::tcp::endpoint api;      ///< for operators; port 0 picks one
-    std::filesystem::path state;      ///< folder; empty: nothing is kept
-    std::filesystem::path readyFile;  ///< gets both addresses once they listen; empty: none
+    asio::ip::tcp::endpoint listen;  ///< address for clients; port 0 picks a free port
+    asio::ip::tcp::endpoint api;     ///< address of the operators' API; port 0 picks a free port
+    std::filesystem::path state;     ///< state folder; empty: no state is kept
+    /// both addresses are written to this file once they accept connections; empty: none
+    std::filesystem::path readyFile;
     LogForm logs = LogForm::text;
     DataPathFaults faults;
 };
 
-/// Runs until SIGTERM or SIGINT has drained it. Returns the exit status: 0, or 1 with a log line
-/// when it can't start.
-[[nodiscard]] int runGateway(const ServiceStart &start);
+/// Runs until SIGTERM or SIGINT, then drains the gateway. Returns the exit status: 0, or 1 with a
+/// log line if it can't start.
+[[nodiscard]] int runGateway(const ServiceStart &options);
 
 }  // namespace deckcart
--- a/src/gateway/shutdown_signals.cpp
+++ b/src/gateway/shutdown_signals.cpp
@@ -8,8 +8,8 @@
 
 void ShutdownSignals::start(Handler onFirst, Handler onSecond) {
     signals.async_wait([this, onFirst = std::move(onFirst),
-                        onSecond = std::move(onSecond)](asio::error_code fault, int first) {
-        if (fault)
+                        onSecond = std::move(onSecond)](asio::error_code error, int first) {
+        if (error)
             return;
         onFirst(first);
         signals.async_wait([onSecond](asio::error_code ended, int second) {
--- a/src/gateway/shutdown_signals.hpp
+++ b/src/gateway/shutdown_signals.hpp
@@ -1,4 +1,5 @@
-// SIGTERM and SIGINT of a gateway's process: the first asks it to drain, the second to end at once.
+// Handles SIGTERM and SIGINT of a gateway's process: the first signal starts a drain, the second
+// ends the process at once.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -7,7 +8,7 @@
 
 namespace deckcart {
 
-/// Handlers run on the thread of the io_context, with the signal's number.
+/// Handlers run on the thread of the io_context and receive the signal number.
 class ShutdownSignals {
   public:
     using Handler = std::function<void(int signal)>;
@@ -16,7 +17,8 @@
     ShutdownSignals(const ShutdownSignals &) = delete;
     ShutdownSignals &operator=(const ShutdownSignals &) = delete;
 
-    /// Until called, signals wait. Once. Those after the second are not handled.
+    /// Starts handling; signals received earlier are handled then. To be called once. Signals
+    /// after the second are ignored.
     void start(Handler onFirst, Handler onSecond);
 
   private:
--- a/src/gateway/stall_detector.cpp
+++ b/src/gateway/stall_detector.cpp
@@ -6,29 +6,29 @@
 namespace deckcart {
 namespace {
 
-// Passes that are always made: the first ones may stand behind handlers that were ready before.
-constexpr int kMinRounds = 2;
-// Bounds the time a stall is handled where sockets never go quiet.
-constexpr int kMaxRounds = 200;
+// The first passes may only run handlers that were queued before, so they never count as quiet.
+constexpr int kMinPasses = 2;
+// Bounds the time for which a stall is handled if the sockets never go quiet.
+constexpr int kMaxPasses = 200;
 
 }  // namespace
 
 std::optional<Duration> StallDetector::observe(TimePoint realTime, Duration threshold) {
-    const TimePoint before = lastTurnAt;
+    const TimePoint before = lastTickAt;
     const Duration gap = realTime - before;
-    lastTurnAt = std::max(realTime, before);
+    lastTickAt = std::max(realTime, before);
     if (stalled || gap <= threshold)
         return std::nullopt;
     stalled = true;
-    stalledAt = before;
-    rounds = 0;
+    stallStart = before;
+    passes = 0;
     return gap;
 }
 
-bool StallDetector::finishRound() {
-    const bool sawEvents = socketEvents != eventsBeforeRound;
-    const bool quiet = rounds >= kMinRounds && (!sawEvents || rounds >= kMaxRounds);
-    ++rounds;
+bool StallDetector::finishPass() {
+    const bool sawEvents = socketEvents != eventsBeforePass;
+    const bool quiet = passes >= kMinPasses && (!sawEvents || passes >= kMaxPasses);
+    ++passes;
     return quiet;
 }
 
@@ -41,7 +41,7 @@
 
 std::vector<StallDetector::Callback> StallDetector::resume(TimePoint realTime) {
     stalled = false;
-    lastTurnAt = realTime;
+    lastTickAt = realTime;
     return std::exchange(deferred, {});
 }
 
--- a/src/gateway/stall_detector.hpp
+++ b/src/gateway/stall_detector.hpp
@@ -1,5 +1,6 @@
-// Finds out when the process stood still (suspended, starved of CPU) and defers what must wait
-// until everything that came meanwhile has been read. Pure: time is passed in; LoopClock drives it.
+// Detects that the process was not running for a while (suspended, or starved of CPU) and defers
+// callbacks until all input that arrived in the meantime has been read. Does no I/O: time is
+// passed in; LoopClock drives it.
 #pragma once
 
 #include <cstdint>
@@ -11,45 +12,48 @@
 
 namespace deckcart {
 
-/// A turn of the event loop that comes much later than the one before means that the process
-/// stalled. What the loop then finds came at some time during the stall, and its lateness is no
-/// endpoint's latency: so the policy's time stays at the last turn before the stall until the loop
-/// has gone quiet; only then it jumps to the present.
+/// A long gap between two ticks of the event loop means that the process has stalled. The input
+/// read next arrived at an unknown time during the stall, so its delay must not be attributed to
+/// an endpoint's latency. The policy's time therefore stays at the last tick before the stall
+/// until the loop has read all pending input, and then jumps to the present.
 class StallDetector {
   public:
     using Callback = std::function<void()>;
 
-    explicit StallDetector(TimePoint start) : lastTurnAt(start) {}
+    explicit StallDetector(TimePoint start) : lastTickAt(start) {}
 
-    /// To be called on every turn of the loop. Returns the stall's length where this turn is the
-    /// first after a stall of more than `threshold`; nothing while that stall is being handled.
+    /// To be called on every tick of the loop. Returns the length of the stall if this is the
+    /// first tick after a gap longer than `threshold`; returns nothing while that stall is still
+    /// being handled.
     [[nodiscard]] std::optional<Duration> observe(TimePoint realTime, Duration threshold);
 
     bool isStalled() const { return stalled; }
-    /// The latest time observed; never runs backwards between two calls of resume().
-    TimePoint lastTurn() const { return lastTurnAt; }
-    /// The time that the policy is given: that of the last turn before the stall, while stalled.
-    TimePoint policyTime() const { return stalled ? stalledAt : lastTurnAt; }
+    /// The latest time observed. Does not decrease, except that resume() sets it to the time it is
+    /// given.
+    TimePoint lastTick() const { return lastTickAt; }
+    /// The time given to the policy: while stalled, that of the last tick before the stall.
+    TimePoint policyTime() const { return stalled ? stallStart : lastTickAt; }
 
-    /// Something was read from a socket: the loop is not quiet yet.
+    /// Records that data was read from a socket, so the loop is not quiet yet.
     void countSocketEvent() { ++socketEvents; }
-    /// A pass of the loop over all of its sockets begins.
-    void beginRound() { eventsBeforeRound = socketEvents; }
-    /// That pass has ended: whether all that came during the stall has been read.
-    [[nodiscard]] bool finishRound();
+    /// Marks the start of a pass of the event loop over all its sockets.
+    void beginPass() { eventsBeforePass = socketEvents; }
+    /// Marks the end of the pass. Returns whether all input that arrived during the stall has been
+    /// read.
+    [[nodiscard]] bool finishPass();
 
-    /// Runs the callback at once, or keeps it until resume() while stalled.
+    /// Runs the callback immediately, or defers it until resume() while stalled.
     void runAfterStall(Callback callback);
-    /// Ends the stall. Returns what was deferred, in order; the caller runs it.
+    /// Ends the stall. Returns the deferred callbacks in order; the caller must run them.
     [[nodiscard]] std::vector<Callback> resume(TimePoint realTime);
 
   private:
-    TimePoint lastTurnAt;
-    TimePoint stalledAt{};
+    TimePoint lastTickAt;
+    TimePoint stallStart{};
     bool stalled = false;
-    int rounds = 0;
+    int passes = 0;
     std::uint64_t socketEvents = 0;
-    std::uint64_t eventsBeforeRound = 0;
+    std::uint64_t eventsBeforePass = 0;
     std::vector<Callback> deferred;
 };
 
--- a/src/gateway/state_store.cpp
+++ b/src/gateway/state_store.cpp
@@ -13,19 +13,20 @@
 constexpr const char *kSettingsFile = "settings.json";
 constexpr const char *kListFile = "list.json";
 constexpr const char *kSourcesFile = "sources.json";
-// A file of another format is not read: raise one where its form changes.
+// Files with another format number are not read. Increment a number when the layout of its file
+// changes.
 constexpr int kSettingsFormat = 1;
 constexpr int kListFormat = 1;
 constexpr int kSourcesFormat = 1;
 
-/// The wall clock: the steady one starts anew with the machine.
+/// Uses the wall clock, since the steady clock restarts with the machine.
 std::int64_t wallMilliseconds() {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
                std::chrono::system_clock::now().time_since_epoch())
         .count();
 }
 
-/// A wall clock that went back makes nothing younger than it was.
+/// Never negative, so that a wall clock that was set back does not reduce ages.
 std::chrono::milliseconds ageOf(const json &document) {
     const auto saved = document.at("savedMs").get<std::int64_t>();
     return std::chrono::milliseconds(std::max<std::int64_t>(0, wallMilliseconds() - saved));
@@ -33,21 +34,21 @@
 
 }  // namespace
 
-StateStore::StateStore(std::filesystem::path at, Log to)
-    : folder(std::move(at)), log(std::move(to)) {}
+StateStore::StateStore(std::filesystem::path folderPath, Log target)
+    : folder(std::move(folderPath)), log(std::move(target)) {}
 
-bool StateStore::open() const {
-    if (!keeps())
+bool StateStore::createFolder() const {
+    if (!keepsState())
         return true;
-    std::error_code fault;
-    std::filesystem::create_directories(folder, fault);
-    if (fault)
-        log.warn("state", {{"folder", folder.string()}, {"fault", fault.message()}});
-    return !fault;
+    std::error_code error;
+    std::filesystem::create_directories(folder, error);
+    if (error)
+        log.warn("state", {{"folder", folder.string()}, {"fault", error.message()}});
+    return !error;
 }
 
-std::optional<json> StateStore::read(const char *name, int format) const {
-    if (!keeps())
+std::optional<json> StateStore::readFile(const char *name, int format) const {
+    if (!keepsState())
         return std::nullopt;
     auto snapshot = readSnapshot(folder / name, format);
     if (!snapshot.fault.empty())
@@ -57,7 +58,7 @@
 
 StoredSettings StateStore::loadSettings() const {
     StoredSettings stored;
-    const auto snapshot = read(kSettingsFile, kSettingsFormat);
+    const auto snapshot = readFile(kSettingsFile, kSettingsFormat);
     if (!snapshot || !snapshot->contains("settings"))
         return stored;
     auto parsed = parseSettings(snapshot->at("settings"));
@@ -72,14 +73,14 @@
 }
 
 std::string StateStore::saveSettings(const json &document) const {
-    if (!keeps())
+    if (!keepsState())
         return {};
     const json snapshot{{"format", kSettingsFormat}, {"settings", document}};
     return writeWhole(folder / kSettingsFile, snapshot.dump(2) + "\n", Durable::yes);
 }
 
 std::optional<StoredEndpointList> StateStore::loadEndpointList() const {
-    const auto snapshot = read(kListFile, kListFormat);
+    const auto snapshot = readFile(kListFile, kListFormat);
     if (!snapshot)
         return std::nullopt;
     StoredEndpointList stored;
@@ -100,7 +101,7 @@
 }
 
 std::optional<StoredSources> StateStore::loadSources(TimePoint now) const {
-    const auto snapshot = read(kSourcesFile, kSourcesFormat);
+    const auto snapshot = readFile(kSourcesFile, kSourcesFormat);
     if (!snapshot)
         return std::nullopt;
     StoredSources stored;
--- a/src/gateway/state_store.hpp
+++ b/src/gateway/state_store.hpp
@@ -1,5 +1,5 @@
-// The files of a gateway's state folder: settings.json, list.json and sources.json, each with its
-// format number. Formats are stated here; tests/data/stored holds files that must stay readable.
+// The files in a gateway's state folder: settings.json, list.json and sources.json, each with a
+// format number. tests/data/stored holds files that must remain readable.
 #pragma once
 
 #include <chrono>
@@ -16,58 +16,62 @@
 
 namespace deckcart {
 
-/// Settings as they were accepted: their values and the document that they were read from.
+/// Accepted settings: their values and the document that they were read from.
 struct StoredSettings {
     GatewaySettings settings;
-    nlohmann::json document = nlohmann::json::object();  ///< empty: none are in force
+    nlohmann::json document = nlohmann::json::object();  ///< empty if no settings are in force
 };
 
-/// The control plane's list when the gateway has no sources of its own.
+/// The control plane's endpoint list of a gateway without sources of its own.
 struct StoredEndpointList {
-    std::vector<ListedEndpoint> endpoints;  ///< ages are as of now
-    std::chrono::milliseconds age{};        ///< since it was saved, by the wall clock; not below 0
+    std::vector<ListedEndpoint> endpoints;  ///< ages are relative to the time of loading
+    std::chrono::milliseconds age{};  ///< wall clock time since the list was saved; never negative
 };
 
-/// What each source of the list last said.
+/// The last data of each source of the endpoint list.
 struct StoredSources {
-    std::vector<membership::SavedSource> sources;  ///< times on the reader's clock
-    std::chrono::milliseconds age{};               ///< as above
+    std::vector<membership::SavedSource>
+        sources;  ///< times are on the clock of `now` in loadSources()
+    std::chrono::milliseconds
+        age{};  ///< wall clock time since the sources were saved; never negative
 };
 
-/// Reads and writes the state folder. A damaged file is renamed to NAME.bad and logged.
+/// Reads and writes the state folder. A damaged file is logged and renamed to NAME.bad.
 class StateStore {
   public:
-    /// @param folder  empty: nothing is kept, and nothing is found
+    /// @param folder  empty: nothing is saved or loaded
     StateStore(std::filesystem::path folder, Log log);
 
-    [[nodiscard]] bool keeps() const { return !folder.empty(); }
-    /// Makes the folder. False if it can't be made, which is logged.
-    [[nodiscard]] bool open() const;
+    [[nodiscard]] bool keepsState() const { return !folder.empty(); }
+    /// Creates the folder. Logs an error and returns false if that fails.
+    [[nodiscard]] bool createFolder() const;
 
-    /// Settings that do not fit this version are logged and count as none.
+    /// Settings that this version does not accept are logged and ignored.
     [[nodiscard]] StoredSettings loadSettings() const;
-    /// Whole and synced when it returns. Empty if it was written or nothing is kept; else what
-    /// failed.
+    /// Atomic, and synced to disk when it returns. Returns the error; empty if the file was
+    /// written or the store keeps no state.
     [[nodiscard]] std::string saveSettings(const nlohmann::json &document) const;
 
-    /// Empty if there is none. Throws std::exception where it is no such document.
+    /// Empty if there is no saved list. Throws std::exception if the file's content is invalid.
     [[nodiscard]] std::optional<StoredEndpointList> loadEndpointList() const;
-    /// Whole after a kill of the process, not after a power loss: the control plane has it too.
+    /// Atomic but not synced: survives a kill of the process, but not necessarily a power loss,
+    /// after which the control plane provides the list again. Returns the error, as above.
     [[nodiscard]] std::string saveEndpointList(const std::vector<ListedEndpoint> &endpoints) const;
 
-    /// The same of the sources. @param now  on the clock that the times are to be on
+    /// Like loadEndpointList(), for the sources.
+    /// @param now  on the clock that the times of the result refer to
     [[nodiscard]] std::optional<StoredSources> loadSources(TimePoint now) const;
     [[nodiscard]] std::string saveSources(const std::vector<membership::SavedSource> &sources,
                                           TimePoint now) const;
 
   private:
-    [[nodiscard]] std::optional<nlohmann::json> read(const char *name, int format) const;
+    [[nodiscard]] std::optional<nlohmann::json> readFile(const char *name, int format) const;
 
     std::filesystem::path folder;
     Log log;
 };
 
-/// The endpoints as list.json and the API hold them.
+/// The endpoints in the form used by list.json and the API.
 [[nodiscard]] nlohmann::json toJson(const std::vector<ListedEndpoint> &endpoints);
 
 }  // namespace deckcart
--- a/src/gateway/transport.hpp
+++ b/src/gateway/transport.hpp
@@ -1,7 +1,7 @@
-// What a gateway needs of a transport: requests from clients, calls and probes to endpoints, list
-// and votes. What crosses them is the same whatever the protocol: HTTP's is in http_transport.hpp,
-// a platform's in src/platform/. Nothing behind these interfaces chooses an endpoint, sends again
-// by itself, or holds a final answer back.
+// The interfaces that a gateway needs from a transport: requests from clients, calls and probes to
+// endpoints, and the control plane client. They are independent of the protocol:
+// http_transport.hpp implements them for HTTP, src/platform/ for the platform. An implementation
+// never chooses an endpoint, never retries by itself and never delays a final response.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -19,131 +19,135 @@
 
 class UpstreamCall;
 
-/// What the policy and the data path want to know of a request.
+/// The properties of a request that the policy and the data path use.
 struct RequestAttributes {
-    std::size_t route = 0;  ///< Its place in GatewaySettings::routes.
-    int tenant = 0;         ///< Past the end of the shares: one that is not named.
-    std::string key;        ///< For affinity; empty: none.
-    std::string name;       ///< The client's own id of the request; empty: it gave none.
-    Duration wait{};        ///< From the request's arrival until the client gives up.
+    std::size_t route = 0;  ///< Index into GatewaySettings::routes.
+    int tenant = 0;         ///< Index into GatewaySettings::tenants; past their end if not listed.
+    std::string key;        ///< Affinity key; empty if the request has none.
+    std::string name;       ///< Request id given by the client; empty if it gave none.
+    Duration wait{};        ///< How long the client waits, counted from the arrival.
 };
 
-/// A request that a client has sent; answered once: by shed, errored, completed, or begin, write
-/// and end. What is written after the client has gone goes nowhere. All calls and callbacks on the
-/// thread of the gateway's loop.
+/// A request received from a client. It is answered exactly once: by shed(), errored(),
+/// completed(), or the sequence begin(), write(), end(). Data written after the client has
+/// disconnected is discarded. All calls and callbacks happen on the gateway's event loop thread.
 class DownstreamRequest {
   public:
     virtual ~DownstreamRequest() = default;
 
-    /// Whether the client is there and no final answer has ended.
+    /// Whether the client is connected and the final response is not finished.
     virtual bool open() const = 0;
-    /// Looks at the client's socket as well: its close may not have been read yet.
+    /// Like open(), but also checks the client's socket for a close that has not been read yet.
     virtual bool isClientConnected() const { return open(); }
-    /// Rejects the request. `name`: the request's id as the client gets it.
+    /// Rejects the request. `name` is the request id that is returned to the client.
     virtual void shed(const std::string &name, Duration retryAfter) = 0;
-    /// Answers with an error; `late`: since its time has run out.
+    /// Responds with an error. `late`: the request's deadline has passed.
     virtual void errored(const std::string &name, bool late) = 0;
-    /// Answers with the whole of an endpoint's response.
-    virtual void completed(UpstreamCall &from, std::string_view answer) = 0;
-    /// Begins a response that is passed on as it comes, by write() and end().
-    virtual void begin(UpstreamCall &from) = 0;
+    /// Responds with the complete response of an endpoint.
+    virtual void completed(UpstreamCall &call, std::string_view responseBody) = 0;
+    /// Starts a streamed response; write() and end() follow.
+    virtual void begin(UpstreamCall &call) = 0;
     virtual void write(std::string_view part) = 0;
     virtual void end() = 0;
-    /// Cuts a response that can't be completed, so that the client can tell.
+    /// Closes the connection in the middle of a streamed response that can't be completed, so that
+    /// the client detects the truncation.
     virtual void abort() = 0;
-    /// Bytes that the client has not taken yet.
+    /// Response bytes buffered here that the client has not read yet.
     virtual std::size_t waiting() const = 0;
-    /// Writes a second answer behind the first: a fault that scenario runs ask for.
+    /// Writes a second response after the first. Fault injection for scenario runs.
     virtual void injectDuplicateResponse() {}
 
     RequestAttributes attributes;
-    /// Called when the client has left before the answer's end.
+    /// Called when the client disconnects before the response has ended.
     std::function<void()> onGone;
-    /// Called when what was waiting has been taken.
+    /// Called when the client has read all buffered response bytes.
     std::function<void()> onDrained;
 };
 
-/// What a call reports to the attempt that it was started for, which must stay valid until
-/// onCallEnd() or UpstreamCall::release().
+/// Receives the events of a call. Must stay valid until onCallEnd() or UpstreamCall::release().
 class CallObserver {
   public:
     virtual ~CallObserver() = default;
     virtual void onResponse(std::string_view part) = 0;
-    /// The last callback. `outcome`: ok, or the truth of whether the request may have run.
+    /// The last callback of a call. `outcome` must state correctly whether the request may have
+    /// run.
     virtual void onCallEnd(Outcome outcome) = 0;
 };
 
-/// Asked once, when a connection is up and nothing is written yet: what is left of the client's
-/// wait then, or empty if the attempt must not be sent any more.
+/// Called once, when the connection is established and nothing has been written yet. Returns the
+/// time that the client still waits, or nothing if the attempt must not be sent any more.
 using PreSendCheck = std::function<std::optional<Duration>()>;
 
-/// One attempt's call to an endpoint. Given back once, by release().
+/// The call of one attempt to an endpoint. Its owner must call release() exactly once.
 class UpstreamCall {
   public:
     virtual ~UpstreamCall() = default;
-    /// Sends what the client has sent. Never calls back from within.
+    /// Sends the client's request. Never invokes `observer` before it returns.
     virtual void start(const DownstreamRequest &request, const std::string &name,
-                       PreSendCheck preSendCheck, BuildNumber build, CallObserver *owner) = 0;
-    /// Whether the endpoint may have got the whole of it. What was not handed over can be
-    /// withdrawn.
+                       PreSendCheck preSendCheck, BuildNumber build, CallObserver *observer) = 0;
+    /// Whether the endpoint may have received the whole request. While this is false, the attempt
+    /// can be withdrawn without having run.
     virtual bool startedSending() const = 0;
-    /// Gives the call up; nothing is called back afterwards. The connection of one that has ended
-    /// may be used again; else it is closed at once.
+    /// Ends the call; no callback follows. The connection of a completed call may be reused; any
+    /// other connection is closed at once.
     virtual void release(Duration now) = 0;
-    /// Reads what has come already, which may end the call: before it is given up.
+    /// Processes response data that has already arrived, which may end the call. To be called
+    /// before a call is given up.
     virtual void look() {}
-    /// Stops reading the response until resume().
+    /// Stops reading the response until resume() is called (backpressure).
     virtual void pause() {}
     virtual void resume() {}
 };
 
-/// The endpoints' side of a transport. Outlives its calls.
+/// The upstream side of a transport: calls and probes to endpoints. Must outlive its calls.
 class UpstreamPool {
   public:
-    /// Gets the load that the endpoint reports; empty: the probe has failed.
+    /// Receives the load that the endpoint reports; empty if the probe has failed.
     using ProbeCallback = std::function<void(std::vector<double> load)>;
     virtual ~UpstreamPool() = default;
-    /// Null when a bound is reached or the endpoint has no address.
+    /// Returns null if a connection limit is reached or the endpoint has no address.
     virtual std::shared_ptr<UpstreamCall> take(const EndpointId &endpoint) = 0;
     virtual void closeIdle(const EndpointId &endpoint) = 0;
-    /// Ends connections that have been idle for too long; to be called every sweepEvery().
+    /// Closes connections that have been idle for too long. To be called every sweepEvery().
     virtual void sweep(Duration now) = 0;
     virtual Duration sweepEvery() const { return std::chrono::seconds(1); }
     virtual void probe(const EndpointId &endpoint, ProbeCallback done) = 0;
 };
 
-/// The clients' side of a transport.
+/// The downstream side of a transport: the listener that clients connect to.
 class Downstream {
   public:
     virtual ~Downstream() = default;
     virtual asio::ip::tcp::endpoint address() const = 0;
-    /// The settings' bounds have changed.
+    /// Applies the current limits after the settings have changed.
     virtual void limit() = 0;
-    /// Accepts no more; requests in flight are answered, each with its connection closed. `ended`,
-    /// which may be called from within: no request of its clients can come any more.
-    virtual void drain(std::function<void()> ended) = 0;
-    /// Open connections of clients.
+    /// Stops accepting requests; requests in flight are still answered, after which their
+    /// connections are closed. Calls `done`, possibly from within this call, once no further
+    /// request can arrive.
+    virtual void drain(std::function<void()> done) = 0;
+    /// Number of open client connections.
     virtual std::size_t connections() const = 0;
 };
 
-/// What a downstream reports to its gateway, which outlives it.
+/// The callbacks of a downstream; their owner must outlive the downstream.
 struct DownstreamHandler {
     std::function<void(std::shared_ptr<DownstreamRequest>)> arrived;
-    std::function<void()> unrouted;  ///< One came that no route matches; it is answered.
+    /// A request matched no route and has been answered.
+    std::function<void()> unrouted;
 };
 
 struct GatewaySettings;
 
-/// Makes the parts for a gateway, whose settings outlive them. downstream() throws
-/// std::system_error where it can't listen.
+/// Creates the transport's parts for one gateway. The settings must outlive the parts.
+/// downstream() throws std::system_error if it can't listen.
 class Transport {
   public:
     virtual ~Transport() = default;
     virtual std::unique_ptr<Downstream> downstream(const GatewaySettings &settings,
-                                                   DownstreamHandler owner) const = 0;
+                                                   DownstreamHandler handler) const = 0;
     virtual std::unique_ptr<UpstreamPool> upstreams(const GatewaySettings &settings) const = 0;
-    virtual std::unique_ptr<ControlPlaneClient> controlPlane(const GatewaySettings &settings,
-                                                             ControlPlaneObserver owner) const = 0;
+    virtual std::unique_ptr<ControlPlaneClient>
+    controlPlane(const GatewaySettings &settings, ControlPlaneObserver observer) const = 0;
 };
 
 }  // namespace deckcart
--- a/tests/unit/endpoint_snapshot_test.cpp
+++ b/tests/unit/endpoint_snapshot_test.cpp
@@ -1,5 +1,5 @@
-// What is known of the endpoint list and the rollout after each kind of update, and which idle
-// connections are closed by it.
+// Tests how each kind of update changes the known endpoint list and rollout stage, and which idle
+// connections it closes.
 #include "../../src/gateway/endpoint_snapshot.hpp"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace deckcart {
 namespace {
 
-class ClosingPool : public UpstreamPool {
+class RecordingPool : public UpstreamPool {
   public:
     std::shared_ptr<UpstreamCall> take(const EndpointId & /*endpoint*/) override { return nullptr; }
     void closeIdle(const EndpointId &endpoint) override { closed.push_back(endpoint); }
@@ -16,26 +16,26 @@
     std::vector<EndpointId> closed;
 };
 
-EndpointEntry entry(const EndpointId &id, BuildNumber build,
-                    EndpointState state = EndpointState::active) {
-    EndpointEntry made;
-    made.id = id;
-    made.build = build;
-    made.state = state;
-    return made;
+EndpointEntry makeEntry(const EndpointId &id, BuildNumber build,
+                        EndpointState state = EndpointState::active) {
+    EndpointEntry entry;
+    entry.id = id;
+    entry.build = build;
+    entry.state = state;
+    return entry;
 }
 
-RolloutUpdate rollout(BuildNumber build, int step, double exposureLimit,
-                      Outcome outcome = Outcome::ok) {
+RolloutUpdate makeRolloutUpdate(BuildNumber build, int step, double exposureLimit,
+                                Outcome outcome = Outcome::ok) {
     return {false, outcome, build, step, RolloutPhase::canary, exposureLimit, {}};
 }
 
-TEST(EndpointSnapshot, AWholeListReplacesTheOneBefore) {
+TEST(EndpointSnapshot, CompleteListReplacesThePreviousList) {
     EndpointSnapshot snapshot;
-    ClosingPool pool;
-    snapshot.apply({true, {entry("a", 1), entry("b", 1)}}, pool);
+    RecordingPool pool;
+    snapshot.apply({true, {makeEntry("a", 1), makeEntry("b", 1)}}, pool);
     EXPECT_TRUE(pool.closed.empty());
-    snapshot.apply({true, {entry("b", 2), entry("c", 1)}}, pool);
+    snapshot.apply({true, {makeEntry("b", 2), makeEntry("c", 1)}}, pool);
     EXPECT_EQ(pool.closed, std::vector<EndpointId>{"a"});
     EXPECT_FALSE(snapshot.find("a"));
     EXPECT_TRUE(snapshot.isActive("b", 2));
@@ -43,12 +43,13 @@
     EXPECT_EQ(snapshot.entries().size(), 2U);
 }
 
-TEST(EndpointSnapshot, APartialUpdateLeavesTheOthers) {
+TEST(EndpointSnapshot, PartialUpdateKeepsOtherEndpoints) {
     EndpointSnapshot snapshot;
-    ClosingPool pool;
-    snapshot.apply({true, {entry("a", 1), entry("b", 1), entry("c", 1)}}, pool);
+    RecordingPool pool;
+    snapshot.apply({true, {makeEntry("a", 1), makeEntry("b", 1), makeEntry("c", 1)}}, pool);
     snapshot.apply(
-        {false, {entry("a", 1, EndpointState::draining), entry("b", 1, EndpointState::removed)}},
+        {false,
+         {makeEntry("a", 1, EndpointState::draining), makeEntry("b", 1, EndpointState::removed)}},
         pool);
     EXPECT_EQ(pool.closed, (std::vector<EndpointId>{"a", "b"}));
     EXPECT_FALSE(snapshot.isActive("a", 1));
@@ -58,29 +59,31 @@
     EXPECT_EQ(snapshot.lastDraining(), "a");
 }
 
-TEST(RolloutState, TellsWhatHasMoved) {
+TEST(RolloutState, ReportsStageChanges) {
     RolloutState state;
     EXPECT_FALSE(state.stage());
-    EXPECT_TRUE(state.apply(rollout(2, 0, 0.1)).stageMoved) << "the first one";
-    EXPECT_FALSE(state.apply(rollout(2, 0, 0.1)).stageMoved);
-    EXPECT_TRUE(state.apply(rollout(2, 1, 0.4)).stageMoved);
+    EXPECT_TRUE(state.apply(makeRolloutUpdate(2, 0, 0.1)).stageChanged) << "the first stage";
+    EXPECT_FALSE(state.apply(makeRolloutUpdate(2, 0, 0.1)).stageChanged);
+    EXPECT_TRUE(state.apply(makeRolloutUpdate(2, 1, 0.4)).stageChanged);
     EXPECT_EQ(state.stage()->step, 1);
 }
 
-TEST(RolloutState, OnlyALowerLimitOfTheSameBuildIsLowered) {
+TEST(RolloutState, ReportsLoweredLimitsOfTheSameBuildOnly) {
     RolloutState state;
-    EXPECT_FALSE(state.apply(rollout(2, 1, 0.4)).loweredBuild);
-    EXPECT_FALSE(state.apply(rollout(2, 1, 0.5)).loweredBuild);
-    EXPECT_EQ(state.apply(rollout(2, 1, 0.2)).loweredBuild, std::optional<BuildNumber>(2));
-    EXPECT_FALSE(state.apply(rollout(3, 0, 0.1)).loweredBuild) << "another build";
+    EXPECT_FALSE(state.apply(makeRolloutUpdate(2, 1, 0.4)).buildWithLoweredLimit);
+    EXPECT_FALSE(state.apply(makeRolloutUpdate(2, 1, 0.5)).buildWithLoweredLimit);
+    EXPECT_EQ(state.apply(makeRolloutUpdate(2, 1, 0.2)).buildWithLoweredLimit,
+              std::optional<BuildNumber>(2));
+    EXPECT_FALSE(state.apply(makeRolloutUpdate(3, 0, 0.1)).buildWithLoweredLimit)
+        << "another build";
 }
 
-TEST(RolloutState, AVoteThatFailedChangesNothing) {
+TEST(RolloutState, FailedVoteChangesNothing) {
     RolloutState state;
-    (void)state.apply(rollout(2, 1, 0.4));
-    const auto change = state.apply(rollout(9, 9, 0, Outcome::timeout));
-    EXPECT_FALSE(change.stageMoved);
-    EXPECT_FALSE(change.loweredBuild);
+    (void)state.apply(makeRolloutUpdate(2, 1, 0.4));
+    const auto change = state.apply(makeRolloutUpdate(9, 9, 0, Outcome::timeout));
+    EXPECT_FALSE(change.stageChanged);
+    EXPECT_FALSE(change.buildWithLoweredLimit);
     EXPECT_EQ(state.stage()->build, 2);
 }
 
--- a/tests/unit/response_history_test.cpp
+++ b/tests/unit/response_history_test.cpp
@@ -1,4 +1,4 @@
-// Which responses may be reported as incorrect, and that each counts once.
+// Tests which responses can be reported as incorrect, and that each is counted once.
 #include "../../src/gateway/response_history.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(ResponseHistory, AReportNamesTheSourceTheFirstTimeOnly) {
+TEST(ResponseHistory, OnlyTheFirstReportReturnsTheSource) {
     ResponseHistory history;
     history.add("r1", {"a", 5s}, 10);
     const auto first = history.reportIncorrect("r1");
@@ -21,14 +21,14 @@
     EXPECT_FALSE(second.source);
 }
 
-TEST(ResponseHistory, WhatWasNotPassedOnIsNotKnown) {
+TEST(ResponseHistory, UnknownAndUnkeptResponsesAreRejected) {
     ResponseHistory history;
     EXPECT_FALSE(history.reportIncorrect("r1").known);
     history.add("r1", {"a", 5s}, 0);
-    EXPECT_FALSE(history.reportIncorrect("r1").known) << "a capacity of none keeps none";
+    EXPECT_FALSE(history.reportIncorrect("r1").known) << "a capacity of 0 keeps no response";
 }
 
-TEST(ResponseHistory, TheOldestGoFirst) {
+TEST(ResponseHistory, OldestResponsesAreDroppedFirst) {
     ResponseHistory history;
     for (const char *id : {"r1", "r2", "r3"})
         history.add(id, {"a", 5s}, 2);
@@ -37,7 +37,7 @@
     EXPECT_TRUE(history.reportIncorrect("r3").known);
 }
 
-TEST(ResponseHistory, TheFirstResponseOfARequestIdStays) {
+TEST(ResponseHistory, FirstResponseOfARequestIdIsKept) {
     ResponseHistory history;
     history.add("r1", {"a", 5s}, 2);
     history.add("r1", {"b", 6s}, 2);
@@ -47,7 +47,7 @@
     EXPECT_EQ(report.source->endpoint, "a");
 }
 
-TEST(ResponseHistory, ALowerCapacityTakesEffectByAndBy) {
+TEST(ResponseHistory, LowerCapacityTakesEffectGradually) {
     ResponseHistory history;
     history.add("r1", {"a", 5s}, 2);
     history.add("r2", {"a", 5s}, 2);
--- a/tests/unit/state_store_test.cpp
+++ b/tests/unit/state_store_test.cpp
@@ -1,4 +1,4 @@
-// The files of a state folder: what is saved is found again, what can't be read counts as none.
+// Tests that saved state is loaded again, and that unreadable state is ignored or reported.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -12,7 +12,7 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-class StateFolder : public testing::Test {
+class StateStoreTest : public testing::Test {
   protected:
     void TearDown() override { std::filesystem::remove_all(folder); }
 
@@ -21,8 +21,8 @@
     const StateStore store{folder / "state", Log()};
 };
 
-TEST_F(StateFolder, HoldsWhatWasSaved) {
-    ASSERT_TRUE(store.open());
+TEST_F(StateStoreTest, LoadsWhatWasSaved) {
+    ASSERT_TRUE(store.createFolder());
     EXPECT_TRUE(store.loadSettings().document.empty());
     EXPECT_FALSE(store.loadEndpointList());
     EXPECT_FALSE(store.loadSources(0s));
@@ -53,26 +53,26 @@
     EXPECT_EQ(sources->sources[0].at, 57s - sources->age);
 }
 
-TEST_F(StateFolder, SettingsThatDoNotFitCountAsNone) {
-    ASSERT_TRUE(store.open());
+TEST_F(StateStoreTest, InvalidSettingsAreIgnored) {
+    ASSERT_TRUE(store.createFolder());
     EXPECT_EQ(store.saveSettings(json{{"gateway", 1}}), "");
     EXPECT_TRUE(store.loadSettings().document.empty());
 }
 
-TEST_F(StateFolder, AListThatIsNoneIsAFaultWithTheField) {
-    ASSERT_TRUE(store.open());
+TEST_F(StateStoreTest, InvalidListThrowsWithTheFieldName) {
+    ASSERT_TRUE(store.createFolder());
     std::ofstream(folder / "state" / "list.json")
         << R"({"format": 1, "savedMs": 0, "instances": [{"build": 1}]})";
     try {
         (void)store.loadEndpointList();
-        FAIL() << "read";
-    } catch (const ParseError &fault) {
-        EXPECT_EQ(fault.place(), "id");
+        FAIL() << "an invalid list was loaded";
+    } catch (const ParseError &error) {
+        EXPECT_EQ(error.place(), "id");
     }
 }
 
-TEST_F(StateFolder, AClockThatWentBackMakesNothingYounger) {
-    ASSERT_TRUE(store.open());
+TEST_F(StateStoreTest, WallClockSetBackDoesNotReduceAges) {
+    ASSERT_TRUE(store.createFolder());
     std::ofstream(folder / "state" / "list.json")
         << R"({"format": 1, "savedMs": 99999999999999, "instances":
             [{"id": "127.0.0.1:1", "build": 1, "readiness": "live", "ageMs": 5}]})";
@@ -82,17 +82,17 @@
     EXPECT_EQ(list->endpoints.at(0).age, 5ms);
 }
 
-TEST_F(StateFolder, WithoutOneNothingIsKept) {
+TEST_F(StateStoreTest, WithoutFolderNothingIsSaved) {
     const StateStore none({}, Log());
-    EXPECT_TRUE(none.open());
-    EXPECT_FALSE(none.keeps());
+    EXPECT_TRUE(none.createFolder());
+    EXPECT_FALSE(none.keepsState());
     EXPECT_EQ(none.saveSettings(json::object()), "");
     EXPECT_FALSE(none.loadEndpointList());
 }
 
-TEST_F(StateFolder, OneThatCantBeMadeIsAFault) {
+TEST_F(StateStoreTest, FolderThatCannotBeCreatedIsAnError) {
     std::ofstream(folder) << "a file";
-    EXPECT_FALSE(store.open());
+    EXPECT_FALSE(store.createFolder());
 }
 
 }  // namespace
--- a/tests/unit/stored_data_test.cpp
+++ b/tests/unit/stored_data_test.cpp
@@ -1,5 +1,5 @@
-// State files that commit a119355 of this program wrote, in tests/data/stored: each is read by the
-// present one with the values that it holds. How they were made: the README.md beside them.
+// Checks that state files written by commit a119355, in tests/data/stored, can still be read with
+// all their values. The README.md there describes how they were made.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,10 +14,10 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-// The form that the files state; one of another form is never read.
+// Format number of the stored files; files with another number are not read.
 constexpr int kFormat = 1;
 
-/// A copy of the stored files, as a file that can't be read would be renamed where it stands.
+/// Works on a copy of the stored files, since an unreadable file would be renamed in place.
 class StoredData : public testing::Test {
   protected:
     void SetUp() override {
@@ -191,11 +191,11 @@
     EXPECT_EQ(list[2].cell, 1);
     EXPECT_EQ(list[3].id, "127.0.0.1:9006");
     EXPECT_FALSE(list[3].age);
-    // What was read is written as it stood.
-    json again = json::array();
+    // Writing the list again must give the same document.
+    json rewritten = json::array();
     for (const auto &endpoint : list)
-        again.push_back(toJson(endpoint));
-    EXPECT_EQ(again, document.at("instances"));
+        rewritten.push_back(toJson(endpoint));
+    EXPECT_EQ(rewritten, document.at("instances"));
 }
 
 TEST_F(StoredData, SourcesOfTheList) {
@@ -247,7 +247,7 @@
     }
     ASSERT_EQ(sources[1].withdrawn.size(), 1u);
     EXPECT_EQ(sources[1].withdrawn.at("127.0.0.1:9004"), before(1131.996));
-    // What was read is written as it stood.
+    // Writing the sources again must give the same document.
     EXPECT_EQ(toJson(sources, now - passed), document.at("sources"));
 }
 
