--- a/src/gateway/api.cpp
+++ b/src/gateway/api.cpp
@@ -13,8 +13,8 @@
 
 // Ten times the settings document of the largest site.
 constexpr std::size_t kMaxDocumentBytes = std::size_t{4} * 1024 * 1024;
-constexpr std::size_t kMaxConnections =
-    256;  // far above the number that operators and their scripts need
+// Far above the number that operators and their scripts need.
+constexpr std::size_t kMaxConnections = 256;
 
 http::ListenerLimits listenerLimits() {
     http::ListenerLimits limits;
--- a/src/gateway/endpoint_documents.cpp
+++ b/src/gateway/endpoint_documents.cpp
@@ -125,10 +125,10 @@
     json instances = json::array();
     for (const auto &member : view.members)
         instances.push_back(toJson(member, zones, now));
-    json rows = json::array();
+    json sourceDocuments = json::array();
     for (std::size_t index = 0; index < view.sources.size(); ++index)
-        rows.push_back(toJson(view.sources[index], sources[index]));
-    return {{"instances", std::move(instances)}, {"sources", std::move(rows)}};
+        sourceDocuments.push_back(toJson(view.sources[index], sources[index]));
+    return {{"instances", std::move(instances)}, {"sources", std::move(sourceDocuments)}};
 }
 
 json toJson(const std::vector<membership::SavedSource> &saved, TimePoint now) {
--- a/src/gateway/gateway_counts.hpp
+++ b/src/gateway/gateway_counts.hpp
@@ -14,11 +14,12 @@
     std::uint64_t errored = 0;    ///< Answered with an error.
     std::uint64_t gone = 0;       ///< Abandoned: the client disconnected first.
     std::uint64_t attempts = 0;   ///< Calls to endpoints that were started.
-    std::uint64_t overdue =
-        0;  ///< Failed by the data path: at shutdown, or since the policy gave no answer in time.
+    /// Failed by the data path: the policy gave no answer in time, or the gateway was shutting
+    /// down.
+    std::uint64_t overdue = 0;
     std::uint64_t processStalls = 0;  ///< Stalls of the process.
-    std::uint64_t rejected =
-        0;  ///< Rejected without asking the policy: over a limit, or during shutdown.
+    /// Rejected without asking the policy: over a limit, or during shutdown.
+    std::uint64_t rejected = 0;
     std::uint64_t unrouted = 0;   ///< Answered by the downstream because no route matched.
     std::uint64_t decisions = 0;  ///< Events that the policy has processed.
     Duration deciding{};          ///< Total time spent in the policy.
--- a/src/gateway/policy_driver.hpp
+++ b/src/gateway/policy_driver.hpp
@@ -56,7 +56,7 @@
     ActionHandler onAction;
     Policy policy;
     GatewayId current = 0;
-    std::map<GatewayId, std::size_t> requestsInFlight;  // in flight, by generation
+    std::map<GatewayId, std::size_t> requestsInFlight;  // by generation
     std::deque<QueuedEvent> queue;
     std::vector<Event> currentEvent;  // holds one event; a member so that its memory is reused
     bool deciding = false;
--- a/src/gateway/shutdown_signals.cpp
+++ b/src/gateway/shutdown_signals.cpp
@@ -12,8 +12,8 @@
         if (error)
             return;
         onFirst(first);
-        signals.async_wait([onSecond](asio::error_code ended, int second) {
-            if (!ended)
+        signals.async_wait([onSecond](asio::error_code secondError, int second) {
+            if (!secondError)
                 onSecond(second);
         });
     });
--- a/src/gateway/state_store.hpp
+++ b/src/gateway/state_store.hpp
@@ -30,10 +30,8 @@
 
 /// The last data of each source of the endpoint list.
 struct StoredSources {
-    std::vector<membership::SavedSource>
-        sources;  ///< times are on the clock of `now` in loadSources()
-    std::chrono::milliseconds
-        age{};  ///< wall clock time since the sources were saved; never negative
+    std::vector<membership::SavedSource> sources;  ///< times are on the clock of the reader
+    std::chrono::milliseconds age{};  ///< wall clock time since they were saved; never negative
 };
 
 /// Reads and writes the state folder. A damaged file is logged and renamed to NAME.bad.
