--- a/src/gateway/endpoint_documents.cpp
+++ b/src/gateway/endpoint_documents.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-/// An entry without what only a control plane knows of it.
+/// An entry without the incarnation, which only a control plane provides.
 json toJson(const EndpointEntry &entry, const std::vector<std::string> &zones, TimePoint now) {
     json document = toJson(listedOf(entry, zones, now));
     document.erase("incarnation");
@@ -75,7 +75,7 @@
     return Duration{std::llround(document.at(name).get<double>() * 1000)};
 }
 
-/// Reads sources whose ages were written before `written`, on the reader's clock.
+/// Reads sources whose ages are relative to `written`, a time on the caller's clock.
 struct SavedSourceReader {
     TimePoint written;
 
@@ -125,10 +125,10 @@
     json instances = json::array();
     for (const auto &member : view.members)
         instances.push_back(toJson(member, zones, now));
-    json rows = json::array();
+    json sourceDocuments = json::array();
     for (std::size_t index = 0; index < view.sources.size(); ++index)
-        rows.push_back(toJson(view.sources[index], sources[index]));
-    return {{"instances", std::move(instances)}, {"sources", std::move(rows)}};
+        sourceDocuments.push_back(toJson(view.sources[index], sources[index]));
+    return {{"instances", std::move(instances)}, {"sources", std::move(sourceDocuments)}};
 }
 
 json toJson(const std::vector<membership::SavedSource> &saved, TimePoint now) {
