--- a/src/dns/decode.cpp
+++ b/src/dns/decode.cpp
@@ -1,4 +1,4 @@
-// The reader of messages: RFC 1035, 4.1.
+// Decodes DNS messages (RFC 1035, 4.1).
 #include <algorithm>
 #include <cstring>
 
@@ -8,28 +8,28 @@
 namespace deckcart::dns {
 namespace {
 
-// RFC 1035, 4.1.1: where the header's fields stand.
+// Offsets of the header's fields (RFC 1035, 4.1.1).
 constexpr std::size_t kHeaderBytes = 12;
-constexpr std::size_t kQuestionCountAt = 4;
-constexpr std::size_t kAnswerCountAt = 6;
-constexpr std::size_t kAuthorityCountAt = 8;
-constexpr std::size_t kAdditionalCountAt = 10;
+constexpr std::size_t kQuestionCountOffset = 4;
+constexpr std::size_t kAnswerCountOffset = 6;
+constexpr std::size_t kAuthorityCountOffset = 8;
+constexpr std::size_t kAdditionalCountOffset = 10;
 
-// In network byte order.
+// Reads an integer in network byte order.
 template <class Number>
-Number numberAt(const std::uint8_t *bytes) {
+Number readBigEndian(const std::uint8_t *bytes) {
     Number value = 0;
     for (std::size_t k = 0; k < sizeof(Number); ++k)
         value = Number((value << 8) | bytes[k]);
     return value;
 }
 
-std::size_t countAt(const std::uint8_t *header, std::size_t offset) {
-    return numberAt<std::uint16_t>(header + offset);
+std::size_t readCount(const std::uint8_t *header, std::size_t offset) {
+    return readBigEndian<std::uint16_t>(header + offset);
 }
 
-// From the bytes of a name, label by label; empty where a label holds what no host or service name
-// has.
+// Reads a name label by label. Empty if a label contains a character that host and service names
+// don't have.
 std::string readName(const ldns_rdf *field) {
     const auto *bytes = ldns_rdf_data(field);
     const std::size_t size = ldns_rdf_size(field);
@@ -37,7 +37,7 @@
     std::ptrdiff_t labels = 0;
     for (std::size_t k = 0; k < size && bytes[k] != 0; ++labels) {
         const std::size_t label = bytes[k];
-        if (label > kMostLabelBytes || k + 1 + label > size)
+        if (label > kMaxLabelBytes || k + 1 + label > size)
             return {};
         name.append(reinterpret_cast<const char *>(bytes + k + 1), label);
         name += '.';
@@ -45,16 +45,16 @@
     }
     if (name.empty())
         return ".";
-    // A dot inside a label would read as another name.
+    // Rejects a label that contains a dot: as text it would be a different name.
     if (std::ranges::count(name, '.') != labels)
         return {};
     return canonicalName(name);
 }
 
-// The fields of a record, each null if it is not there or has another size.
+// Access to the data fields of a record; a field that is missing or has another size is null.
 class RecordFields {
   public:
-    explicit RecordFields(const ldns_rr *of) : record(of), count(ldns_rr_rd_count(of)) {}
+    explicit RecordFields(const ldns_rr *rr) : record(rr), count(ldns_rr_rd_count(rr)) {}
     const ldns_rdf *field(std::size_t index) const {
         return index < count ? ldns_rr_rdf(record, index) : nullptr;
     }
@@ -87,12 +87,12 @@
     return alias;
 }
 
-std::optional<RecordData> readZoneStart(const RecordFields &fields) {
-    constexpr std::size_t kMinimum = 6;  // the last of its fields (RFC 1035, 3.3.13)
-    const auto *minimum = fields.bytes(kMinimum, sizeof(std::uint32_t));
+std::optional<RecordData> readSoa(const RecordFields &fields) {
+    constexpr std::size_t kMinimumIndex = 6;  // the last field (RFC 1035, 3.3.13)
+    const auto *minimum = fields.bytes(kMinimumIndex, sizeof(std::uint32_t));
     if (!minimum)
         return std::nullopt;
-    return Soa{numberAt<std::uint32_t>(minimum)};
+    return Soa{readBigEndian<std::uint32_t>(minimum)};
 }
 
 std::optional<RecordData> readSrv(const RecordFields &fields) {
@@ -102,14 +102,14 @@
     const auto *target = fields.field(3);
     if (!priority || !weight || !port || !target)
         return std::nullopt;
-    Srv srv{numberAt<std::uint16_t>(priority), numberAt<std::uint16_t>(weight),
-            numberAt<std::uint16_t>(port), readName(target)};
+    Srv srv{readBigEndian<std::uint16_t>(priority), readBigEndian<std::uint16_t>(weight),
+            readBigEndian<std::uint16_t>(port), readName(target)};
     if (srv.target.empty())
         return std::nullopt;
     return srv;
 }
 
-// Empty for types that are not kept and for data that can't be read.
+// Empty for unsupported types and for malformed data.
 std::optional<RecordData> readData(const ldns_rr *record) {
     const RecordFields fields(record);
     switch (ldns_rr_get_type(record)) {
@@ -120,7 +120,7 @@
     case LDNS_RR_TYPE_CNAME:
         return readAlias(fields);
     case LDNS_RR_TYPE_SOA:
-        return readZoneStart(fields);
+        return readSoa(fields);
     case LDNS_RR_TYPE_SRV:
         return readSrv(fields);
     default:
@@ -128,7 +128,7 @@
     }
 }
 
-// The record at `offset`, which moves behind it; null where ldns can't read it.
+// Reads the record at `offset` and advances the offset past it; null if ldns can't read it.
 RecordPointer readRecord(const std::uint8_t *bytes, std::size_t size, std::size_t &offset,
                          ldns_pkt_section section, ldns_status &status) {
     ldns_rr *raw = nullptr;
@@ -136,8 +136,8 @@
     return RecordPointer(status == LDNS_STATUS_OK ? raw : nullptr);
 }
 
-// Records one by one: the library's reader of whole messages loses a record where two stand that
-// may stand once.
+// Reads the records one by one: the message parser of ldns drops a record if a message has two of a
+// kind that is allowed once.
 ldns_status readSection(const std::uint8_t *bytes, std::size_t size, std::size_t &offset,
                         std::size_t count, std::vector<Record> &records) {
     for (std::size_t k = 0; k < count; ++k) {
@@ -152,15 +152,15 @@
         if (!data || owner.empty())
             continue;
         const std::uint32_t seconds = ldns_rr_ttl(record.get());
-        const bool highestBit = (seconds >> 31) != 0;
-        records.push_back({std::move(owner), highestBit ? 0 : seconds, std::move(*data)});
+        const bool highestBitSet = (seconds >> 31) != 0;
+        records.push_back({std::move(owner), highestBitSet ? 0 : seconds, std::move(*data)});
     }
     return LDNS_STATUS_OK;
 }
 
 Message readHeader(const std::uint8_t *bytes) {
     Message message;
-    message.id = numberAt<std::uint16_t>(bytes);
+    message.id = readBigEndian<std::uint16_t>(bytes);
     message.reply = (bytes[2] & 0x80) != 0;
     message.authoritative = (bytes[2] & 0x04) != 0;
     message.truncated = (bytes[2] & 0x02) != 0;
@@ -169,7 +169,7 @@
     return message;
 }
 
-// Empty: all is well.
+// Returns why the question can't be read; empty on success.
 std::string readQuestion(const std::uint8_t *bytes, std::size_t size, std::size_t &offset,
                          std::optional<Question> &question) {
     ldns_status status = LDNS_STATUS_OK;
@@ -178,7 +178,7 @@
         return ldns_get_errorstr_by_id(status);
     std::string name = readName(ldns_rr_owner(record.get()));
     if (name.empty() || ldns_rr_get_class(record.get()) != LDNS_RR_CLASS_IN)
-        return "a question that is not ours";
+        return "the question has an unsupported name or class";
     question = Question{std::move(name), static_cast<Type>(ldns_rr_get_type(record.get()))};
     return {};
 }
@@ -187,19 +187,21 @@
 
 Decoded decode(const std::uint8_t *bytes, std::size_t size) {
     if (size < kHeaderBytes)
-        return {{}, "shorter than a header"};
-    // Counts are read before the library does: they are what a hostile message makes it reserve.
-    const std::size_t counts[] = {countAt(bytes, kAnswerCountAt), countAt(bytes, kAuthorityCountAt),
-                                  countAt(bytes, kAdditionalCountAt)};
-    if (counts[0] + counts[1] + counts[2] > kMostRecords)
-        return {{}, "more records than are taken"};
+        return {{}, "the message is shorter than its header"};
+    // Checks the counts before ldns reads the message: it allocates memory according to them, and a
+    // hostile message can claim any number.
+    const std::size_t counts[] = {readCount(bytes, kAnswerCountOffset),
+                                  readCount(bytes, kAuthorityCountOffset),
+                                  readCount(bytes, kAdditionalCountOffset)};
+    if (counts[0] + counts[1] + counts[2] > kMaxRecords)
+        return {{}, "the message has too many records"};
     if ((bytes[2] >> 3 & 0x0f) != LDNS_PACKET_QUERY)
-        return {{}, "no query or reply to one"};
+        return {{}, "the message is not a query or a reply to one"};
     Message message = readHeader(bytes);
     std::size_t offset = kHeaderBytes;
-    const std::size_t questions = countAt(bytes, kQuestionCountAt);
+    const std::size_t questions = readCount(bytes, kQuestionCountOffset);
     if (questions > 1)
-        return {{}, "more than one question"};
+        return {{}, "the message has more than one question"};
     if (questions == 1) {
         std::string fault = readQuestion(bytes, size, offset, message.question);
         if (!fault.empty())
@@ -212,8 +214,8 @@
             continue;
         if (!message.truncated)
             return {{}, ldns_get_errorstr_by_id(status)};
-        // Cut in the middle of a record: the header and the question still say that it is to be had
-        // over TCP.
+        // A truncated message may end inside a record. Its header and question are still valid and
+        // tell the caller to repeat the question over TCP.
         for (auto *section : sections)
             section->clear();
         break;
--- a/src/dns/encode.cpp
+++ b/src/dns/encode.cpp
@@ -1,4 +1,4 @@
-// The writer of messages: RFC 1035, 4.1.
+// Encodes DNS messages (RFC 1035, 4.1).
 #include <cstdlib>
 #include <stdexcept>
 
@@ -16,11 +16,11 @@
 ldns_rdf *nameField(const std::string &name) {
     ldns_rdf *field = ldns_dname_new_frm_str(name.c_str());
     if (!field)
-        throw std::invalid_argument("no DNS name: " + name);
+        throw std::invalid_argument("not a valid DNS name: " + name);
     return field;
 }
 
-// In network byte order.
+// Writes an integer in network byte order.
 template <class Number>
 ldns_rdf *numberField(ldns_rdf_type type, Number value) {
     std::uint8_t raw[sizeof(Number)];
@@ -41,8 +41,8 @@
     ldns_rr_push_rdf(record, nameField(alias.target));
 }
 
-void writeData(ldns_rr *record, const Soa &zone) {
-    // MNAME, RNAME, SERIAL, then REFRESH, RETRY and EXPIRE, which nothing here reads.
+void writeData(ldns_rr *record, const Soa &soa) {
+    // MNAME, RNAME, SERIAL, then REFRESH, RETRY and EXPIRE; none of them is used.
     constexpr std::uint32_t kSerial = 1;
     constexpr std::uint32_t kUnusedPeriod = 3600;
     ldns_rr_set_type(record, LDNS_RR_TYPE_SOA);
@@ -51,7 +51,7 @@
     ldns_rr_push_rdf(record, numberField(LDNS_RDF_TYPE_INT32, kSerial));
     for (int k = 0; k < 3; ++k)
         ldns_rr_push_rdf(record, numberField(LDNS_RDF_TYPE_PERIOD, kUnusedPeriod));
-    ldns_rr_push_rdf(record, numberField(LDNS_RDF_TYPE_PERIOD, zone.negativeSeconds));
+    ldns_rr_push_rdf(record, numberField(LDNS_RDF_TYPE_PERIOD, soa.negativeSeconds));
 }
 
 template <class Address>
@@ -87,7 +87,7 @@
     return written;
 }
 
-// The packet owns its records.
+// Transfers ownership of the encoded records to the packet.
 void writeSection(ldns_pkt *packet, ldns_pkt_section section, const std::vector<Record> &records) {
     for (const auto &record : records)
         ldns_pkt_push_rr(packet, section, writeRecord(record).release());
--- a/src/dns/ldns_pointers.hpp
+++ b/src/dns/ldns_pointers.hpp
@@ -1,7 +1,7 @@
-// Ownership of what ldns allocates, for the reader and the writer of messages.
+// Owning pointers for objects that ldns allocates. Used by encode.cpp and decode.cpp.
 #pragma once
 
-// Before ldns.h, which otherwise makes macros of `bool`, `true` and `false` for all that follows.
+// Included before ldns.h, which otherwise defines `bool`, `true` and `false` as macros.
 #include <cstdbool>
 
 #include <ldns/ldns.h>
--- a/src/dns/lookup.cpp
+++ b/src/dns/lookup.cpp
@@ -6,8 +6,8 @@
 namespace deckcart::dns {
 namespace {
 
-// The longest lifetime there is (RFC 2181, 8).
-constexpr std::uint32_t kLongestSeconds = 0x7fffffff;
+// The maximum TTL (RFC 2181, 8).
+constexpr std::uint32_t kMaxTtlSeconds = 0x7fffffff;
 
 const char *codeName(std::uint8_t code) {
     switch (static_cast<Code>(code)) {
@@ -24,28 +24,28 @@
     case Code::refused:
         return "REFUSED";
     }
-    return "an error";
+    return "unknown response code";
 }
 
 bool hasCode(const Message &reply, Code code) {
     return reply.code == std::uint8_t(code);
 }
 
-// Lifetime of a negative answer (RFC 2308, 5).
+// TTL of a negative answer (RFC 2308, 5).
 std::uint32_t negativeSeconds(const Message &reply) {
     for (const auto &record : reply.authority)
-        if (const auto *zone = std::get_if<Soa>(&record.data))
-            return std::min(record.seconds, zone->negativeSeconds);
+        if (const auto *soa = std::get_if<Soa>(&record.data))
+            return std::min(record.seconds, soa->negativeSeconds);
     return 0;
 }
 
-// Addresses of one version for `name` in a section, with the least lifetime of them.
+// Addresses of one IP version for `name` in a section, with their least TTL.
 CachedAddresses addressesOf(const std::vector<Record> &section, const std::string &name,
-                            bool versionFour) {
-    CachedAddresses out{{}, kLongestSeconds};
+                            bool ipv4) {
+    CachedAddresses out{{}, kMaxTtlSeconds};
     for (const auto &record : section) {
         const auto *address = std::get_if<asio::ip::address>(&record.data);
-        if (!address || record.owner != name || address->is_v4() != versionFour)
+        if (!address || record.owner != name || address->is_v4() != ipv4)
             continue;
         out.addresses.push_back(*address);
         out.seconds = std::min(out.seconds, record.seconds);
@@ -53,7 +53,7 @@
     return out;
 }
 
-// The alias of `name` among the answers, or null.
+// The CNAME record of `name` among the answers, or null.
 const Record *aliasOf(const Message &reply, const std::string &name) {
     for (const auto &record : reply.answers)
         if (std::holds_alternative<Alias>(record.data) && record.owner == name)
@@ -61,8 +61,8 @@
     return nullptr;
 }
 
-// Of two records for one server.
-bool isBetter(const Srv &one, const Srv &other) {
+// Whether the first of two records for the same server takes precedence.
+bool hasPrecedence(const Srv &one, const Srv &other) {
     return std::tuple(one.priority, -int(one.weight)) <
            std::tuple(other.priority, -int(other.weight));
 }
@@ -99,16 +99,16 @@
 AddressCache aged(AddressCache cache, Duration passed) {
     const auto seconds =
         std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(passed).count());
-    for (auto &[target, of] : cache)
-        of.seconds = of.seconds > seconds ? of.seconds - seconds : 0;
+    for (auto &[target, entry] : cache)
+        entry.seconds = entry.seconds > seconds ? entry.seconds - seconds : 0;
     return cache;
 }
 
-Lookup::Lookup(std::string serviceName, AddressCache before, LookupBounds with)
-    : aliasEnd(std::move(serviceName)), cached(std::move(before)), bounds(with) {
-    found.seconds = kLongestSeconds;
-    aliasChain.insert(aliasEnd);
-    pendingQuestions.push_back({aliasEnd, Type::srv});
+Lookup::Lookup(std::string serviceName, AddressCache cache, LookupBounds lookupBounds)
+    : currentName(std::move(serviceName)), cached(std::move(cache)), bounds(lookupBounds) {
+    found.seconds = kMaxTtlSeconds;
+    aliasChain.insert(currentName);
+    pendingQuestions.push_back({currentName, Type::srv});
 }
 
 std::vector<Question> Lookup::takeQuestions() {
@@ -121,7 +121,7 @@
     if (question.type == Type::srv)
         fail(why);
     else
-        settleWithoutReply(question.name, why);
+        resolveFromCache(question.name, why);
 }
 
 void Lookup::onReply(const Question &question, const Message &reply) {
@@ -147,26 +147,27 @@
         finishWith(records.notOffered ? LookupOutcome::notOffered : LookupOutcome::noData);
         return;
     }
-    takeServers(records);
-    const std::string domain = domainOf(aliasEnd);
+    sortServers(records);
+    const std::string domain = domainOf(currentName);
     for (const auto &srv : srvs)
         resolveTarget(srv.target, reply, domain);
     finishIfResolved();
 }
 
-// Aliases may come with their ends in one reply, in any order. False: the chain is a fault.
+// Follows the aliases in a reply, which may hold a whole chain in any order. Returns false after
+// failing the lookup for a loop or a chain that is too long.
 bool Lookup::followAliases(const Message &reply) {
-    while (const Record *record = aliasOf(reply, aliasEnd)) {
+    while (const Record *record = aliasOf(reply, currentName)) {
         const std::string &target = std::get<Alias>(record->data).target;
         if (!aliasChain.insert(target).second) {
-            fail("aliases go round in a circle");
+            fail("alias loop");
             return false;
         }
         if (aliasChain.size() > bounds.aliases + 1) {
-            fail("too many aliases in a row");
+            fail("alias chain too long");
             return false;
         }
-        aliasEnd = target;
+        currentName = target;
         boundLifetime(record->seconds);
     }
     return true;
@@ -176,14 +177,14 @@
     SrvRecords records;
     for (const auto &record : reply.answers) {
         const auto *srv = std::get_if<Srv>(&record.data);
-        if (!srv || record.owner != aliasEnd)
+        if (!srv || record.owner != currentName)
             continue;
         ++records.count;
         boundLifetime(record.seconds);
         if (srv->target == ".")
             records.notOffered = true;
         else if (srv->port == 0)
-            found.notes.push_back(srv->target + ": port 0");
+            found.notes.push_back(srv->target + ": port 0 is not valid; record ignored");
         else
             addServer(*srv, records.servers);
     }
@@ -191,45 +192,45 @@
 }
 
 void Lookup::addServer(const Srv &srv, std::map<HostPort, Srv> &servers) {
-    const auto [place, isNew] = servers.try_emplace({srv.target, srv.port}, srv);
-    if (isNew || place->second == srv)
+    const auto [entry, isNew] = servers.try_emplace({srv.target, srv.port}, srv);
+    if (isNew || entry->second == srv)
         return;
-    found.notes.push_back(srv.target +
-                          ": listed twice, the better priority and the greater weight stand");
-    if (isBetter(srv, place->second))
-        place->second = srv;
+    found.notes.push_back(srv.target + ": listed twice; using the record with the lower "
+                                       "priority value, then the greater weight");
+    if (hasPrecedence(srv, entry->second))
+        entry->second = srv;
 }
 
 void Lookup::onNoServers(const Question &question, const Message &reply) {
     const bool noName = hasCode(reply, Code::nxDomain);
-    // The alias's end is another zone's to answer for; asked for itself, an empty reply is the
-    // answer.
-    if (!noName && aliasEnd != question.name && reply.authority.empty()) {
-        pendingQuestions.push_back({aliasEnd, Type::srv});
+    // The end of an alias may be in a zone that this server does not serve, so it is queried for by
+    // its own name. An empty reply to that question is a negative answer.
+    if (!noName && currentName != question.name && reply.authority.empty()) {
+        pendingQuestions.push_back({currentName, Type::srv});
         return;
     }
     boundLifetime(negativeSeconds(reply));
     finishWith(noName ? LookupOutcome::noName : LookupOutcome::noData);
 }
 
-void Lookup::takeServers(const SrvRecords &records) {
+void Lookup::sortServers(const SrvRecords &records) {
     if (records.notOffered)
-        found.notes.emplace_back("target \".\" among others: passed over");
-    for (const auto &[place, srv] : records.servers)
+        found.notes.emplace_back("target \".\" among other targets: ignored");
+    for (const auto &[entry, srv] : records.servers)
         srvs.push_back(srv);
     std::ranges::sort(srvs, {},
                       [](const Srv &srv) { return std::tie(srv.priority, srv.target, srv.port); });
     if (srvs.size() > bounds.targets) {
         found.notes.push_back(std::to_string(srvs.size() - bounds.targets) +
-                              " targets over the bound left out");
+                              " targets over the limit left out");
         srvs.resize(bounds.targets);
     }
 }
 
-// Takes the target's addresses from the reply or the cache, or has them asked for.
+// Takes the addresses of a target from the reply or the cache, or adds a question for them.
 void Lookup::resolveTarget(const std::string &target, const Message &reply,
                            const std::string &domain) {
-    if (settled.contains(target) || unsettled.contains(target))
+    if (resolved.contains(target) || pendingTargets.contains(target))
         return;
     CachedAddresses additional;
     if (within(target, domain)) {
@@ -237,56 +238,56 @@
         if (additional.addresses.empty())
             additional = addressesOf(reply.additional, target, false);
     }
-    const auto before = cached.find(target);
+    const auto cachedEntry = cached.find(target);
     if (!additional.addresses.empty()) {
-        settle(target, std::move(additional.addresses), additional.seconds);
-    } else if (before != cached.end() && before->second.seconds > 0) {
-        settle(target, before->second.addresses, before->second.seconds);
+        storeAddresses(target, std::move(additional.addresses), additional.seconds);
+    } else if (cachedEntry != cached.end() && cachedEntry->second.seconds > 0) {
+        storeAddresses(target, cachedEntry->second.addresses, cachedEntry->second.seconds);
     } else {
-        unsettled.insert(target);
+        pendingTargets.insert(target);
         pendingQuestions.push_back({target, Type::a});
     }
 }
 
 void Lookup::onAddressReply(const Question &question, const Message &reply) {
-    auto got = addressesOf(reply.answers, question.name, question.type == Type::a);
+    auto received = addressesOf(reply.answers, question.name, question.type == Type::a);
     if (const Record *alias = aliasOf(reply, question.name)) {
         found.notes.push_back(question.name +
-                              ": is an alias, which a target must not be (RFC 2782)");
-        settle(question.name, {}, alias->seconds);
-    } else if (!got.addresses.empty()) {
-        settle(question.name, std::move(got.addresses), got.seconds);
+                              ": is an alias; SRV targets must not be aliases (RFC 2782)");
+        storeAddresses(question.name, {}, alias->seconds);
+    } else if (!received.addresses.empty()) {
+        storeAddresses(question.name, std::move(received.addresses), received.seconds);
     } else if (question.type == Type::a && hasCode(reply, Code::noError)) {
         pendingQuestions.push_back({question.name, Type::aaaa});
     } else {
         found.notes.push_back(question.name + ": has no address");
-        settle(question.name, {}, negativeSeconds(reply));
+        storeAddresses(question.name, {}, negativeSeconds(reply));
     }
     finishIfResolved();
 }
 
-void Lookup::settle(const std::string &target, std::vector<asio::ip::address> addresses,
-                    std::uint32_t seconds) {
+void Lookup::storeAddresses(const std::string &target, std::vector<asio::ip::address> addresses,
+                            std::uint32_t seconds) {
     std::ranges::sort(addresses);
     addresses.erase(std::unique(addresses.begin(), addresses.end()), addresses.end());
     if (addresses.size() > bounds.addresses) {
-        found.notes.push_back(target + ": addresses over the bound left out");
+        found.notes.push_back(target + ": addresses over the limit left out");
         addresses.resize(bounds.addresses);
     }
-    unsettled.erase(target);
-    settled[target] = {std::move(addresses), seconds};
+    pendingTargets.erase(target);
+    resolved[target] = {std::move(addresses), seconds};
 }
 
-void Lookup::settleWithoutReply(const std::string &target, const std::string &why) {
-    const auto before = cached.find(target);
-    if (before != cached.end() && !before->second.addresses.empty()) {
-        found.notes.push_back(target + ": " + why + "; address of before");
-        settle(target, before->second.addresses, 0);
+void Lookup::resolveFromCache(const std::string &target, const std::string &why) {
+    const auto cachedEntry = cached.find(target);
+    if (cachedEntry != cached.end() && !cachedEntry->second.addresses.empty()) {
+        found.notes.push_back(target + ": " + why + "; using expired addresses");
+        storeAddresses(target, cachedEntry->second.addresses, 0);
     } else {
-        // Not the same as a target without an address: what it stands for is not known.
+        // Unlike a target that has no address, this one may still have one.
         found.unresolved.push_back(target);
         found.notes.push_back(target + ": " + why);
-        settle(target, {}, 0);
+        storeAddresses(target, {}, 0);
     }
     finishIfResolved();
 }
@@ -302,17 +303,17 @@
 }
 
 void Lookup::finishIfResolved() {
-    if (done || !unsettled.empty())
+    if (done || !pendingTargets.empty())
         return;
     for (const auto &srv : srvs) {
-        const auto &of = settled.at(srv.target);
-        boundLifetime(of.seconds);
-        if (!of.addresses.empty())
-            found.targets.push_back({srv, of.addresses});
+        const auto &entry = resolved.at(srv.target);
+        boundLifetime(entry.seconds);
+        if (!entry.addresses.empty())
+            found.targets.push_back({srv, entry.addresses});
     }
     std::ranges::sort(found.unresolved);
     if (found.targets.empty() && !found.unresolved.empty())
-        fail("no target has an address that could be asked for");
+        fail("no address of any target could be resolved");
     else
         finishWith(LookupOutcome::servers);
 }
@@ -323,9 +324,9 @@
 
 AddressCache Lookup::addresses() const {
     AddressCache out;
-    for (const auto &[target, of] : settled)
-        if (!of.addresses.empty())
-            out.emplace(target, of);
+    for (const auto &[target, entry] : resolved)
+        if (!entry.addresses.empty())
+            out.emplace(target, entry);
     return out;
 }
 
--- a/src/dns/lookup.hpp
+++ b/src/dns/lookup.hpp
@@ -1,4 +1,4 @@
-// From one SRV name to its servers: which questions to send and what the replies mean (RFC 2782,
+// The lookup of one SRV name: which questions to send and how to interpret the replies (RFC 2782,
 // RFC 2308, aliases by RFC 1034, 3.6.2). Driven by the resolver. Pure: no socket, no clock.
 #pragma once
 
@@ -11,79 +11,81 @@
 
 namespace deckcart::dns {
 
-/// Bounds of one lookup, against names that grow without end.
+/// Limits of one lookup, which bound the work that a hostile or misconfigured zone can cause.
 struct LookupBounds {
     /// Servers of a name; further ones are left out, with a note.
     std::size_t targets = 1024;
-    /// Of the name, one after the other; a longer chain is a fault.
+    /// Length of a chain of aliases from the service name; a longer one fails the lookup.
     std::size_t aliases = 8;
-    /// Of one target; further ones are left out, with a note.
+    /// Addresses of one target; further ones are left out, with a note.
     std::size_t addresses = 8;
 };
 
 struct Target {
     Srv srv;
-    std::vector<asio::ip::address> addresses;  // sorted; those of version 4 if there is one
+    std::vector<asio::ip::address> addresses;  // sorted; IPv4 only, or IPv6 if there is no IPv4
 };
 
 enum class LookupOutcome {
     servers,
-    noData,      // the name is there, without such records
-    noName,      // the name is not there
-    notOffered,  // the one target "." : decidedly no such service (RFC 2782)
-    failed       // nothing was learned
+    noData,      // the name exists, without usable SRV records
+    noName,      // the name does not exist
+    notOffered,  // the only target is ".": the service is explicitly not offered (RFC 2782)
+    failed       // no usable reply
 };
-/// As logs write it.
+/// The name of the outcome in logs.
 [[nodiscard]] const char *nameOf(LookupOutcome kind);
 
 /// The result of a lookup.
 struct Found {
     LookupOutcome kind = LookupOutcome::failed;
     std::vector<Target> targets;  // by priority, name, port
-    /// The least lifetime of all records that led here; of a negative answer the lesser of SOA's
-    /// lifetime and MINIMUM (RFC 2308, 5), 0 where there is no SOA. Not clamped.
+    /// The least TTL of all records used, in seconds. For a negative answer the lesser of the SOA
+    /// record's TTL and its MINIMUM (RFC 2308, 5), or 0 without an SOA record. Not clamped.
     std::uint32_t seconds = 0;
-    /// Targets whose address no server gave: nothing is known of them.
+    /// Targets for whose address no server gave a usable reply: they may still have one.
     std::vector<std::string> unresolved;
-    /// What was left out, and why.
+    /// Records that were ignored or replaced, with the reason.
     std::vector<std::string> notes;
-    /// Of LookupOutcome::failed.
+    /// Why the lookup failed; set for LookupOutcome::failed.
     std::string fault;
 };
 
-/// Addresses that an earlier lookup found; used instead of a question, and where one fails.
+/// Addresses of a target from an earlier lookup. They save a question while they are valid, and
+/// replace a reply that could not be had.
 struct CachedAddresses {
     std::vector<asio::ip::address> addresses;
-    /// What is left of their lifetime. 0: out of date, for failures only (RFC 8767).
+    /// Remaining TTL. 0: expired, used only if a question fails (RFC 8767).
     std::uint32_t seconds = 0;
 };
-/// By the target's name.
+/// By target name.
 using AddressCache = std::map<std::string, CachedAddresses>;
 
-/// The cache as it is after this time: a question for each target at each turn would be 300.
+/// The cache with its TTLs reduced by `passed`. Without the cache, each lookup at a site of 300
+/// servers would send 300 address questions.
 [[nodiscard]] AddressCache aged(AddressCache cache, Duration passed);
 
-/// One lookup of an SRV name. Alternate takeQuestions() with a call of onReply() or onFailure()
-/// for each question, until finished().
+/// One lookup of an SRV name. Call takeQuestions(), then onReply() or onFailure() once for each
+/// question, and repeat until finished().
 class Lookup {
   public:
     explicit Lookup(std::string name, AddressCache cached = {}, LookupBounds bounds = {});
 
-    /// Questions to be sent now, each given out once. Empty and not finished: replies are still
-    /// awaited.
+    /// Questions to send now; each is returned once. Empty and not finished: replies are
+    /// outstanding.
     std::vector<Question> takeQuestions();
-    /// The reply to one of them: its id and question are already found to match.
+    /// Handles the reply to a question. The caller has checked that its id and question match.
     void onReply(const Question &question, const Message &reply);
-    /// No server gave a reply of use.
+    /// No server gave a usable reply.
     void onFailure(const Question &question, const std::string &why);
     [[nodiscard]] bool finished() const { return done; }
-    /// Once finished.
+    /// Valid once finished.
     [[nodiscard]] const Found &result() const { return found; }
-    /// The addresses of this lookup, for the next one.
+    /// The addresses found, as the cache for the next lookup.
     [[nodiscard]] AddressCache addresses() const;
 
   private:
-    // A server has its place by these: two records with the same are one server.
+    // Identifies a server: two records with the same target and port are one server.
     struct HostPort {
         std::string target;
         std::uint16_t port = 0;
@@ -93,7 +95,7 @@
     };
     struct SrvRecords {
         std::map<HostPort, Srv> servers;
-        bool notOffered = false;  // target "."
+        bool notOffered = false;  // there is a target "."
         std::size_t count = 0;
     };
 
@@ -102,31 +104,32 @@
     SrvRecords collectServers(const Message &reply);
     void addServer(const Srv &srv, std::map<HostPort, Srv> &servers);
     void onNoServers(const Question &question, const Message &reply);
-    void takeServers(const SrvRecords &records);
+    void sortServers(const SrvRecords &records);
     void resolveTarget(const std::string &target, const Message &reply, const std::string &domain);
     void onAddressReply(const Question &question, const Message &reply);
-    void settle(const std::string &target, std::vector<asio::ip::address> addresses,
-                std::uint32_t seconds);
-    void settleWithoutReply(const std::string &target, const std::string &why);
+    void storeAddresses(const std::string &target, std::vector<asio::ip::address> addresses,
+                        std::uint32_t seconds);
+    void resolveFromCache(const std::string &target, const std::string &why);
     void fail(const std::string &why);
     void finishWith(LookupOutcome kind);
     void finishIfResolved();
     void boundLifetime(std::uint32_t seconds);
 
-    std::string aliasEnd;  // the name asked for, or where its aliases have led
+    std::string currentName;  // the service name, or the end of its aliases so far
     AddressCache cached;
     LookupBounds bounds;
-    std::set<std::string> aliasChain;  // with the name asked for
+    std::set<std::string> aliasChain;  // including the service name
     std::vector<Question> pendingQuestions;
     std::vector<Srv> srvs;
-    std::set<std::string> unsettled;  // targets whose addresses are asked for
-    AddressCache settled;
+    std::set<std::string> pendingTargets;  // targets with an outstanding address question
+    AddressCache resolved;                 // targets without an address have an empty entry
     bool done = false;
     Found found;
 };
 
-/// The domain of a service name: what stands behind its labels with an underscore. Addresses that
-/// come along with a reply are believed for names within it only; others are asked for.
+/// The domain of a service name: what follows its leading labels with an underscore. Addresses in
+/// the additional section of a reply are trusted only for names within it; those of other names are
+/// queried for.
 [[nodiscard]] std::string domainOf(const std::string &serviceName);
 
 }  // namespace deckcart::dns
--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -3,8 +3,8 @@
 namespace deckcart::dns {
 namespace {
 
-// With the final dot, which the limit of 253 characters leaves out.
-constexpr std::size_t kMostNameBytes = 254;
+// Includes the final dot, which the limit of 253 characters does not count.
+constexpr std::size_t kMaxNameBytes = 254;
 
 bool isNameCharacter(char c) {
     return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '-' || c == '_';
@@ -39,7 +39,7 @@
             if (labelBytes == 0)
                 return {};
             labelBytes = 0;
-        } else if (!isNameCharacter(lower) || ++labelBytes > kMostLabelBytes) {
+        } else if (!isNameCharacter(lower) || ++labelBytes > kMaxLabelBytes) {
             return {};
         }
         canonical += lower;
@@ -48,7 +48,7 @@
         return {};
     if (canonical.back() != '.')
         canonical += '.';
-    return canonical.size() <= kMostNameBytes ? canonical : std::string{};
+    return canonical.size() <= kMaxNameBytes ? canonical : std::string{};
 }
 
 bool within(const std::string &name, const std::string &zone) {
--- a/src/dns/message.hpp
+++ b/src/dns/message.hpp
@@ -1,6 +1,6 @@
-// DNS messages as values, read and written by ldns: RFC 1035, 2782 (SRV), 6891 (EDNS). Called by
-// the resolver, the lookup and the fake name server. Names are in lower case with the final dot. Of
-// record types only those that lead to a server are kept; others are passed over. Pure.
+// DNS messages as values, encoded and decoded with ldns: RFC 1035, 2782 (SRV), 6891 (EDNS). Used by
+// the resolver, the lookup and the fake name server. Names are in lower case with the final dot.
+// Only the record types needed to find a service's endpoints are kept; others are ignored. Pure.
 #pragma once
 
 #include <asio/ip/address.hpp>
@@ -13,13 +13,14 @@
 
 namespace deckcart::dns {
 
-/// Largest message taken over UDP, in bytes: goes unfragmented over every usual path (DNS flag day
+/// Largest message accepted over UDP, in bytes: is not fragmented on any usual path (DNS flag day
 /// 2020).
 constexpr std::uint16_t kUdpBytes = 1232;
-/// Most records of a reply: five times the largest site's 300 servers with two addresses each.
-constexpr std::size_t kMostRecords = 4096;
+/// Maximum number of records in a message: about five times what the largest site needs, which has
+/// 300 servers with two addresses each.
+constexpr std::size_t kMaxRecords = 4096;
 
-/// Record types that are read (RFC 1035, 3.2.2; RFC 3596; RFC 2782).
+/// Supported record types (RFC 1035, 3.2.2; RFC 3596; RFC 2782).
 enum class Type : std::uint16_t { a = 1, cname = 5, soa = 6, aaaa = 28, srv = 33 };
 [[nodiscard]] const char *nameOf(Type type);
 
@@ -38,9 +39,9 @@
     bool operator==(const Alias &) const = default;
 };
 
-/// What is used of an SOA record (RFC 1035, 3.3.13).
+/// The part of an SOA record that is used (RFC 1035, 3.3.13).
 struct Soa {
-    /// MINIMUM: bound of the lifetime of negative answers (RFC 2308, 4).
+    /// MINIMUM, in seconds: upper limit of the TTL of negative answers (RFC 2308, 4).
     std::uint32_t negativeSeconds = 0;
     bool operator==(const Soa &) const = default;
 };
@@ -49,7 +50,7 @@
 
 struct Record {
     std::string owner;
-    /// Lifetime (TTL); one with the highest bit set is 0 (RFC 2181, 8).
+    /// TTL; one with the highest bit set is read as 0 (RFC 2181, 8).
     std::uint32_t seconds = 0;
     RecordData data;
     bool operator==(const Record &) const = default;
@@ -77,7 +78,7 @@
     bool truncated = false;
     bool authoritative = false;
     bool recursionDesired = true;
-    /// As Code; others as they are.
+    /// The response code: a value of Code, or any other that was received.
     std::uint8_t code = 0;
     std::optional<Question> question;
     std::vector<Record> answers;
@@ -85,27 +86,28 @@
     std::vector<Record> additional;
 };
 
-/// Lower case with the final dot; empty if it is no host or service name: labels of 1 to 63
-/// letters, digits, hyphens or underscores, 253 characters at most (RFC 1035, 2.3.4; RFC 2782 for
-/// the underscores).
+/// The name in lower case with the final dot. Empty if it is not a valid host or service name:
+/// labels of 1 to 63 letters, digits, hyphens or underscores, 253 characters at most (RFC 1035,
+/// 2.3.4; RFC 2782 for the underscores).
 [[nodiscard]] std::string canonicalName(std::string_view name);
-/// Longest label of a name (RFC 1035, 2.3.4).
-constexpr std::size_t kMostLabelBytes = 63;
-/// Whether `name` is `zone` or below it; both canonical.
+/// Maximum length of a label (RFC 1035, 2.3.4).
+constexpr std::size_t kMaxLabelBytes = 63;
+/// Whether `name` equals `zone` or is a subdomain of it; both canonical.
 [[nodiscard]] bool within(const std::string &name, const std::string &zone);
 
-/// The bytes of a message. With EDNS (RFC 6891) it offers kUdpBytes.
-/// @throws std::invalid_argument for a name that can't be written, with the name, and where ldns
-///         can't write the whole.
+/// Encodes a message. With EDNS (RFC 6891) it announces kUdpBytes as the payload size.
+/// @throws std::invalid_argument if a name can't be encoded, with the name in the text, or if ldns
+///         can't encode the message.
 [[nodiscard]] std::vector<std::uint8_t> encode(const Message &message, bool edns = true);
 
+/// Result of decode().
 struct Decoded {
     std::optional<Message> message;
-    /// Why there is none.
+    /// Why there is no message.
     std::string fault;
 };
-/// Reads any bytes: what is no message, has another class than IN, or is over a bound gives a
-/// fault.
+/// Decodes a message from untrusted bytes. The result is a fault if they are malformed, exceed a
+/// limit, or ask a question of another class than IN. Records of other classes are ignored.
 [[nodiscard]] Decoded decode(const std::uint8_t *bytes, std::size_t size);
 
 }  // namespace deckcart::dns
--- a/src/dns/query_schedule.cpp
+++ b/src/dns/query_schedule.cpp
@@ -12,42 +12,47 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A name server of a site answers in a few ms, a recursive one in some hundreds. Each lap round the
-// servers waits twice as long; with three servers that is 5 s in all, well within a usual lifetime.
-constexpr Duration kFirstWait = milliseconds(400);
-constexpr std::size_t kMostAttempts = 9;
-constexpr std::size_t kLaps = 2;
-// TCP needs a connection first, and the long reply comes in several segments.
-constexpr Duration kTcpWait = seconds(2);
-// Drawn on top of each wait, so that questions sent together are not repeated together.
-constexpr double kWaitSpread = 0.25;
-// A server that failed is backed off, 1 s doubling to a minute, so that a dead one does not cost
-// each question its wait. It could harm when all are dead: then the one that failed longest ago is
-// asked all the same.
-constexpr Duration kServerBackoffFirst = seconds(1);
-constexpr Duration kServerBackoffMost = seconds(60);
-constexpr int kMostDoublings = 6;
-// Faster ones go first only if twice as fast: below that the operator's order stands, so that
-// gateways do not all change over at a hiccup.
-constexpr int kMuchFaster = 2;
-// A first server within this is fast enough whatever the others do.
-constexpr Duration kFastEnough = milliseconds(20);
-
-// Asked again after 70 to 90 % of the lifetime: the spread parts the gateways, the tenth that is
-// left is enough for two more attempts before the view is stale.
-constexpr double kAheadFrom = 0.7;
-constexpr double kAheadTo = 0.9;
-// After failures: 1 s doubling to 30 s, drawn between half and the whole ("full jitter" would let a
-// few ask at once). The bound keeps the view no more than half a minute behind servers that come
-// back.
-constexpr Duration kRefreshBackoffFirst = seconds(1);
-constexpr Duration kRefreshBackoffMost = seconds(30);
-// A start without a view has requests waiting for it; one with a saved view can leave the servers
-// their time.
-constexpr Duration kStartSpread = milliseconds(100);
-constexpr Duration kStartSpreadWithView = seconds(3);
-// A confirmation may come later than wanted by up to a quarter, so that gateways don't ask in step.
-constexpr double kConfirmSpread = 1.25;
+// A name server at the same site answers within a few ms, a recursive one within some hundreds of
+// ms. The timeout doubles with each round of all servers. With three servers that is 5 s in all,
+// well within a usual lifetime.
+constexpr Duration kInitialUdpTimeout = milliseconds(400);
+constexpr std::size_t kMaxAttempts = 9;
+constexpr std::size_t kMaxRounds = 2;
+// Longer than for UDP: TCP has to connect first, and a long reply arrives in several segments.
+constexpr Duration kTcpTimeout = seconds(2);
+// Random addition to each timeout, as a fraction of it, so that questions sent together are not
+// retried together.
+constexpr double kMaxTimeoutJitter = 0.25;
+// A server that failed is backed off for 1 s, doubling to one minute, so that questions don't wait
+// for the timeout of a dead server. Harm: if all servers are backed off, none would be asked; so
+// the one that failed longest ago is asked first in that case.
+constexpr Duration kInitialServerBackoff = seconds(1);
+constexpr Duration kMaxServerBackoff = seconds(60);
+constexpr int kMaxDoublings = 6;
+// A faster server is moved to the front only if it is more than twice as fast as the first one.
+// Otherwise the operator's order applies, so that a short delay does not make all gateways switch
+// servers.
+constexpr int kMuchFasterFactor = 2;
+// A first server with a round trip within this keeps its place however fast the others are.
+constexpr Duration kFastRoundTrip = milliseconds(20);
+
+// A name is looked up again after 70 to 90 % of its lifetime. The range spreads the load of several
+// gateways; the last tenth leaves time for two more attempts before the endpoint list is
+// stale.
+constexpr double kMinRefreshFraction = 0.7;
+constexpr double kMaxRefreshFraction = 0.9;
+// After failures: 1 s, doubling to 30 s, of which a random half to whole is used ("full
+// jitter" would let some gateways retry at once). With this maximum, the endpoint list is updated
+// within half a minute after the servers recover.
+constexpr Duration kInitialRefreshBackoff = seconds(1);
+constexpr Duration kMaxRefreshBackoff = seconds(30);
+// Without an endpoint list, requests wait for the first lookup. With a saved list it can be delayed
+// further, to spread the load on the name servers.
+constexpr Duration kMaxFirstDelay = milliseconds(100);
+constexpr Duration kMaxFirstDelayWithList = seconds(3);
+// The delay before a confirming lookup is extended by up to a quarter, so that gateways
+// don't query at the same time.
+constexpr double kMaxConfirmDelayFactor = 1.25;
 
 Duration scaled(Duration length, double factor) {
     return Duration{std::llround(double(length.count()) * factor)};
@@ -59,15 +64,15 @@
     auto &record = records.at(server);
     auto &smoothed = record.smoothedRoundTrip;
     smoothed = smoothed == Duration{0} ? roundTrip : (smoothed * 7 + roundTrip) / 8;
-    record.failuresInRow = 0;
+    record.consecutiveFailures = 0;
     record.backedOffUntil = TimePoint{0};
 }
 
 void ServerRanking::onFailure(std::size_t server, TimePoint now) {
     auto &record = records.at(server);
-    const int doublings = std::min(record.failuresInRow, kMostDoublings);
-    const Duration backoff = std::min(kServerBackoffMost, kServerBackoffFirst * (1 << doublings));
-    ++record.failuresInRow;
+    const int doublings = std::min(record.consecutiveFailures, kMaxDoublings);
+    const Duration backoff = std::min(kMaxServerBackoff, kInitialServerBackoff * (1 << doublings));
+    ++record.consecutiveFailures;
     record.failedAt = now;
     record.backedOffUntil = now + backoff;
 }
@@ -82,12 +87,13 @@
     std::stable_sort(firstBackedOff, servers.end(), [&](std::size_t one, std::size_t other) {
         return records[one].failedAt < records[other].failedAt;
     });
-    moveMuchFasterFirst(servers, std::size_t(firstBackedOff - servers.begin()));
+    promoteMuchFaster(servers, std::size_t(firstBackedOff - servers.begin()));
     return servers;
 }
 
-// One that is much faster than the first comes before it; the others keep their order.
-void ServerRanking::moveMuchFasterFirst(Order &servers, std::size_t available) const {
+// Moves the fastest available server to the front if it is much faster than the first one; the
+// others keep their order.
+void ServerRanking::promoteMuchFaster(Order &servers, std::size_t available) const {
     if (available < 2)
         return;
     const auto roundTrip = [&](std::size_t server) {
@@ -101,7 +107,7 @@
         });
     const Duration best = records[*fastest].smoothedRoundTrip;
     const Duration first = records[servers.front()].smoothedRoundTrip;
-    if (best > Duration{0} && first > best * kMuchFaster && first > kFastEnough)
+    if (best > Duration{0} && first > best * kMuchFasterFactor && first > kFastRoundTrip)
         std::rotate(servers.begin(), fastest, fastest + 1);
 }
 
@@ -111,30 +117,30 @@
 }
 
 QueryAttempts::QueryAttempts(std::vector<std::size_t> servers, std::uint32_t seed)
-    : order(std::move(servers)), chance(seed) {}
+    : order(std::move(servers)), random(seed) {}
 
 std::optional<QueryAttempt> QueryAttempts::next() {
-    if (order.empty() || attempts >= kMostAttempts || lap >= kLaps)
+    if (order.empty() || attempts >= kMaxAttempts || round >= kMaxRounds)
         return std::nullopt;
     ++attempts;
-    Duration timeout = overTcp ? kTcpWait : kFirstWait * (1 << lap);
-    const double drawn = double(chance()) / double(std::minstd_rand::max());
-    timeout += Duration{std::int64_t(double(timeout.count()) * kWaitSpread * drawn)};
+    Duration timeout = overTcp ? kTcpTimeout : kInitialUdpTimeout * (1 << round);
+    const double jitter = double(random()) / double(std::minstd_rand::max());
+    timeout += Duration{std::int64_t(double(timeout.count()) * kMaxTimeoutJitter * jitter)};
     return QueryAttempt{order[position], overTcp, withEdns, timeout};
 }
 
 QueryAttempts::ReplyUse QueryAttempts::onReply(const Message &reply) {
-    if (reply.truncated && !overTcp) {  // RFC 7766, 5: the whole is to be had over TCP
+    if (reply.truncated && !overTcp) {  // RFC 7766, 5: retry over TCP
         overTcp = true;
-        lastFault = "the reply is cut and the server takes no TCP";
+        lastFault = "reply truncated and no reply over TCP";
         return ReplyUse::tryAgain;
     }
     const auto code = static_cast<Code>(reply.code);
     if (code == Code::noError || code == Code::nxDomain)
         return ReplyUse::answer;
-    const std::string fault = "a reply with code " + std::to_string(reply.code);
-    // A server that does not know EDNS says so by FORMERR or NOTIMP (RFC 6891, 7): asked once more
-    // without.
+    const std::string fault = "reply with response code " + std::to_string(reply.code);
+    // A server without EDNS support replies with FORMERR or NOTIMP (RFC 6891, 7): retry once
+    // without EDNS.
     if ((code == Code::formErr || code == Code::notImp) && withEdns) {
         withEdns = false;
         lastFault = fault;
@@ -150,7 +156,7 @@
     withEdns = true;
     if (++position == order.size()) {
         position = 0;
-        ++lap;
+        ++round;
     }
 }
 
@@ -162,25 +168,26 @@
 }
 
 double Refresh::drawBetween(double from, double to) {
-    return from + (to - from) * double(chance() - 1) / double(std::minstd_rand::max());
+    return from + (to - from) * double(random() - 1) / double(std::minstd_rand::max());
 }
 
-Duration Refresh::first(bool haveView) {
-    return scaled(haveView ? kStartSpreadWithView : kStartSpread, drawBetween(0, 1));
+Duration Refresh::first(bool haveList) {
+    return scaled(haveList ? kMaxFirstDelayWithList : kMaxFirstDelay, drawBetween(0, 1));
 }
 
 Duration Refresh::afterAnswer(Duration lifetime) {
-    failures = 0;
-    return scaled(lifetime, drawBetween(kAheadFrom, kAheadTo));
+    consecutiveFailures = 0;
+    return scaled(lifetime, drawBetween(kMinRefreshFraction, kMaxRefreshFraction));
 }
 
 Duration Refresh::afterFailure() {
-    const int before = failures++;
-    return backedOff(kRefreshBackoffFirst, kRefreshBackoffMost, before, drawBetween(0.5, 1));
+    const int previousFailures = consecutiveFailures++;
+    return backedOff(kInitialRefreshBackoff, kMaxRefreshBackoff, previousFailures,
+                     drawBetween(0.5, 1));
 }
 
-Duration Refresh::sooner(Duration wanted) {
-    return scaled(wanted, drawBetween(1, kConfirmSpread));
+Duration Refresh::sooner(Duration minDelay) {
+    return scaled(minDelay, drawBetween(1, kMaxConfirmDelayFactor));
 }
 
 Duration QueryRateLimiter::take(TimePoint now) {
--- a/src/dns/query_schedule.hpp
+++ b/src/dns/query_schedule.hpp
@@ -1,5 +1,6 @@
-// How one question is put to several name servers, and when a name is looked up again. Pure: the
-// time is passed in, chance is a seed. Carried out by the resolver.
+// In which order, with which timeouts and how often a question is sent to several name servers,
+// and when a name is looked up again. Pure: the time is passed in, randomness comes from a seed.
+// Driven by the resolver.
 #pragma once
 
 #include <random>
@@ -8,112 +9,114 @@
 
 namespace deckcart::dns {
 
-/// In which order to try the name servers, by how they answered so far. Servers are given by their
-/// index in the settings.
+/// Orders the name servers by how they answered so far. Servers are given by their index in the
+/// settings.
 class ServerRanking {
   public:
     explicit ServerRanking(std::size_t servers) : records(servers) {}
     void onAnswer(std::size_t server, Duration roundTrip);
-    /// No reply, or none that is of use.
+    /// The server gave no reply, or no usable one.
     void onFailure(std::size_t server, TimePoint now);
-    /// All of them, best first: those that are not backed off, in the order given by the operator
-    /// as long as they answer about as fast; then the others, the one that failed longest ago
+    /// All servers, best first: those that are not backed off, in the operator's order unless one
+    /// of them answers much faster; then the backed-off ones, the one that failed longest ago
     /// first.
     [[nodiscard]] std::vector<std::size_t> order(TimePoint now) const;
 
   private:
     struct ServerRecord {
-        /// Of the answers' times, RFC 6298 (2): 7/8 old, 1/8 new; zero: none yet.
+        /// Of the answers' round trips: 7/8 old, 1/8 new (RFC 6298, 2); zero: no answer yet.
         Duration smoothedRoundTrip{};
-        int failuresInRow = 0;
+        int consecutiveFailures = 0;
         TimePoint backedOffUntil{};
         TimePoint failedAt{};
     };
     using Order = std::vector<std::size_t>;
-    void moveMuchFasterFirst(Order &servers, std::size_t available) const;
+    void promoteMuchFaster(Order &servers, std::size_t available) const;
 
     std::vector<ServerRecord> records;
 };
 
-/// One message of a query.
+/// How to send one message of a query.
 struct QueryAttempt {
     /// Index in the settings.
     std::size_t server = 0;
     bool tcp = false;
     bool edns = true;
-    /// Without a reply by then, the next attempt follows.
+    /// Without a reply within this time, the attempt has failed.
     Duration timeout{};
 };
 
-/// Whether such a reply counts as a failure of its server, as silence does: it knows the question
-/// and won't answer.
+/// Whether the reply counts as a failure of its server, as a missing reply does: the server
+/// understood the question but can't or won't answer it.
 [[nodiscard]] bool isServerFailure(const Message &reply);
 
-/// The attempts of one question until it is answered or given up: a bounded number of messages.
+/// The attempts of one question, until it is answered or the limit of messages is reached.
 class QueryAttempts {
   public:
     /// @param order  the servers, best first
     QueryAttempts(std::vector<std::size_t> order, std::uint32_t seed);
-    /// What to send now; empty: given up, see fault().
+    /// The next attempt to send; empty: all have failed, see fault().
     [[nodiscard]] std::optional<QueryAttempt> next();
     enum class ReplyUse { answer, tryAgain };
-    /// What a matching reply to the last attempt is good for.
+    /// Handles a matching reply to the last attempt: whether it is the answer, or another attempt
+    /// is needed.
     [[nodiscard]] ReplyUse onReply(const Message &reply);
     /// The last attempt had no reply.
     void onFailure(const std::string &why);
-    /// Why the last attempt did not succeed.
+    /// Why the last attempt failed.
     [[nodiscard]] const std::string &fault() const { return lastFault; }
 
   private:
     std::vector<std::size_t> order;
-    std::minstd_rand chance;
+    std::minstd_rand random;
     std::size_t position = 0;  // in the order
     std::size_t attempts = 0;
-    std::size_t lap = 0;
+    std::size_t round = 0;  // of all servers
     bool overTcp = false;
     bool withEdns = true;
-    std::string lastFault = "no name server is given";
+    std::string lastFault = "no name server is configured";
 };
 
-/// Bounds of the lifetimes that a lookup found.
+/// Limits of the lifetimes derived from TTLs.
 struct RefreshRules {
     Duration floor = std::chrono::seconds(5);
     Duration ceiling = std::chrono::hours(1);
-    /// Of negative answers, as RFC 2308 (5) advises: below 3 h.
+    /// Ceiling for negative answers, within the 3 h that RFC 2308 (5) advises.
     Duration negativeCeiling = std::chrono::minutes(5);
 };
 
-/// When one name is looked up again. All results but lifetime() are times from now, drawn anew for
-/// each call.
+/// When one name is looked up again. All results but lifetime() are delays from now, drawn at
+/// random in each call.
 class Refresh {
   public:
-    Refresh(RefreshRules with, std::uint32_t seed) : rules(with), chance(seed) {}
-    /// Of a result, within the bounds.
+    Refresh(RefreshRules limits, std::uint32_t seed) : rules(limits), random(seed) {}
+    /// The lifetime of a result, within the limits.
     [[nodiscard]] Duration lifetime(const Found &found) const;
-    /// After the start, so that gateways started together don't ask in step.
-    /// @param haveView  there is something to go by until the first answer
-    [[nodiscard]] Duration first(bool haveView);
-    /// Ahead of the lifetime's end.
+    /// Delay of the first lookup; spread so that gateways started together don't query at once.
+    /// @param haveList  there is an endpoint list to use until the first answer
+    [[nodiscard]] Duration first(bool haveList);
+    /// Delay after an answer: ends before its lifetime does.
     [[nodiscard]] Duration afterAnswer(Duration lifetime);
-    /// With backoff from one failure to the next.
+    /// Delay after a failure; grows with consecutive failures.
     [[nodiscard]] Duration afterFailure();
-    /// When a reading is to be confirmed: not before `wanted`, by little more.
-    [[nodiscard]] Duration sooner(Duration wanted);
+    /// Delay of a lookup that confirms losses: at least `minDelay` and little longer.
+    [[nodiscard]] Duration sooner(Duration minDelay);
 
   private:
     double drawBetween(double from, double to);
 
     RefreshRules rules;
-    std::minstd_rand chance;
-    int failures = 0;  // in a row
+    std::minstd_rand random;
+    int consecutiveFailures = 0;
 };
 
-/// At most so many questions a second, a burst of one second's worth: for the name servers' sake
-/// when many names are due at once. A token bucket.
+/// Limits the questions per second, with bursts of up to one second's worth, so that the name
+/// servers are not overloaded when many names are due at once. A token bucket.
 class QueryRateLimiter {
   public:
     explicit QueryRateLimiter(double perSecond) : rate(perSecond), tokens(perSecond) {}
-    /// Zero: it may go now and is counted; else how long to wait before the next call.
+    /// Zero: a question may be sent now, and is counted. Otherwise the time to wait before the next
+    /// call.
     [[nodiscard]] Duration take(TimePoint now);
 
   private:
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -10,11 +10,11 @@
 using asio::ip::tcp;
 using asio::ip::udp;
 
-// A datagram has no more (RFC 768).
-constexpr std::size_t kMostDatagramBytes = 65535;
+// The length field of a datagram allows no more (RFC 768).
+constexpr std::size_t kMaxDatagramBytes = 65535;
 
-// Ids must not be guessed from outside, so they don't come from the seed (RFC 5452, 9.2).
-std::uint16_t freshId() {
+// Ids must be unpredictable to an attacker, so they are not derived from the seed (RFC 5452, 9.2).
+std::uint16_t randomId() {
     static thread_local std::random_device device;
     return std::uint16_t(device());
 }
@@ -22,89 +22,91 @@
 }  // namespace
 
 struct Resolver::WatchedName {
-    WatchedName(asio::io_context &io, std::string of, RefreshRules rules, std::uint32_t seed)
-        : name(std::move(of)), refresh(rules, seed), timer(io) {}
+    WatchedName(asio::io_context &io, std::string watchedName, RefreshRules rules,
+                std::uint32_t seed)
+        : name(std::move(watchedName)), refresh(rules, seed), timer(io) {}
 
     std::string name;
     Refresh refresh;
     asio::steady_timer timer;
-    std::optional<Lookup> lookup;  // one that is under way
-    std::size_t server = 0;        // that answered the SRV question
+    std::optional<Lookup> lookup;  // in progress
+    std::size_t server = 0;        // sent the SRV reply
     AddressCache addresses;
     TimePoint addressesAt{};
-    TimePoint due{};  // of the timer
+    TimePoint dueAt{};  // of the next lookup
 };
 
 struct Resolver::Query {
-    Query(asio::io_context &io, Question of, std::vector<std::size_t> order, std::uint32_t seed)
-        : question(std::move(of)), attempts(std::move(order), seed), datagrams(io), stream(io) {}
+    Query(asio::io_context &io, Question toSend, std::vector<std::size_t> order, std::uint32_t seed)
+        : question(std::move(toSend)), attempts(std::move(order), seed), udpSocket(io),
+          tcpSocket(io) {}
 
     void close() {
         asio::error_code ignored;
         timer.reset();
-        datagrams.close(ignored);
-        stream.close(ignored);
+        udpSocket.close(ignored);
+        tcpSocket.close(ignored);
     }
 
-    std::vector<std::string> forNames;  // watched names that wait for it
+    std::vector<std::string> waitingNames;  // watched names that wait for the reply
     Question question;
     QueryAttempts attempts;
     QueryAttempt current;
-    std::uint64_t attemptNumber = 0;  // what comes for an earlier one is late
+    std::uint64_t attemptNumber = 0;  // callbacks of earlier attempts are ignored
     std::uint16_t id = 0;
     TimePoint sentAt{};
-    std::optional<asio::steady_timer> timer;  // of the current attempt; reset: cancelled
-    udp::socket datagrams;
-    tcp::socket stream;
+    std::optional<asio::steady_timer> timer;  // of the current attempt; empty: cancelled
+    udp::socket udpSocket;
+    tcp::socket tcpSocket;
     std::vector<std::uint8_t> sent;
     std::vector<std::uint8_t> received;
-    std::array<std::uint8_t, 2> receivedLength{};  // of a message over TCP (RFC 1035, 4.2.2)
-    bool over = false;
+    std::array<std::uint8_t, 2> receivedLength{};  // length prefix over TCP (RFC 1035, 4.2.2)
+    bool finished = false;
 };
 
 template <class Callback>
 auto Resolver::forAttempt(const QueryPointer &query, Callback callback) const {
     return guard.wrap([query, attempt = query->attemptNumber,
                        callback = std::move(callback)](const auto &...arguments) {
-        if (!query->over && attempt == query->attemptNumber)
+        if (!query->finished && attempt == query->attemptNumber)
             callback(arguments...);
     });
 }
 
-Resolver::Resolver(asio::io_context &io, const Clock &with, ResolverSettings given,
-                   std::uint64_t seed, OnResult observer)
-    : context(io), clock(with), settings(std::move(given)), chance(seed),
-      onResult(std::move(observer)), servers(settings.servers.size()),
+Resolver::Resolver(asio::io_context &io, const Clock &loopClock, ResolverSettings resolverSettings,
+                   std::uint64_t seed, OnResult callback)
+    : context(io), clock(loopClock), settings(std::move(resolverSettings)), random(seed),
+      onResult(std::move(callback)), servers(settings.servers.size()),
       rateLimiter(settings.questionsASecond), rateTimer(io) {}
 
 Resolver::~Resolver() {
     for (const auto &query : inFlight) {
-        query->over = true;
+        query->finished = true;
         query->close();
     }
 }
 
-void Resolver::follow(const std::string &name, bool haveView) {
+void Resolver::follow(const std::string &name, bool haveList) {
     if (watchedNames.contains(name))
         return;
     auto &watched = watchedNames[name];
     watched =
-        std::make_unique<WatchedName>(context, name, settings.refresh, std::uint32_t(chance()));
-    scheduleLookup(*watched, watched->refresh.first(haveView));
+        std::make_unique<WatchedName>(context, name, settings.refresh, std::uint32_t(random()));
+    scheduleLookup(*watched, watched->refresh.first(haveList));
 }
 
-void Resolver::refreshWithin(const std::string &name, Duration wanted) {
+void Resolver::refreshWithin(const std::string &name, Duration minDelay) {
     const auto found = watchedNames.find(name);
     if (found == watchedNames.end() || found->second->lookup)
         return;
     WatchedName &watched = *found->second;
-    const Duration delay = watched.refresh.sooner(wanted);
-    if (clock.now() + delay < watched.due)
+    const Duration delay = watched.refresh.sooner(minDelay);
+    if (clock.now() + delay < watched.dueAt)
         scheduleLookup(watched, delay);
 }
 
 void Resolver::scheduleLookup(WatchedName &watched, Duration delay) {
-    watched.due = clock.now() + delay;
+    watched.dueAt = clock.now() + delay;
     watched.timer.expires_after(delay);
     watched.timer.async_wait(guard.wrap([this, &watched](asio::error_code fault) {
         if (!fault)
@@ -123,8 +125,8 @@
 void Resolver::continueLookup(WatchedName &watched) {
     for (auto &question : watched.lookup->takeQuestions()) {
         auto query = std::make_shared<Query>(context, std::move(question),
-                                             servers.order(clock.now()), std::uint32_t(chance()));
-        query->forNames.push_back(watched.name);
+                                             servers.order(clock.now()), std::uint32_t(random()));
+        query->waitingNames.push_back(watched.name);
         enqueue(std::move(query));
     }
     if (watched.lookup && watched.lookup->finished())
@@ -146,24 +148,24 @@
 }
 
 void Resolver::enqueue(QueryPointer query) {
-    // One question in flight a name: names that lead to the same target share the answer.
+    // Each question is in flight only once: services with the same target share the reply.
     const auto isSame = [&](const QueryPointer &other) {
-        return !other->over && other->question == query->question;
+        return !other->finished && other->question == query->question;
     };
     const auto sent = std::ranges::find_if(inFlight, isSame);
-    const auto queued = std::ranges::find_if(waiting, isSame);
-    if (sent != inFlight.end() || queued != waiting.end()) {
+    const auto queued = std::ranges::find_if(queue, isSame);
+    if (sent != inFlight.end() || queued != queue.end()) {
         const QueryPointer &shared = sent != inFlight.end() ? *sent : *queued;
-        shared->forNames.push_back(query->forNames.front());
+        shared->waitingNames.push_back(query->waitingNames.front());
         return;
     }
-    ++counted.questions;
-    waiting.push_back(std::move(query));
-    sendWaiting();
+    ++counters.questions;
+    queue.push_back(std::move(query));
+    sendQueued();
 }
 
-void Resolver::sendWaiting() {
-    while (!waiting.empty() && inFlight.size() < settings.inFlight && !rateLimited) {
+void Resolver::sendQueued() {
+    while (!queue.empty() && inFlight.size() < settings.inFlight && !rateLimited) {
         const Duration delay = rateLimiter.take(clock.now());
         if (delay > Duration{0}) {
             rateLimited = true;
@@ -172,12 +174,12 @@
                 if (fault)
                     return;
                 rateLimited = false;
-                sendWaiting();
+                sendQueued();
             }));
             return;
         }
-        auto query = std::move(waiting.front());
-        waiting.pop_front();
+        auto query = std::move(queue.front());
+        queue.pop_front();
         inFlight.insert(query);
         sendNextAttempt(query);
     }
@@ -187,14 +189,14 @@
     query->close();
     const auto attempt = query->attempts.next();
     if (!attempt) {
-        // On a turn of its own: this may be a call from within the lookup's own.
+        // Posted: this call may come from continueLookup(), which must not be entered again.
         asio::post(context, guard.wrap([this, query] {
             finishQuery(query, nullptr, query->attempts.fault());
         }));
         return;
     }
     query->current = *attempt;
-    query->id = freshId();
+    query->id = randomId();
     query->sentAt = clock.now();
     ++query->attemptNumber;
     Message message;
@@ -213,16 +215,16 @@
 }
 
 void Resolver::sendUdp(const QueryPointer &query) {
-    ++counted.udp;
+    ++counters.udp;
     const auto server = settings.servers[query->current.server];
     asio::error_code fault;
-    // A socket for each attempt has a port of its own, drawn by the system; connected, it takes
-    // datagrams from the server's address and port only (RFC 5452, 9).
-    query->datagrams.open(server.protocol(), fault);
+    // Each attempt has a socket of its own, with a random port chosen by the system. As the socket
+    // is connected, it only receives datagrams from the server's address and port (RFC 5452, 9).
+    query->udpSocket.open(server.protocol(), fault);
     if (!fault)
-        query->datagrams.connect(server, fault);
+        query->udpSocket.connect(server, fault);
     if (!fault)
-        query->datagrams.send(asio::buffer(query->sent), 0, fault);
+        query->udpSocket.send(asio::buffer(query->sent), 0, fault);
     if (!fault) {
         receiveUdp(query);
         return;
@@ -233,11 +235,11 @@
 }
 
 void Resolver::receiveUdp(const QueryPointer &query) {
-    query->received.resize(kMostDatagramBytes);
-    query->datagrams.async_receive(
+    query->received.resize(kMaxDatagramBytes);
+    query->udpSocket.async_receive(
         asio::buffer(query->received),
         forAttempt(query, [this, query](asio::error_code fault, std::size_t size) {
-            if (fault)  // refused by the host: at once, not at the end of the wait
+            if (fault)  // such as port unreachable: fails now, not at the timeout
                 onAttemptFailed(query, fault.message());
             else if (!onMessage(query, query->received.data(), size))
                 receiveUdp(query);
@@ -245,21 +247,21 @@
 }
 
 void Resolver::sendTcp(const QueryPointer &query) {
-    ++counted.tcp;
+    ++counters.tcp;
     const auto server = settings.servers[query->current.server];
     const std::size_t size = query->sent.size();
     query->sent.insert(query->sent.begin(), {std::uint8_t(size >> 8), std::uint8_t(size)});
-    query->stream.async_connect(tcp::endpoint(server.address(), server.port()),
-                                forAttempt(query, [this, query](asio::error_code fault) {
-                                    if (fault)
-                                        onAttemptFailed(query, "TCP: " + fault.message());
-                                    else
-                                        writeTcp(query);
-                                }));
+    query->tcpSocket.async_connect(tcp::endpoint(server.address(), server.port()),
+                                   forAttempt(query, [this, query](asio::error_code fault) {
+                                       if (fault)
+                                           onAttemptFailed(query, "TCP: " + fault.message());
+                                       else
+                                           writeTcp(query);
+                                   }));
 }
 
 void Resolver::writeTcp(const QueryPointer &query) {
-    asio::async_write(query->stream, asio::buffer(query->sent),
+    asio::async_write(query->tcpSocket, asio::buffer(query->sent),
                       forAttempt(query, [this, query](asio::error_code fault, std::size_t) {
                           if (fault)
                               onAttemptFailed(query, "TCP: " + fault.message());
@@ -269,7 +271,7 @@
 }
 
 void Resolver::receiveTcp(const QueryPointer &query) {
-    asio::async_read(query->stream, asio::buffer(query->receivedLength),
+    asio::async_read(query->tcpSocket, asio::buffer(query->receivedLength),
                      forAttempt(query, [this, query](asio::error_code fault, std::size_t) {
                          if (fault)
                              onAttemptFailed(query, "TCP: " + fault.message());
@@ -281,7 +283,7 @@
 void Resolver::receiveTcpMessage(const QueryPointer &query) {
     const auto &length = query->receivedLength;
     query->received.resize(std::size_t(length[0]) << 8 | length[1]);
-    asio::async_read(query->stream, asio::buffer(query->received),
+    asio::async_read(query->tcpSocket, asio::buffer(query->received),
                      forAttempt(query, [this, query](asio::error_code fault, std::size_t size) {
                          if (fault)
                              onAttemptFailed(query, "TCP: " + fault.message());
@@ -293,12 +295,12 @@
 bool Resolver::onMessage(const QueryPointer &query, const std::uint8_t *bytes, std::size_t size) {
     const auto decoded = decode(bytes, size);
     const auto &message = decoded.message;
-    const bool ours = message && message->reply && message->id == query->id &&
-                      (message->question == query->question ||
-                       // A server that could not read the question may leave it out (RFC 6891, 7).
-                       (!message->question && message->code == std::uint8_t(Code::formErr)));
-    if (!ours) {
-        ++counted.dropped;
+    const bool isReply = message && message->reply && message->id == query->id &&
+                         (message->question == query->question ||
+                          // A server that could not parse the question may omit it (RFC 6891, 7).
+                          (!message->question && message->code == std::uint8_t(Code::formErr)));
+    if (!isReply) {
+        ++counters.dropped;
         return false;
     }
     if (query->attempts.onReply(*message) == QueryAttempts::ReplyUse::answer) {
@@ -320,14 +322,14 @@
 
 void Resolver::finishQuery(const QueryPointer &query, const Message *reply,
                            const std::string &fault) {
-    if (query->over)
+    if (query->finished)
         return;
-    query->over = true;
+    query->finished = true;
     query->close();
     ++query->attemptNumber;
     inFlight.erase(query);
-    ++(reply ? counted.answers : counted.failures);
-    for (const auto &name : query->forNames) {
+    ++(reply ? counters.answers : counters.failures);
+    for (const auto &name : query->waitingNames) {
         const auto found = watchedNames.find(name);
         if (found == watchedNames.end() || !found->second->lookup)
             continue;
@@ -340,7 +342,7 @@
             watched.lookup->onFailure(query->question, fault);
         continueLookup(watched);
     }
-    sendWaiting();
+    sendQueued();
 }
 
 }  // namespace deckcart::dns
--- a/src/dns/resolver.hpp
+++ b/src/dns/resolver.hpp
@@ -1,6 +1,6 @@
-// Asks name servers over UDP and TCP (RFC 1035, 7766) and keeps SRV names up to date. Made by the
-// endpoint watcher. Which server, how long and when again is decided by query_schedule.hpp; what
-// replies mean by lookup.hpp.
+// Queries name servers over UDP and TCP (RFC 1035, 7766) and keeps the lookups of SRV names up to
+// date. Created by the endpoint watcher. query_schedule.hpp chooses servers, timeouts and the time
+// of the next lookup; lookup.hpp interprets the replies.
 #pragma once
 
 #include <asio.hpp>
@@ -14,28 +14,28 @@
 namespace deckcart::dns {
 
 struct ResolverSettings {
-    std::vector<asio::ip::udp::endpoint> servers;  // the same address serves TCP
+    std::vector<asio::ip::udp::endpoint> servers;  // queried over TCP at the same address
     RefreshRules refresh;
     double questionsASecond = 50;
-    /// Questions at once; further ones wait their turn.
+    /// Maximum number of questions in flight; further ones are queued.
     std::size_t inFlight = 16;
 };
 
-/// Since the start.
+/// Totals since the resolver was created.
 struct ResolverCounts {
-    std::uint64_t questions = 0;
-    std::uint64_t udp = 0;       // messages sent
-    std::uint64_t tcp = 0;       // messages sent
-    std::uint64_t answers = 0;   // of questions
-    std::uint64_t dropped = 0;   // messages that were not the reply
-    std::uint64_t failures = 0;  // of questions
+    std::uint64_t questions = 0;  // without those that joined one already sent or queued
+    std::uint64_t udp = 0;        // messages sent
+    std::uint64_t tcp = 0;        // messages sent
+    std::uint64_t answers = 0;    // questions that were answered
+    std::uint64_t dropped = 0;    // received messages that did not match the question
+    std::uint64_t failures = 0;   // questions given up
 };
 
-/// Runs on the thread of its context, which has to outlive it.
+/// Runs on the thread of its io_context, which must outlive it.
 class Resolver {
   public:
-    /// A name was looked up. `server` is the place in ResolverSettings::servers of the SRV reply;
-    /// meaningless where it failed.
+    /// Called when a lookup has ended. `server` is the index in ResolverSettings::servers of the
+    /// server that sent the SRV reply; meaningless if the lookup failed.
     using OnResult = std::function<void(const std::string &name, const Found &found,
                                         Duration lifetime, std::size_t server)>;
     Resolver(asio::io_context &context, const Clock &clock, ResolverSettings settings,
@@ -44,12 +44,13 @@
     Resolver(const Resolver &) = delete;
     Resolver &operator=(const Resolver &) = delete;
 
-    /// Looks the name up from now until the end, ahead of the end of each lifetime.
-    /// @param haveView  there is something to go by until the first answer
-    void follow(const std::string &name, bool haveView);
-    /// Looks it up again so much later instead of when it was due, unless that is sooner.
-    void refreshWithin(const std::string &name, Duration wanted);
-    [[nodiscard]] const ResolverCounts &counts() const { return counted; }
+    /// Starts to look the name up, after a short random delay, and repeats that before each
+    /// lifetime ends, as long as the resolver exists.
+    /// @param haveList  there is an endpoint list to use until the first answer
+    void follow(const std::string &name, bool haveList);
+    /// Looks the name up again after about `minDelay`, unless it is due earlier.
+    void refreshWithin(const std::string &name, Duration minDelay);
+    [[nodiscard]] const ResolverCounts &counts() const { return counters; }
 
   private:
     struct WatchedName;
@@ -61,7 +62,7 @@
     void finishLookup(WatchedName &watched);
     void scheduleLookup(WatchedName &watched, Duration delay);
     void enqueue(QueryPointer query);
-    void sendWaiting();
+    void sendQueued();
     void sendNextAttempt(const QueryPointer &query);
     void sendUdp(const QueryPointer &query);
     void receiveUdp(const QueryPointer &query);
@@ -69,28 +70,29 @@
     void writeTcp(const QueryPointer &query);
     void receiveTcp(const QueryPointer &query);
     void receiveTcpMessage(const QueryPointer &query);
-    /// Whether the bytes were the reply; others are dropped.
+    /// Whether the bytes were the reply to the current attempt; anything else is dropped.
     bool onMessage(const QueryPointer &query, const std::uint8_t *bytes, std::size_t size);
     void onAttemptFailed(const QueryPointer &query, const std::string &why);
-    /// @param reply  null: given up, with the fault
+    /// @param reply  null: the question was given up because of `fault`
     void finishQuery(const QueryPointer &query, const Message *reply, const std::string &fault);
-    /// A callback that is dropped once the attempt, the query or the resolver is over.
+    /// Wraps a callback so that it does nothing once the attempt, the query or the resolver has
+    /// ended.
     template <class Callback>
     auto forAttempt(const QueryPointer &query, Callback callback) const;
 
     asio::io_context &context;
     const Clock &clock;
     ResolverSettings settings;
-    std::mt19937_64 chance;
+    std::mt19937_64 random;
     OnResult onResult;
     ServerRanking servers;
     QueryRateLimiter rateLimiter;
     std::map<std::string, std::unique_ptr<WatchedName>> watchedNames;
-    std::deque<QueryPointer> waiting;
+    std::deque<QueryPointer> queue;
     std::set<QueryPointer> inFlight;
     asio::steady_timer rateTimer;
     bool rateLimited = false;
-    ResolverCounts counted;
+    ResolverCounts counters;
     CallbackGuard guard;
 };
 
--- a/src/membership/claims.cpp
+++ b/src/membership/claims.cpp
@@ -10,9 +10,9 @@
 namespace deckcart::membership {
 namespace {
 
-// Of a target with weight 0, relative to the least one above it.
+// Weight of a target with weight 0, relative to the least weight above 0.
 constexpr double kZeroWeightShare = 0.01;
-// The module takes no weight of 0; this is little enough beside 1.
+// The decision module accepts no weight of 0; this is negligible beside 1.
 constexpr double kLeastWeight = 0.001;
 
 // The weights of the targets of one priority class.
@@ -48,8 +48,8 @@
         for (const auto &address : target.addresses) {
             Claim claim;
             claim.entry.id = format(asio::ip::tcp::endpoint(address, target.srv.port));
-            // Two targets with one address and port are one endpoint, of the better class: they
-            // are sorted.
+            // Two targets with the same address and port are one endpoint. The targets are sorted
+            // by priority, so the first one has the better class.
             if (!seen.insert(claim.entry.id).second)
                 continue;
             claim.entry.build = name.build;
--- a/src/membership/claims.hpp
+++ b/src/membership/claims.hpp
@@ -1,5 +1,5 @@
-// What a lookup of an SRV name found, as the reading of a source. Called by the endpoint watcher;
-// RFC 2782. Pure.
+// Converts the result of an SRV lookup (RFC 2782) into a reading of a source. Called by the
+// endpoint watcher. Pure.
 #pragma once
 
 #include "../dns/lookup.hpp"
@@ -7,7 +7,7 @@
 
 namespace deckcart::membership {
 
-/// What the settings say of the endpoints under one name.
+/// An SRV name of the settings, with the attributes of its endpoints.
 struct SrvName {
     std::string name;  // canonical
     BuildNumber build = 0;
@@ -15,10 +15,10 @@
     int cell = 0;
 };
 
-/// One claim for each address of each target: an endpoint is its address and port. Weights (RFC
-/// 2782): relative to the greatest of the class, 1 for all if none has one; a weight of 0 beside
-/// others gets a hundredth of the least of them, "a very small chance". A target's weight is shared
-/// by its addresses. Within 0.001 to 1.
+/// Makes one claim for each address of each target; an endpoint is identified by address and port.
+/// Weights (RFC 2782) are relative to the greatest weight of the priority class, or 1 for all if no
+/// target has one. A target with weight 0 beside others gets a hundredth of their least weight ("a
+/// very small chance"). The addresses of a target share its weight. The results are in 0.001 to 1.
 [[nodiscard]] Reading readingOf(const SrvName &name, const dns::Found &found, TimePoint at,
                                 Duration lifetime, std::string from);
 
--- a/src/membership/merge.cpp
+++ b/src/membership/merge.cpp
@@ -5,13 +5,13 @@
 namespace deckcart::membership {
 namespace {
 
-// The view has to be looked at again by then, if that is still to come.
-void lookAgainAt(View &view, TimePoint at, TimePoint now) {
+// Makes View::changesAt no later than `at`, unless that has passed.
+void scheduleChange(View &view, TimePoint at, TimePoint now) {
     if (at > now)
         view.changesAt = std::min(view.changesAt.value_or(at), at);
 }
 
-SourceView viewOf(const SourceRecord &source, SourceState state, TimePoint now) {
+SourceView makeSourceView(const SourceRecord &source, SourceState state, TimePoint now) {
     SourceView view;
     view.state = state;
     if (state != SourceState::never) {
@@ -27,10 +27,10 @@
 
 }  // namespace
 
-Merge::Merge(MergeRules with) : rules(std::move(with)), sources(rules.sources.size()) {}
+Merge::Merge(MergeRules mergeRules) : rules(std::move(mergeRules)), sources(rules.sources.size()) {}
 
 void Merge::took(std::size_t source, const Reading &reading) {
-    sources.at(source).apply(reading, rules);
+    sources.at(source).applyReading(reading, rules);
 }
 
 void Merge::applyChanges(std::size_t source, TimePoint at, const std::vector<Claim> &claims) {
@@ -38,45 +38,45 @@
 }
 
 void Merge::lost(std::size_t source, TimePoint at, const std::string &why) {
-    sources.at(source).markLost(at, why);
+    sources.at(source).markUnavailable(at, why);
 }
 
 void Merge::markFailedOnce(std::size_t source, const std::string &why) {
-    sources.at(source).markFailedOnce(why);
+    sources.at(source).recordFailedAttempt(why);
 }
 
 View Merge::at(TimePoint now) {
     View view;
-    viewSources(now, view);
+    addSourceViews(now, view);
     const Precedence precedence(sources, rules, now);
     const auto decisions = decideAll(precedence);
     updateClasses(decisions);
     for (const auto &[id, decision] : decisions)
-        view.members.push_back(memberOf(id, decision, precedence, now, view));
-    forget();
+        view.members.push_back(makeMember(id, decision, precedence, now, view));
+    forgetUnlisted();
     return view;
 }
 
-void Merge::viewSources(TimePoint now, View &view) const {
+void Merge::addSourceViews(TimePoint now, View &view) const {
     for (std::size_t index = 0; index < sources.size(); ++index) {
         const SourceRecord &source = sources[index];
         const SourceState state = source.stateAt(now, rules.longestStale);
         if (state == SourceState::fresh)
-            lookAgainAt(view, source.freshUntil(), now);
+            scheduleChange(view, source.freshUntil(), now);
         if (state == SourceState::fresh || state == SourceState::stale)
-            lookAgainAt(view, source.failsAt(rules.longestStale), now);
-        // Row 10: the source is read again to confirm its losses.
+            scheduleChange(view, source.failsAt(rules.longestStale), now);
+        // Row 10: held losses are confirmed by another reading of the source.
         if (const auto oldest = source.oldestHeldLoss()) {
             const TimePoint confirmAt = *oldest + rules.confirmAfter;
             view.confirm.push_back({index, confirmAt});
-            lookAgainAt(view, confirmAt, now);
+            scheduleChange(view, confirmAt, now);
         }
-        view.sources.push_back(viewOf(source, state, now));
+        view.sources.push_back(makeSourceView(source, state, now));
     }
 }
 
-// Rows 1 to 5 for each endpoint, then row 8: what a failed source listed last is better than
-// nothing at all.
+// Applies rows 1 to 5 to each endpoint. If none is live, row 8 falls back to the last readings of
+// failed sources.
 std::map<EndpointId, EndpointDecision> Merge::decideAll(const Precedence &precedence) const {
     std::set<EndpointId> ids = listedOrRouted();
     for (const auto &source : sources)
@@ -94,7 +94,7 @@
     return decisions;
 }
 
-// Row 9.
+// Row 9: opens and closes priority classes.
 void Merge::updateClasses(const std::map<EndpointId, EndpointDecision> &decisions) {
     std::map<BuildNumber, ClassCounts> counts;
     for (const auto &[id, decision] : decisions) {
@@ -106,8 +106,8 @@
     classes.update(counts, rules);
 }
 
-Member Merge::memberOf(const EndpointId &id, const EndpointDecision &decision,
-                       const Precedence &precedence, TimePoint now, View &view) {
+Member Merge::makeMember(const EndpointId &id, const EndpointDecision &decision,
+                         const Precedence &precedence, TimePoint now, View &view) {
     Member member;
     member.reason = decision.reason;
     bool closed = false;
@@ -117,47 +117,49 @@
         member.priority = claim.priority;
         closed = decision.live() && classes.closed(claim.entry.build, claim.priority);
         if (closed)
-            member.reason = "in reserve: class " + std::to_string(claim.priority) + " is closed";
-        member.reason += precedence.otherBuilds(id, claim.entry.build);
+            member.reason =
+                "in reserve: priority class " + std::to_string(claim.priority) + " is closed";
+        member.reason += precedence.describeOtherBuilds(id, claim.entry.build);
     } else if (const auto *before = routed.find(id)) {
         member.entry = before->entry;
         member.priority = before->priority;
     }
     member.entry.id = id;
     member.sources = precedence.listedBy(id);
-    const SourceView &decider = view.sources[decision.decider];
-    member.age = decider.age;
-    member.lifetimeLeft = decider.lifetimeLeft;
-    member.state = decider.state;
-    place(member, decision, closed, now, view);
+    const SourceView &decidingSource = view.sources[decision.decidingSource];
+    member.age = decidingSource.age;
+    member.lifetimeLeft = decidingSource.lifetimeLeft;
+    member.state = decidingSource.state;
+    updateRoutedSet(member, decision, closed, now, view);
     return member;
 }
 
-// Puts the endpoint into the set, lets it leave or takes it out; the member is shown accordingly.
-void Merge::place(Member &member, const EndpointDecision &decision, bool closed, TimePoint now,
-                  View &view) {
+// Adds the endpoint to the routed set, drains it or removes it, and updates the member to match.
+void Merge::updateRoutedSet(Member &member, const EndpointDecision &decision, bool closed,
+                            TimePoint now, View &view) {
     const EndpointId id = member.entry.id;
-    if (decision.state == EndpointState::removed) {  // row 3: out at once
+    if (decision.state == EndpointState::removed) {  // row 3: removed at once
         member.entry.state = EndpointState::removed;
         member.inSet = false;
         routed.remove(id);
         return;
     }
-    // Rows 4 and 7: one that is listed as draining does so as long as it is listed, without a
-    // grace.
+    // Rows 4 and 7: an endpoint that is listed as draining stays draining as long as it is listed;
+    // the grace period does not apply.
     if (decision.listed && !closed) {
         member.entry.state = decision.state;
         routed.put(member.entry, member.priority);
         return;
     }
-    // Row 6: leaves as it was, and is gone after the grace. A closed class does the same.
+    // Row 6: an endpoint that is no longer listed, or whose class is closed, drains with its
+    // last entry and is removed after the grace period.
     member.entry.state = closed ? EndpointState::active : EndpointState::removed;
     member.inSet = false;
-    if (const auto *leaving = routed.leave(id, now, rules.grace)) {
-        member.entry = leaving->entry;
-        member.priority = leaving->priority;
+    if (const auto *draining = routed.drain(id, now, rules.grace)) {
+        member.entry = draining->entry;
+        member.priority = draining->priority;
         member.inSet = true;
-        lookAgainAt(view, *leaving->leavingSince + rules.grace, now);
+        scheduleChange(view, *draining->graceStart + rules.grace, now);
     }
 }
 
@@ -171,12 +173,12 @@
     return ids;
 }
 
-// What can't matter any more: stop notices and withdrawals of endpoints that no source lists and
-// that are out of the set.
-void Merge::forget() {
-    const auto known = listedOrRouted();
+// Drops stop notices and withdrawals of endpoints that no source lists and that are not in the
+// routed set: they have no effect any more.
+void Merge::forgetUnlisted() {
+    const auto keep = listedOrRouted();
     for (auto &source : sources)
-        source.forgetAllBut(known);
+        source.forgetAllExcept(keep);
 }
 
 std::vector<SavedSource> Merge::saved() const {
--- a/src/membership/merge.hpp
+++ b/src/membership/merge.hpp
@@ -1,6 +1,7 @@
-// What the sources of the endpoint list last reported, turned into the one set that is routed to,
-// with a reason for each entry. The rule is the table in docs/design-membership.md. Pure: no I/O,
-// no clock, no chance. It decides neither health nor routing: that is the decision module's.
+// Merges the last readings of all sources of the endpoint list into the one set of endpoints that
+// receive requests, with a reason for each entry. The rules are the numbered rows of the table in
+// docs/design-membership.md. Pure: no I/O, no clock, no randomness. Health and routing are decided
+// by the decision module, not here.
 #pragma once
 
 #include "precedence.hpp"
@@ -9,86 +10,94 @@
 
 namespace deckcart::membership {
 
-/// One source, as shown to operators.
+/// State of one source, as shown to operators.
 struct SourceView {
     SourceState state = SourceState::never;
-    /// Since its last reading.
+    /// Time since its last reading.
     Duration age{};
-    /// Zero: over.
+    /// Remaining lifetime of its last reading; zero once that has expired.
     Duration lifetimeLeft{};
     std::size_t listed = 0;
-    /// Losses that wait for confirmation.
+    /// Number of losses that wait for confirmation.
     std::size_t held = 0;
+    /// Reporter of the last reading that was believed.
     std::string from;
+    /// Why the source could not be read last; empty if it could.
     std::string fault;
 };
 
-/// One endpoint that any source lists or that is still in the set.
+/// An endpoint that some source lists, or that is still in the routed set.
 struct Member {
     EndpointEntry entry;
     int priority = kNoClass;
-    /// False: only shown.
+    /// False: shown to operators only, receives no requests.
     bool inSet = true;
     std::string reason;
-    /// That list it, by precedence.
+    /// Names of the sources that list it, by precedence.
     std::vector<std::string> sources;
-    /// Age, rest of the lifetime and state of the source that decides.
+    /// Age, remaining lifetime and state of the deciding source.
     Duration age{};
     Duration lifetimeLeft{};
     SourceState state = SourceState::never;
 };
 
-/// A source whose held losses have to be confirmed: read it again at this time.
+/// Asks for another reading of a source, to confirm its held losses.
 struct Confirmation {
+    /// Index in MergeRules::sources.
     std::size_t source = 0;
+    /// When to read it.
     TimePoint at{};
 };
 
+/// Result of a merge.
 struct View {
     std::vector<Member> members;  // by id
     std::vector<SourceView> sources;
     std::vector<Confirmation> confirm;
-    /// Look again then, even if nothing is reported.
+    /// The next time at which the result can change without a new reading, because a lifetime, a
+    /// grace period or a wait for confirmation ends. Empty: none is pending.
     std::optional<TimePoint> changesAt;
 };
 
-/// One thread. Sources are given by their index in MergeRules::sources; std::out_of_range for
-/// others.
+/// Holds the state of all sources and of the routed set. Not thread-safe. Sources are given by
+/// their index in MergeRules::sources; any other index throws std::out_of_range.
 class Merge {
   public:
     explicit Merge(MergeRules rules);
 
-    /// A source was read. Times don't go back within a source: a reading older than the last one
-    /// is ignored.
+    /// Applies a new reading of a source; ignored if it is older than that source's last one.
     void took(std::size_t source, const Reading &reading);
-    /// Changes to what the source listed; those that are removed leave its list.
+    /// Applies changes to the last reading of a source; claims with state removed are unlisted.
     void applyChanges(std::size_t source, TimePoint at, const std::vector<Claim> &claims);
-    /// It can't be read: its last reading is stale from now on at the latest.
+    /// The source can't be read: its last reading becomes stale at `at` at the latest.
     void lost(std::size_t source, TimePoint at, const std::string &why);
-    /// One attempt of many to read it failed; the reading lives on.
+    /// Records that a single attempt to read the source failed; its last reading is not affected.
     void markFailedOnce(std::size_t source, const std::string &why);
 
-    /// The set at a time not before any reported so far. Carries out what is due by then.
+    /// Computes the set at `now` and performs the transitions that are due by then.
+    /// @param now  not before any time reported so far
     View at(TimePoint now);
 
+    /// The state to persist, of each source that was read.
     [[nodiscard]] std::vector<SavedSource> saved() const;
-    /// What a process before this one saved; before anything is reported. Sources are found by
-    /// name.
+    /// Restores what an earlier process saved; sources are matched by name. To be called before
+    /// anything is reported.
     void recall(const std::vector<SavedSource> &saved);
-    /// All that a merge under other rules knows, on the same clock; its sources by name.
+    /// Copies the state of a merge with other rules that uses the same clock; sources are matched
+    /// by name.
     void adopt(const Merge &before);
 
   private:
-    void viewSources(TimePoint now, View &view) const;
+    void addSourceViews(TimePoint now, View &view) const;
     [[nodiscard]] std::map<EndpointId, EndpointDecision>
     decideAll(const Precedence &precedence) const;
     void updateClasses(const std::map<EndpointId, EndpointDecision> &decisions);
-    Member memberOf(const EndpointId &id, const EndpointDecision &decision,
-                    const Precedence &precedence, TimePoint now, View &view);
-    void place(Member &member, const EndpointDecision &decision, bool closed, TimePoint now,
-               View &view);
+    Member makeMember(const EndpointId &id, const EndpointDecision &decision,
+                      const Precedence &precedence, TimePoint now, View &view);
+    void updateRoutedSet(Member &member, const EndpointDecision &decision, bool closed,
+                         TimePoint now, View &view);
     [[nodiscard]] std::set<EndpointId> listedOrRouted() const;
-    void forget();
+    void forgetUnlisted();
 
     MergeRules rules;
     std::vector<SourceRecord> sources;
--- a/src/membership/merge_rules.hpp
+++ b/src/membership/merge_rules.hpp
@@ -1,5 +1,5 @@
-// The parameters of the merge, read from the settings: docs/design-membership.md says what each
-// row of the table does with them.
+// The parameters of the merge, read from the settings. The rows of the table in
+// docs/design-membership.md state how each of them is used.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -9,7 +9,7 @@
 namespace deckcart::membership {
 
 enum class SourceKind { controlPlane, nodes, srv };
-/// As the settings and the gateway's API write it.
+/// The name of the kind in the settings and in the gateway's API.
 [[nodiscard]] const char *nameOf(SourceKind kind);
 
 struct SourceRule {
@@ -18,22 +18,23 @@
 };
 
 struct MergeRules {
-    /// The first has precedence.
+    /// In order of precedence, highest first.
     std::vector<SourceRule> sources;
-    /// From the end of a reading's lifetime until its source has failed. An hour outlasts most
-    /// outages of name servers.
+    /// Time from the end of a reading's lifetime until its source counts as failed. One hour
+    /// outlasts most outages of name servers.
     Duration longestStale = std::chrono::hours(1);
-    /// 0 to 1: a loss of more than this part of what a source listed is held until confirmed.
+    /// 0 to 1: if a reading leaves out more than this fraction of what its source listed, the
+    /// losses are held until confirmed.
     double confirmShare = 0.3;
-    /// A held loss that is reported again so much later is believed.
+    /// A held loss is believed if it is reported again at least this long after the first report.
     Duration confirmAfter = std::chrono::seconds(5);
-    /// What leaves the set is draining for so long, then removed. Longer than the usual route
-    /// timeout, so that requests in flight end.
+    /// An endpoint that leaves the set is draining for this time, then removed. Longer than the
+    /// usual route timeout, so that requests in flight can complete.
     Duration grace = std::chrono::seconds(30);
-    /// Of each build: the next priority class opens while fewer live endpoints than this are in
-    /// the open ones. 1 <= reserveBelow <= reserveUntil.
+    /// Per build: the next priority class opens while the open classes have fewer live endpoints
+    /// than this. 1 <= reserveBelow <= reserveUntil.
     int reserveBelow = 1;
-    /// The last open class closes once those before it have this many live endpoints.
+    /// The last open class closes once the classes before it have this many live endpoints.
     int reserveUntil = 2;
 };
 
--- a/src/membership/precedence.cpp
+++ b/src/membership/precedence.cpp
@@ -4,9 +4,9 @@
 
 namespace deckcart::membership {
 
-Precedence::Precedence(const std::vector<SourceRecord> &sources, const MergeRules &with,
+Precedence::Precedence(const std::vector<SourceRecord> &sources, const MergeRules &mergeRules,
                        TimePoint now)
-    : records(sources), rules(with) {
+    : records(sources), rules(mergeRules) {
     std::vector<std::size_t> failed;
     for (std::size_t source = 0; source < records.size(); ++source) {
         const SourceState state = records[source].stateAt(now, rules.longestStale);
@@ -15,16 +15,16 @@
         else if (state != SourceState::never)
             order.push_back(source);
     }
-    counting = order.size();
+    validCount = order.size();
     order.insert(order.end(), failed.begin(), failed.end());
 }
 
-std::span<const std::size_t> Precedence::countingSources() const {
-    return std::span(order).first(counting);
+std::span<const std::size_t> Precedence::validSources() const {
+    return std::span(order).first(validCount);
 }
 
 std::span<const std::size_t> Precedence::failedSources() const {
-    return std::span(order).subspan(counting);
+    return std::span(order).subspan(validCount);
 }
 
 EndpointDecision Precedence::decide(const EndpointId &id) const {
@@ -34,36 +34,36 @@
     return decision;
 }
 
-// Row 3, second half: the notice of a failed source is lifted once a counting source lists the
-// endpoint anew.
-bool Precedence::listedAnewSince(const EndpointId &id, TimePoint stop) const {
-    return std::ranges::any_of(countingSources(), [&](std::size_t source) {
+// Row 3, second half: the stop notice of a failed source is void once a fresh or stale source has
+// begun to list the endpoint as active after that notice.
+bool Precedence::relistedSince(const EndpointId &id, TimePoint stop) const {
+    return std::ranges::any_of(validSources(), [&](std::size_t source) {
         const auto *listing = records[source].claimOn(id);
         return listing && listing->active() && listing->since > stop;
     });
 }
 
-// Rows 3 and 4: told to stop by any source. The first notice decides, but removed goes before
-// draining.
+// Rows 3 and 4: a stop notice of any source applies. The first notice by precedence decides, except
+// that removed overrides draining.
 void Precedence::applyStops(const EndpointId &id, EndpointDecision &decision) const {
     for (std::size_t rank = 0; rank < order.size(); ++rank) {
         const std::size_t source = order[rank];
         const auto *stop = records[source].stopOf(id);
-        if (!stop || (rank >= counting && listedAnewSince(id, stop->since)))
+        if (!stop || (rank >= validCount && relistedSince(id, stop->since)))
             continue;
         const bool removed = stop->state == EndpointState::removed;
         if (decision.state == EndpointState::active ||
             (decision.state == EndpointState::draining && removed)) {
             decision.state = stop->state;
-            decision.decider = source;
-            decision.reason = (removed ? "gone, says " : "draining, says ");
+            decision.decidingSource = source;
+            decision.reason = (removed ? "removed by " : "draining, reported by ");
             decision.reason += rules.sources[source].name;
         }
     }
 }
 
-// Rows 1, 2 and 5: the first source that lists it or has withdrawn it decides, failed ones last;
-// the entry is that of the first that lists it.
+// Rows 1, 2 and 5: the first source by precedence that lists the endpoint or has withdrawn it
+// decides, failed sources last. The entry is that of the first source that lists it.
 void Precedence::applyListings(const EndpointId &id, EndpointDecision &decision) const {
     const auto listsIt = [&](std::size_t source) { return records[source].claimOn(id) != nullptr; };
     const auto first = std::ranges::find_if(order, listsIt);
@@ -73,13 +73,13 @@
         order, [&](std::size_t source) { return listsIt(source) || records[source].withdrew(id); });
     if (deciding == order.end()) {
         if (decision.reason.empty())
-            decision.reason = "no source speaks of it";
+            decision.reason = "not listed by any source";
         return;
     }
     decision.listed = listsIt(*deciding);
     if (decision.state != EndpointState::active)
         return;
-    decision.decider = *deciding;
+    decision.decidingSource = *deciding;
     if (!decision.listed)
         decision.reason = "withdrawn by ";
     else if (records[*deciding].holdsLossOf(id))
@@ -97,8 +97,8 @@
         if (!listing || !listing->active())
             continue;
         decision.listed = true;
-        decision.decider = source;
-        decision.reason = "nothing else is left; listed last by " + rules.sources[source].name;
+        decision.decidingSource = source;
+        decision.reason = "kept as a last resort; last listed by " + rules.sources[source].name;
         return;
     }
 }
@@ -111,7 +111,7 @@
     return names;
 }
 
-std::string Precedence::otherBuilds(const EndpointId &id, BuildNumber build) const {
+std::string Precedence::describeOtherBuilds(const EndpointId &id, BuildNumber build) const {
     std::string text;
     for (const std::size_t source : order) {
         const auto *listing = records[source].claimOn(id);
--- a/src/membership/precedence.hpp
+++ b/src/membership/precedence.hpp
@@ -1,4 +1,4 @@
-// What all sources together say of one endpoint: rows 1 to 5 and 8 of the table in
+// Decides what all sources together say about one endpoint: rows 1 to 5 and 8 of the table in
 // docs/design-membership.md. Used by the merge; pure.
 #pragma once
 
@@ -8,52 +8,53 @@
 
 namespace deckcart::membership {
 
-/// What is decided on one endpoint, before priority classes and the grace.
+/// The decision on one endpoint, before priority classes and the grace period are applied.
 struct EndpointDecision {
-    /// The strongest stop notice that stands; active: there is none.
+    /// State of the strongest stop notice in force; active: there is none.
     EndpointState state = EndpointState::active;
-    /// Whether the deciding source lists it.
+    /// Whether the deciding source lists the endpoint.
     bool listed = false;
-    /// Of the first source that lists it; null: none does. Lives as long as the source's record
-    /// does not change.
+    /// The claim of the first source that lists the endpoint; null: none does. Valid until that
+    /// source's record changes.
     const ListedClaim *listing = nullptr;
     /// Index of the deciding source.
-    std::size_t decider = 0;
+    std::size_t decidingSource = 0;
     /// As shown to operators.
     std::string reason;
 
     [[nodiscard]] bool live() const { return state == EndpointState::active && listed; }
 };
 
-/// The sources in the order in which they decide at one time. Refers to the records and rules that
-/// it was made from.
+/// The sources in their order of precedence at one time. Holds references to the records and rules
+/// passed to the constructor.
 class Precedence {
   public:
-    /// Fresh and stale sources by the order of the rules, then the failed ones. Those never read
-    /// have no say.
+    /// Fresh and stale sources in the order of the rules, then the failed ones. Sources that were
+    /// never read are left out.
     Precedence(const std::vector<SourceRecord> &records, const MergeRules &rules, TimePoint now);
 
     [[nodiscard]] EndpointDecision decide(const EndpointId &id) const;
     [[nodiscard]] bool anyFailed() const { return !failedSources().empty(); }
-    /// Row 8, where nothing else is live: lets the endpoint stand if a failed source listed it
-    /// last and none told it to stop.
+    /// Row 8, for when no endpoint is live: makes the endpoint live if a failed source listed it as
+    /// active in its last reading and no stop notice is in force.
     void applyLastResort(const EndpointId &id, EndpointDecision &decision) const;
-    /// Names of the sources that list it, by precedence.
+    /// Names of the sources that list the endpoint, by precedence.
     [[nodiscard]] std::vector<std::string> listedBy(const EndpointId &id) const;
-    /// Row 2: for the reason, each source that lists it with another build.
-    [[nodiscard]] std::string otherBuilds(const EndpointId &id, BuildNumber build) const;
+    /// Row 2: text for the reason that names each source that lists the endpoint with another
+    /// build.
+    [[nodiscard]] std::string describeOtherBuilds(const EndpointId &id, BuildNumber build) const;
 
   private:
-    [[nodiscard]] std::span<const std::size_t> countingSources() const;
+    [[nodiscard]] std::span<const std::size_t> validSources() const;
     [[nodiscard]] std::span<const std::size_t> failedSources() const;
-    [[nodiscard]] bool listedAnewSince(const EndpointId &id, TimePoint stop) const;
+    [[nodiscard]] bool relistedSince(const EndpointId &id, TimePoint stop) const;
     void applyStops(const EndpointId &id, EndpointDecision &decision) const;
     void applyListings(const EndpointId &id, EndpointDecision &decision) const;
 
     const std::vector<SourceRecord> &records;
     const MergeRules &rules;
-    std::vector<std::size_t> order;  // of sources that count, then of failed ones
-    std::size_t counting = 0;        // how many of them count
+    std::vector<std::size_t> order;  // indices: fresh and stale sources, then failed ones
+    std::size_t validCount = 0;      // how many at the start of `order` are fresh or stale
 };
 
 }  // namespace deckcart::membership
--- a/src/membership/priority_classes.cpp
+++ b/src/membership/priority_classes.cpp
@@ -7,7 +7,7 @@
 namespace deckcart::membership {
 namespace {
 
-// The last class to be open, from the one that was.
+// The new last open class, starting from the current one.
 int lastOpenClass(int last, const ClassCounts &counts, const MergeRules &rules) {
     const auto &live = counts.live;
     last = std::max(last, live.begin()->first);
@@ -29,13 +29,13 @@
 
 void ClassCounts::add(int priority) {
     if (priority == kNoClass)
-        ++classless;
+        ++withoutClass;
     else
         ++live[priority];
 }
 
 int ClassCounts::liveUpTo(int priority) const {
-    int sum = classless;
+    int sum = withoutClass;
     for (const auto &[other, count] : live)
         if (other <= priority)
             sum += count;
--- a/src/membership/priority_classes.hpp
+++ b/src/membership/priority_classes.hpp
@@ -1,5 +1,5 @@
-// Which priority classes of each build are open: row 9 of the table in docs/design-membership.md.
-// Used by the merge; pure.
+// Decides which priority classes of each build are open: row 9 of the table in
+// docs/design-membership.md. Used by the merge; pure.
 #pragma once
 
 #include <map>
@@ -8,23 +8,23 @@
 
 namespace deckcart::membership {
 
-/// Live endpoints of one build, by priority class.
+/// Numbers of live endpoints of one build, by priority class.
 struct ClassCounts {
-    /// In the first class, whichever that is.
-    int classless = 0;
+    /// Endpoints without a class; they are counted with the first one.
+    int withoutClass = 0;
     std::map<int, int> live;
 
     void add(int priority);
-    /// Live endpoints in the classes up to and with this one.
+    /// Number of live endpoints in all classes up to and including this one.
     [[nodiscard]] int liveUpTo(int priority) const;
 };
 
-/// Remembers the last open class of each build: it opens and closes with hysteresis.
+/// Keeps the last open class of each build. Classes open and close with hysteresis.
 class PriorityClasses {
   public:
-    /// Opens and closes by what is live now; builds without a live endpoint are forgotten.
+    /// Opens and closes classes for the current live endpoints; builds without one are forgotten.
     void update(const std::map<BuildNumber, ClassCounts> &counts, const MergeRules &rules);
-    /// Whether a live endpoint of this build and class is kept in reserve.
+    /// Whether a live endpoint of this build and class is held in reserve.
     [[nodiscard]] bool closed(BuildNumber build, int priority) const;
 
   private:
--- a/src/membership/reading.hpp
+++ b/src/membership/reading.hpp
@@ -1,5 +1,5 @@
-// What a source of the endpoint list reports: one reading lists all that it has. Filled by
-// claims.cpp, the settings and the endpoint watcher, read by the merge.
+// A reading: the complete endpoint list that one source reports at one time. Created by claims.cpp,
+// the settings and the endpoint watcher; consumed by the merge.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -9,30 +9,33 @@
 
 namespace deckcart::membership {
 
-/// Priority class of a claim whose source knows no classes.
+/// Priority of a claim whose source has no priority classes.
 constexpr int kNoClass = -1;
-/// A lifetime without end, as a fixed list has: far from overflow when added to a point in time.
+/// An unlimited lifetime, as a fixed list has. Small enough not to overflow when it is added to a
+/// point in time.
 constexpr Duration kForever = std::chrono::hours(24 * 365 * 100);
 
 /// One endpoint as a source lists it.
 struct Claim {
     EndpointEntry entry;
-    /// Lower ones come first. kNoClass: in the first class, whichever that is.
+    /// Priority class; lower values are preferred. kNoClass: always counted with the first class.
     int priority = kNoClass;
-    /// What it stands as in its source: HOST:PORT or the name of the target.
+    /// What the source lists the endpoint under: HOST:PORT, or the target of the SRV record.
     std::string as;
 };
 
-/// All that a source lists at one time.
+/// The complete list of a source at one time.
 struct Reading {
+    /// When the source was read.
     TimePoint at{};
     Duration lifetime{};
-    /// Who reported: one name server or another.
+    /// Who reported it, such as one of several name servers.
     std::string from;
     std::vector<Claim> claims;
-    /// Set by hand: a loss needs no confirmation.
+    /// Set by the operator: losses are believed without confirmation.
     bool certain = false;
-    /// Values of Claim::as of which nothing was learned: what is listed as these stays as it was.
+    /// Values of Claim::as that could not be resolved this time. Endpoints listed under them are
+    /// kept unchanged.
     std::set<std::string> unknown;
 };
 
--- a/src/membership/restart.hpp
+++ b/src/membership/restart.hpp
@@ -1,5 +1,5 @@
-// Whether the decision module may start anew while a gateway runs. Called by the gateway when its
-// settings change. Pure.
+// Whether the decision module may be restarted while its gateway runs. Called by the gateway when
+// its settings change. Pure.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -7,10 +7,10 @@
 
 namespace deckcart::membership {
 
-/// A module that starts anew knows no sticky key and no attempts of the exposure window: with two
-/// builds live, or a canary, it could send more than the exposure limit to the canary. It guards
-/// against that and could harm where settings have to change in the middle of a canary: that has to
-/// end first.
+/// True if at most one build is live and no canary is in progress. A restarted module has lost its
+/// sticky keys and the attempts in its exposure window: with two live builds, or during a canary,
+/// it could send more requests to the canary than the exposure limit allows. The cost of this check
+/// is that some changes of the settings can't take effect before the canary has ended.
 [[nodiscard]] bool mayStartAnew(const std::vector<EndpointEntry> &listed,
                                 std::optional<RolloutPhase> phase);
 
--- a/src/membership/routed_set.cpp
+++ b/src/membership/routed_set.cpp
@@ -11,17 +11,17 @@
     endpoints[entry.id] = {entry, priority, {}};
 }
 
-const RoutedEndpoint *RoutedSet::leave(const EndpointId &id, TimePoint now, Duration grace) {
+const RoutedEndpoint *RoutedSet::drain(const EndpointId &id, TimePoint now, Duration grace) {
     const auto found = endpoints.find(id);
     if (found == endpoints.end())
         return nullptr;
     auto &endpoint = found->second;
-    const TimePoint since = endpoint.leavingSince.value_or(now);
-    if (now - since >= grace) {
+    const TimePoint start = endpoint.graceStart.value_or(now);
+    if (now - start >= grace) {
         endpoints.erase(found);
         return nullptr;
     }
-    endpoint.leavingSince = since;
+    endpoint.graceStart = start;
     endpoint.entry.state = EndpointState::draining;
     return &endpoint;
 }
--- a/src/membership/routed_set.hpp
+++ b/src/membership/routed_set.hpp
@@ -1,5 +1,5 @@
-// The set that is routed to, with the endpoints that leave it: row 6 of the table in
-// docs/design-membership.md. Used by the merge; pure.
+// The set of endpoints that are routed to, including those that drain before they leave it: row 6
+// of the table in docs/design-membership.md. Used by the merge; pure.
 #pragma once
 
 #include <map>
@@ -10,12 +10,12 @@
 
 namespace deckcart::membership {
 
-/// An endpoint of the set, with the entry that it has there.
+/// An endpoint of the set, with its entry there.
 struct RoutedEndpoint {
     EndpointEntry entry;
     int priority = kNoClass;
-    /// Since when it leaves; empty: it stays.
-    std::optional<TimePoint> leavingSince;
+    /// Start of its grace period; empty: it is not leaving the set.
+    std::optional<TimePoint> graceStart;
 };
 
 class RoutedSet {
@@ -23,12 +23,12 @@
     /// Null: it is not in the set.
     [[nodiscard]] const RoutedEndpoint *find(const EndpointId &id) const;
     [[nodiscard]] const std::map<EndpointId, RoutedEndpoint> &all() const { return endpoints; }
-    /// Puts it in, with this entry, or ends its leaving.
+    /// Adds the endpoint or replaces its entry, and cancels its grace period.
     void put(const EndpointEntry &entry, int priority);
     void remove(const EndpointId &id) { endpoints.erase(id); }
-    /// Lets it drain, from the first of these calls on, with the entry it had. Null: it is not in
-    /// the set, or the grace is over and it is removed.
-    const RoutedEndpoint *leave(const EndpointId &id, TimePoint now, Duration grace);
+    /// Makes the endpoint draining with the entry it had; the first call starts its grace period.
+    /// Null: it is not in the set, or its grace period is over and this call removed it.
+    const RoutedEndpoint *drain(const EndpointId &id, TimePoint now, Duration grace);
 
   private:
     std::map<EndpointId, RoutedEndpoint> endpoints;
--- a/src/membership/source_record.cpp
+++ b/src/membership/source_record.cpp
@@ -5,7 +5,7 @@
 namespace deckcart::membership {
 namespace {
 
-TimePoint endOf(TimePoint from, Duration lifetime) {
+TimePoint expiryOf(TimePoint from, Duration lifetime) {
     return from + std::min(lifetime, kForever);
 }
 
@@ -26,7 +26,7 @@
 }
 
 SourceState SourceRecord::stateAt(TimePoint now, Duration longestStale) const {
-    if (!read)
+    if (!hasReading)
         return SourceState::never;
     if (now < lifetimeEnd)
         return SourceState::fresh;
@@ -34,12 +34,12 @@
 }
 
 TimePoint SourceRecord::failsAt(Duration longestStale) const {
-    return endOf(lifetimeEnd, longestStale);
+    return expiryOf(lifetimeEnd, longestStale);
 }
 
-void SourceRecord::apply(const Reading &reading, const MergeRules &rules) {
-    // Row 14: readings that come late or twice.
-    if (read && reading.at < lastReadAt)
+void SourceRecord::applyReading(const Reading &reading, const MergeRules &rules) {
+    // Row 14: ignores a reading that is older than the last one.
+    if (hasReading && reading.at < lastReadAt)
         return;
     const auto missing = missingFrom(reading);
     const bool confirm = needsConfirmation(reading, missing.size(), rules.confirmShare);
@@ -51,30 +51,31 @@
             withdraw(id, reading.at);
     }
     for (const auto &claim : reading.claims)
-        applyClaim(reading.at, claim, !read);
-    // As long as losses are held, the reporter before counts as the last that was believed.
+        applyClaim(reading.at, claim, !hasReading);
+    // While losses are held, the previous reporter stays the last one that was believed.
     if (!holdsAny)
         believedReporter = reading.from;
-    read = true;
+    hasReading = true;
     lastReadAt = reading.at;
-    lifetimeEnd = endOf(reading.at, reading.lifetime);
+    lifetimeEnd = expiryOf(reading.at, reading.lifetime);
     lastFault.clear();
 }
 
 void SourceRecord::applyChanges(TimePoint at, const std::vector<Claim> &claims) {
-    if (!read || at < lastReadAt)
+    if (!hasReading || at < lastReadAt)
         return;
     for (const auto &claim : claims)
         applyClaim(at, claim, false);
     lastReadAt = at;
 }
 
-void SourceRecord::markLost(TimePoint at, const std::string &why) {
+void SourceRecord::markUnavailable(TimePoint at, const std::string &why) {
     lifetimeEnd = std::min(lifetimeEnd, at);
     lastFault = why;
 }
 
-// What the reading leaves out. Row 12: a target whose address is unknown is not missing.
+// The listed endpoints that the reading leaves out. Row 12: a target whose address could not be
+// resolved is not missing.
 std::vector<EndpointId> SourceRecord::missingFrom(const Reading &reading) const {
     std::set<EndpointId> reported;
     for (const auto &claim : reading.claims)
@@ -86,8 +87,8 @@
     return missing;
 }
 
-// Row 10: a large loss. Row 11: another reporter than the last believed one. Row 13: a list that
-// was set by hand is taken as it is.
+// Losses need confirmation if they are large (row 10) or come from another reporter than the last
+// one that was believed (row 11). A list set by the operator is believed at once (row 13).
 bool SourceRecord::needsConfirmation(const Reading &reading, std::size_t missing,
                                      double confirmShare) const {
     if (reading.certain)
@@ -97,7 +98,8 @@
     return largeLoss || otherReporter;
 }
 
-// Row 10: whether the loss still waits; false once it was reported again late enough.
+// Row 10: holds the loss. Returns false once it was reported again at least `confirmAfter` after
+// its first report.
 bool SourceRecord::holdLoss(const EndpointId &id, TimePoint at, Duration confirmAfter) {
     const TimePoint since = heldLosses.try_emplace(id, at).first->second;
     return at - since < confirmAfter;
@@ -118,7 +120,7 @@
         applyStop(at, claim);
 }
 
-// Rows 3 and 4: the notice counts from when this state was first reported.
+// Rows 3 and 4: a stop notice dates from the first report of its state.
 void SourceRecord::applyStop(TimePoint at, const Claim &claim) {
     const EndpointId &id = claim.entry.id;
     const EndpointState state = claim.entry.state;
@@ -134,15 +136,15 @@
 void SourceRecord::applyActive(TimePoint at, const Claim &claim, bool firstReading) {
     const EndpointId &id = claim.entry.id;
     stops.erase(id);
-    const auto *before = claimOn(id);
-    const bool goesOn = before && before->active();
-    ListedClaim listing{claim, goesOn ? before->since : at};
-    // Row 7. A source that reports no start: one that turns up later has started then, as far as
-    // anyone knows.
+    const auto *previous = claimOn(id);
+    const bool wasActive = previous && previous->active();
+    ListedClaim listing{claim, wasActive ? previous->since : at};
+    // Row 7: if the source reports no start time, an endpoint that first appears after the first
+    // reading is taken to have started when it appeared.
     auto &startedAt = listing.claim.entry.startedAt;
     if (!startedAt) {
-        if (goesOn)
-            startedAt = before->claim.entry.startedAt;
+        if (wasActive)
+            startedAt = previous->claim.entry.startedAt;
         else if (!firstReading)
             startedAt = at;
     }
@@ -166,10 +168,10 @@
     return oldest;
 }
 
-void SourceRecord::forgetAllBut(const std::set<EndpointId> &keep) {
-    const auto isUnknown = [&](const auto &item) { return !keep.contains(item.first); };
-    std::erase_if(stops, isUnknown);
-    std::erase_if(withdrawn, isUnknown);
+void SourceRecord::forgetAllExcept(const std::set<EndpointId> &keep) {
+    const auto isDropped = [&](const auto &item) { return !keep.contains(item.first); };
+    std::erase_if(stops, isDropped);
+    std::erase_if(withdrawn, isDropped);
 }
 
 SavedSource SourceRecord::save(const std::string &name) const {
@@ -187,11 +189,11 @@
 }
 
 void SourceRecord::restore(const SavedSource &saved) {
-    read = true;
+    hasReading = true;
     lastReadAt = saved.at;
     lifetimeEnd = saved.at;
     believedReporter = saved.from;
-    lastFault = "of before this start";
+    lastFault = "not read since the restart; saved list in use";
     for (const auto &[claim, since] : saved.listed)
         listed[claim.entry.id] = {claim, since};
     for (const auto &[id, stop] : saved.stops)
--- a/tests/unit/dns_lookup_test.cpp
+++ b/tests/unit/dns_lookup_test.cpp
@@ -46,7 +46,7 @@
     circle.takeQuestions();
     circle.onReply(askedFor(kName, Type::srv),
                    reply({{kName, 7, Alias{"b.org."}}, {"b.org.", 7, Alias{kName}}}));
-    EXPECT_EQ(circle.result().fault, "aliases go round in a circle");
+    EXPECT_EQ(circle.result().fault, "alias loop");
 
     Lookup chain(kName);
     chain.takeQuestions();
@@ -55,7 +55,7 @@
         links.push_back(
             {"n" + std::to_string(k) + ".org.", 7, Alias{"n" + std::to_string(k + 1) + ".org."}});
     chain.onReply(askedFor(kName, Type::srv), reply(links));
-    EXPECT_EQ(chain.result().fault, "too many aliases in a row");
+    EXPECT_EQ(chain.result().fault, "alias chain too long");
 }
 
 TEST(DnsLookup, AnAliasThatLeadsNowhereEnds) {
--- a/tests/unit/dns_message_test.cpp
+++ b/tests/unit/dns_message_test.cpp
@@ -34,7 +34,7 @@
 TEST(DnsMessage, CountsOverTheBoundAreRefusedUnread) {
     auto bytes = encode(reply({srv("r1.example.org.")}));
     bytes[6] = 0xff;
-    EXPECT_EQ(decode(bytes.data(), bytes.size()).fault, "more records than are taken");
+    EXPECT_EQ(decode(bytes.data(), bytes.size()).fault, "the message has too many records");
 }
 
 TEST(DnsMessage, ALifetimeWithTheHighestBitIsNone) {
--- a/tests/unit/merge_test.cpp
+++ b/tests/unit/merge_test.cpp
@@ -112,7 +112,7 @@
     b.took(1, reading(seconds(80), {}));
     b.at(seconds(80));
     EXPECT_EQ(b.live(), 2u);
-    EXPECT_EQ(b.member(1).reason, "nothing else is left; listed last by desk");
+    EXPECT_EQ(b.member(1).reason, "kept as a last resort; last listed by desk");
 }
 
 TEST(Merge, ClassesOpenAndCloseWithHysteresis) {
