--- a/tests/unit/dns_fixture.hpp
+++ b/tests/unit/dns_fixture.hpp
@@ -1,4 +1,4 @@
-// What the tests of DNS share: names, addresses, records and replies in short.
+// Shared by the DNS tests: names, addresses, and short forms of records, replies and questions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,9 +12,9 @@
 using std::chrono::seconds;
 
 inline const std::string kName = "_relay._tcp.example.org.";
-inline const asio::ip::address kFour = asio::ip::make_address("192.0.2.1");
-inline const asio::ip::address kFourB = asio::ip::make_address("192.0.2.2");
-inline const asio::ip::address kSix = asio::ip::make_address("2001:db8::1");
+inline const asio::ip::address kIpv4 = asio::ip::make_address("192.0.2.1");
+inline const asio::ip::address kOtherIpv4 = asio::ip::make_address("192.0.2.2");
+inline const asio::ip::address kIpv6 = asio::ip::make_address("2001:db8::1");
 
 inline Message reply(std::vector<Record> answers, std::vector<Record> additional = {},
                      Code code = Code::noError) {
--- a/tests/unit/dns_lookup_test.cpp
+++ b/tests/unit/dns_lookup_test.cpp
@@ -1,52 +1,52 @@
-// What the replies to the questions of one lookup mean, without sockets.
+// How a lookup interprets the replies to its questions, without sockets.
 #include "dns_fixture.hpp"
 
 namespace deckcart::test {
 namespace {
 
-TEST(DnsLookup, TakesAddressesThatComeAlongWithinTheDomainOnly) {
+TEST(DnsLookup, TrustsAdditionalAddressesWithinTheDomainOnly) {
     Lookup lookup(kName);
     EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor(kName, Type::srv)});
     lookup.onReply(askedFor(kName, Type::srv),
                    reply({srv("in.example.org."), srv("out.example.com.")},
-                         {{"in.example.org.", 20, kFour}, {"out.example.com.", 20, kFourB}}));
+                         {{"in.example.org.", 20, kIpv4}, {"out.example.com.", 20, kOtherIpv4}}));
     EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("out.example.com.", Type::a)});
-    lookup.onReply(askedFor("out.example.com.", Type::a), reply({{"out.example.com.", 10, kFour}}));
+    lookup.onReply(askedFor("out.example.com.", Type::a), reply({{"out.example.com.", 10, kIpv4}}));
     ASSERT_TRUE(lookup.finished());
     EXPECT_EQ(lookup.result().kind, LookupOutcome::servers);
     EXPECT_EQ(lookup.result().targets.size(), 2u);
-    EXPECT_EQ(lookup.result().seconds, 10u) << "the least of all that led here";
+    EXPECT_EQ(lookup.result().seconds, 10u) << "the least TTL of all records used";
 }
 
-TEST(DnsLookup, AsksForVersionSixOnlyWithoutFour) {
+TEST(DnsLookup, QueriesForIpv6OnlyWithoutIpv4) {
     Lookup lookup(kName);
     lookup.takeQuestions();
     lookup.onReply(askedFor(kName, Type::srv), reply({srv("r.example.com.")}));
     EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("r.example.com.", Type::a)});
     lookup.onReply(askedFor("r.example.com.", Type::a), reply({}));
     EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("r.example.com.", Type::aaaa)});
-    lookup.onReply(askedFor("r.example.com.", Type::aaaa), reply({{"r.example.com.", 10, kSix}}));
+    lookup.onReply(askedFor("r.example.com.", Type::aaaa), reply({{"r.example.com.", 10, kIpv6}}));
     ASSERT_TRUE(lookup.finished());
-    EXPECT_EQ(lookup.result().targets[0].addresses, std::vector{kSix});
+    EXPECT_EQ(lookup.result().targets[0].addresses, std::vector{kIpv6});
 }
 
-TEST(DnsLookup, FollowsAliasesOfTheOwnerWithABound) {
+TEST(DnsLookup, FollowsAliasesOfTheOwnerUpToALimit) {
     Lookup lookup(kName);
     lookup.takeQuestions();
     lookup.onReply(askedFor(kName, Type::srv), reply({{kName, 7, Alias{"else.example.org."}}}));
     EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("else.example.org.", Type::srv)});
     lookup.onReply(askedFor("else.example.org.", Type::srv),
                    reply({{"else.example.org.", 30, Srv{0, 0, 80, "r.else.example.org."}}},
-                         {{"r.else.example.org.", 30, kFour}}));
+                         {{"r.else.example.org.", 30, kIpv4}}));
     ASSERT_TRUE(lookup.finished());
     EXPECT_EQ(lookup.result().targets.size(), 1u);
     EXPECT_EQ(lookup.result().seconds, 7u);
 
-    Lookup circle(kName);
-    circle.takeQuestions();
-    circle.onReply(askedFor(kName, Type::srv),
-                   reply({{kName, 7, Alias{"b.org."}}, {"b.org.", 7, Alias{kName}}}));
-    EXPECT_EQ(circle.result().fault, "alias loop");
+    Lookup loop(kName);
+    loop.takeQuestions();
+    loop.onReply(askedFor(kName, Type::srv),
+                 reply({{kName, 7, Alias{"b.org."}}, {"b.org.", 7, Alias{kName}}}));
+    EXPECT_EQ(loop.result().fault, "alias loop");
 
     Lookup chain(kName);
     chain.takeQuestions();
@@ -58,13 +58,13 @@
     EXPECT_EQ(chain.result().fault, "alias chain too long");
 }
 
-TEST(DnsLookup, AnAliasThatLeadsNowhereEnds) {
+TEST(DnsLookup, AnAliasWithoutRecordsEndsTheLookup) {
     Lookup lookup(kName);
     lookup.takeQuestions();
     lookup.onReply(askedFor(kName, Type::srv), reply({{kName, 7, Alias{"else.example.org."}}}));
     EXPECT_EQ(lookup.takeQuestions().size(), 1u);
-    lookup.onReply(askedFor("else.example.org.", Type::srv), reply({}));  // without SOA
-    EXPECT_TRUE(lookup.takeQuestions().empty()) << "the same question again, without end";
+    lookup.onReply(askedFor("else.example.org.", Type::srv), reply({}));  // without an SOA record
+    EXPECT_TRUE(lookup.takeQuestions().empty()) << "the same question must not be repeated forever";
     ASSERT_TRUE(lookup.finished());
     EXPECT_EQ(lookup.result().kind, LookupOutcome::noData);
 }
@@ -74,44 +74,45 @@
     lookup.takeQuestions();
     lookup.onReply(
         askedFor(kName, Type::srv),
-        reply({srv("bad.example.com."), srv("r.example.org.")}, {{"r.example.org.", 9, kFour}}));
+        reply({srv("bad.example.com."), srv("r.example.org.")}, {{"r.example.org.", 9, kIpv4}}));
     lookup.takeQuestions();
-    lookup.onReply(
-        askedFor("bad.example.com.", Type::a),
-        reply({{"bad.example.com.", 5, Alias{"r2.example.com."}}, {"r2.example.com.", 5, kFourB}}));
+    lookup.onReply(askedFor("bad.example.com.", Type::a),
+                   reply({{"bad.example.com.", 5, Alias{"r2.example.com."}},
+                          {"r2.example.com.", 5, kOtherIpv4}}));
     ASSERT_TRUE(lookup.finished());
     ASSERT_EQ(lookup.result().targets.size(), 1u);
     EXPECT_EQ(lookup.result().targets[0].srv.target, "r.example.org.");
     EXPECT_NE(lookup.result().notes.at(0).find("RFC 2782"), std::string::npos);
 }
 
-TEST(DnsLookup, TellsThatThereIsNoSuchService) {
-    const auto kindOf = [](const Message &m) {
+TEST(DnsLookup, DistinguishesTheNegativeAnswers) {
+    const auto resultOf = [](const Message &message) {
         Lookup lookup(kName);
         lookup.takeQuestions();
-        lookup.onReply(askedFor(kName, Type::srv), m);
+        lookup.onReply(askedFor(kName, Type::srv), message);
         EXPECT_TRUE(lookup.finished());
         return lookup.result();
     };
-    EXPECT_EQ(kindOf(reply({srv(".")})).kind, LookupOutcome::notOffered);
+    EXPECT_EQ(resultOf(reply({srv(".")})).kind, LookupOutcome::notOffered);
     auto empty = reply({});
     empty.authority = {{"example.org.", 20, Soa{7}}};
-    EXPECT_EQ(kindOf(empty).kind, LookupOutcome::noData);
-    EXPECT_EQ(kindOf(empty).seconds, 7u) << "the lesser of lifetime and MINIMUM";
+    EXPECT_EQ(resultOf(empty).kind, LookupOutcome::noData);
+    EXPECT_EQ(resultOf(empty).seconds, 7u) << "the lesser of TTL and MINIMUM";
     empty.code = std::uint8_t(Code::nxDomain);
-    EXPECT_EQ(kindOf(empty).kind, LookupOutcome::noName);
-    EXPECT_EQ(kindOf(reply({srv("r.example.org.", 0, 0, 0)})).kind, LookupOutcome::noData)
-        << "port 0";
+    EXPECT_EQ(resultOf(empty).kind, LookupOutcome::noName);
+    EXPECT_EQ(resultOf(reply({srv("r.example.org.", 0, 0, 0)})).kind, LookupOutcome::noData)
+        << "port 0 is not valid";
 }
 
-TEST(DnsLookup, KnownAddressesSaveQuestionsAndStandInForFailures) {
+TEST(DnsLookup, CachedAddressesSaveQuestionsAndReplaceFailures) {
     Lookup lookup(kName,
-                  {{"far.example.com.", {{kFour}, 12}}, {"old.example.com.", {{kFourB}, 0}}});
+                  {{"far.example.com.", {{kIpv4}, 12}}, {"old.example.com.", {{kOtherIpv4}, 0}}});
     lookup.takeQuestions();
     lookup.onReply(
         askedFor(kName, Type::srv),
         reply({srv("far.example.com."), srv("old.example.com."), srv("new.example.com.")}));
-    EXPECT_EQ(lookup.takeQuestions().size(), 2u) << "not for the one that is known";
+    EXPECT_EQ(lookup.takeQuestions().size(), 2u)
+        << "none for the target with a valid cached address";
     lookup.onFailure(askedFor("old.example.com.", Type::a), "no answer in time");
     lookup.onFailure(askedFor("new.example.com.", Type::a), "no answer in time");
     ASSERT_TRUE(lookup.finished());
@@ -119,14 +120,14 @@
     EXPECT_EQ(lookup.result().unresolved, std::vector<std::string>{"new.example.com."});
 }
 
-TEST(DnsLookup, BoundsTheTargets) {
+TEST(DnsLookup, LimitsTargetsAndAddresses) {
     Lookup lookup(kName, {}, {.targets = 2, .aliases = 8, .addresses = 1});
     lookup.takeQuestions();
     lookup.onReply(askedFor(kName, Type::srv),
                    reply({srv("a.example.org."), srv("b.example.org."), srv("c.example.org.")},
-                         {{"a.example.org.", 9, kFour},
-                          {"a.example.org.", 9, kFourB},
-                          {"b.example.org.", 9, kFour}}));
+                         {{"a.example.org.", 9, kIpv4},
+                          {"a.example.org.", 9, kOtherIpv4},
+                          {"b.example.org.", 9, kIpv4}}));
     ASSERT_TRUE(lookup.finished());
     EXPECT_EQ(lookup.result().targets.size(), 2u);
     EXPECT_EQ(lookup.result().targets[0].addresses.size(), 1u);
--- a/tests/unit/membership_reference.hpp
+++ b/tests/unit/membership_reference.hpp
@@ -1,6 +1,6 @@
-// The table of docs/design-membership.md once more, as plainly as can be: everything is worked out
-// anew from the whole history of reports. Slow, and written without the merge's own code;
-// tests compare the two.
+// A second, simple implementation of the table in docs/design-membership.md. It recomputes
+// everything from the whole history of reports: slow, and independent of the merge's own code.
+// Tests compare the two.
 #pragma once
 
 #include <algorithm>
@@ -17,44 +17,45 @@
 
 class Reference {
   public:
-    explicit Reference(MergeRules with) : rules(std::move(with)), history(rules.sources.size()) {}
-    void took(std::size_t source, const Reading &reading) {
+    explicit Reference(MergeRules mergeRules)
+        : rules(std::move(mergeRules)), history(rules.sources.size()) {}
+    void applyReading(std::size_t source, const Reading &reading) {
         history[source].push_back({++reportsSoFar, reading.at, Kind::reading, reading, {}});
     }
-    void changed(std::size_t source, Duration at, const std::vector<Claim> &claims) {
+    void applyChanges(std::size_t source, Duration at, const std::vector<Claim> &claims) {
         history[source].push_back({++reportsSoFar, at, Kind::changes, {}, claims});
     }
-    void lost(std::size_t source, Duration at) {
-        history[source].push_back({++reportsSoFar, at, Kind::loss, {}, {}});
+    void markUnavailable(std::size_t source, Duration at) {
+        history[source].push_back({++reportsSoFar, at, Kind::unavailable, {}, {}});
     }
 
-    // What is routed to at this time; call it after each report and at each time something runs
-    // out.
-    std::map<EndpointId, EndpointEntry> at(Duration now) {
-        std::vector<Belief> beliefs;
+    // The routed set at this time. To be called after each report and whenever a lifetime or a
+    // grace period ends.
+    std::map<EndpointId, EndpointEntry> evaluate(Duration now) {
+        std::vector<SourceModel> models;
         for (const auto &reports : history)
-            beliefs.push_back(believe(reports));
-        std::set<EndpointId> everyone;
-        for (const auto &belief : beliefs)
-            for (const auto &[id, about] : belief.about)
-                everyone.insert(id);
-        for (const auto &[id, entry] : inSet)
-            everyone.insert(id);
+            models.push_back(replay(reports));
+        std::set<EndpointId> allIds;
+        for (const auto &model : models)
+            for (const auto &[id, endpoint] : model.endpoints)
+                allIds.insert(id);
+        for (const auto &[id, entry] : routed)
+            allIds.insert(id);
 
-        const Order order = orderOf(beliefs, now);
-        Decided decided;
-        for (const auto &id : everyone)
-            decide(id, order, decided);
-        if (decided.live.empty())
-            addLastResort(order, decided);
-        takeOutReserves(decided);
-        inSet = withGrace(decided, now);
-        forgetUnknown(everyone, beliefs);
-        return inSet;
+        const Ranking ranking = rankSources(models, now);
+        Decisions decisions;
+        for (const auto &id : allIds)
+            decide(id, ranking, decisions);
+        if (decisions.live.empty())
+            addLastResort(ranking, decisions);
+        removeReserves(decisions);
+        routed = applyGrace(decisions, now);
+        forgetUnknown(allIds, models);
+        return routed;
     }
 
   private:
-    enum class Kind { reading, changes, loss };
+    enum class Kind { reading, changes, unavailable };
     struct Report {
         int number = 0;
         Duration at{};
@@ -62,7 +63,7 @@
         Reading reading;
         std::vector<Claim> claims;
     };
-    struct About {
+    struct EndpointModel {
         bool listed = false;
         bool withdrawn = false;
         Claim claim;
@@ -71,115 +72,117 @@
         Duration stopSince{};
         std::optional<Duration> missingSince;
     };
-    struct Belief {
+    struct SourceModel {
         bool read = false;
         Duration at{};
         Duration freshUntil{};
-        std::string trusted;
-        std::map<EndpointId, About> about;
+        std::string believedReporter;
+        std::map<EndpointId, EndpointModel> endpoints;
     };
-    struct Order {
-        std::vector<const Belief *> counting;
-        std::vector<const Belief *> failed;
-        std::vector<const Belief *> all;
+    struct Ranking {
+        std::vector<const SourceModel *> valid;
+        std::vector<const SourceModel *> failed;
+        std::vector<const SourceModel *> all;
     };
-    struct Decided {
+    struct Decisions {
         std::map<EndpointId, EndpointEntry> live;
         std::map<EndpointId, EndpointEntry> draining;
         std::map<EndpointId, int> classes;
-        std::set<EndpointId> gone;
-        std::set<EndpointId> stopped;  // gone or draining
+        std::set<EndpointId> removed;
+        std::set<EndpointId> stopped;  // removed or draining
     };
 
-    static bool listed(const Belief &belief, const EndpointId &id) {
-        const auto it = belief.about.find(id);
-        return it != belief.about.end() && it->second.listed;
+    static bool listed(const SourceModel &model, const EndpointId &id) {
+        const auto it = model.endpoints.find(id);
+        return it != model.endpoints.end() && it->second.listed;
     }
 
-    // Rows 1 and 2: order of the sources.
-    Order orderOf(const std::vector<Belief> &beliefs, Duration now) const {
-        Order order;
-        for (const auto &belief : beliefs) {
-            if (!belief.read)
+    // Rows 1 and 2: the precedence of the sources.
+    Ranking rankSources(const std::vector<SourceModel> &models, Duration now) const {
+        Ranking ranking;
+        for (const auto &model : models) {
+            if (!model.read)
                 continue;
-            const bool counts = now < belief.freshUntil + rules.longestStale;
-            (counts ? order.counting : order.failed).push_back(&belief);
+            const bool isValid = now < model.freshUntil + rules.longestStale;
+            (isValid ? ranking.valid : ranking.failed).push_back(&model);
         }
-        order.all = order.counting;
-        order.all.insert(order.all.end(), order.failed.begin(), order.failed.end());
-        return order;
+        ranking.all = ranking.valid;
+        ranking.all.insert(ranking.all.end(), ranking.failed.begin(), ranking.failed.end());
+        return ranking;
     }
 
-    // Rows 1 and 2: the entry of the first that lists it.
-    static const Claim *firstClaim(const EndpointId &id, const Order &order) {
-        for (const auto *belief : order.all)
-            if (listed(*belief, id))
-                return &belief->about.at(id).claim;
+    // Rows 1 and 2: the claim of the first source that lists the endpoint.
+    static const Claim *firstClaim(const EndpointId &id, const Ranking &ranking) {
+        for (const auto *model : ranking.all)
+            if (listed(*model, id))
+                return &model->endpoints.at(id).claim;
         return nullptr;
     }
 
-    // Row 3: a failed source's word ends once a counting one lists it anew.
-    static bool stopIsOver(const EndpointId &id, const Belief &belief, const Order &order) {
-        if (std::ranges::find(order.failed, &belief) == order.failed.end())
+    // Row 3: the stop notice of a failed source is void once a fresh or stale source has listed the
+    // endpoint again.
+    static bool stopIsVoid(const EndpointId &id, const SourceModel &model, const Ranking &ranking) {
+        if (std::ranges::find(ranking.failed, &model) == ranking.failed.end())
             return false;
-        return std::ranges::any_of(order.counting, [&](const Belief *other) {
-            return listed(*other, id) && !other->about.at(id).stop &&
-                   other->about.at(id).since > belief.about.at(id).stopSince;
+        return std::ranges::any_of(ranking.valid, [&](const SourceModel *other) {
+            return listed(*other, id) && !other->endpoints.at(id).stop &&
+                   other->endpoints.at(id).since > model.endpoints.at(id).stopSince;
         });
     }
 
-    // Row 5: the first with an opinion.
-    static bool firstOpinionLists(const EndpointId &id, const Order &order) {
-        for (const auto *belief : order.all) {
-            const auto it = belief->about.find(id);
-            if (it != belief->about.end() && (it->second.listed || it->second.withdrawn))
+    // Row 5: the first source that lists the endpoint or has withdrawn it decides.
+    static bool decidingSourceLists(const EndpointId &id, const Ranking &ranking) {
+        for (const auto *model : ranking.all) {
+            const auto it = model->endpoints.find(id);
+            if (it != model->endpoints.end() && (it->second.listed || it->second.withdrawn))
                 return it->second.listed;
         }
         return false;
     }
 
-    static void decide(const EndpointId &id, const Order &order, Decided &decided) {
-        // Rows 3 and 4: told to stop.
-        bool gone = false;
-        bool drain = false;
-        for (const auto *belief : order.all) {
-            const auto it = belief->about.find(id);
-            if (it == belief->about.end() || !it->second.stop || stopIsOver(id, *belief, order))
+    static void decide(const EndpointId &id, const Ranking &ranking, Decisions &decisions) {
+        // Rows 3 and 4: stop notices.
+        bool removed = false;
+        bool draining = false;
+        for (const auto *model : ranking.all) {
+            const auto it = model->endpoints.find(id);
+            if (it == model->endpoints.end() || !it->second.stop || stopIsVoid(id, *model, ranking))
                 continue;
-            (*it->second.stop == EndpointState::removed ? gone : drain) = true;
+            (*it->second.stop == EndpointState::removed ? removed : draining) = true;
         }
-        if (gone || drain)
-            decided.stopped.insert(id);
-        if (gone) {
-            decided.gone.insert(id);
+        if (removed || draining)
+            decisions.stopped.insert(id);
+        if (removed) {
+            decisions.removed.insert(id);
             return;
         }
-        if (!firstOpinionLists(id, order))
+        if (!decidingSourceLists(id, ranking))
             return;
-        const Claim &claim = *firstClaim(id, order);
-        if (drain) {
-            decided.draining[id] = claim.entry;
+        const Claim &claim = *firstClaim(id, ranking);
+        if (draining) {
+            decisions.draining[id] = claim.entry;
             return;
         }
-        decided.live[id] = claim.entry;
-        decided.classes[id] = claim.priority;
+        decisions.live[id] = claim.entry;
+        decisions.classes[id] = claim.priority;
     }
 
-    // Row 8: nothing else is left.
-    static void addLastResort(const Order &order, Decided &decided) {
-        for (const auto *belief : order.failed)
-            for (const auto &[id, about] : belief->about) {
-                if (!about.listed || about.stop || decided.stopped.contains(id) ||
-                    decided.live.contains(id))
+    // Row 8: if no endpoint is live, falls back to what failed sources listed last.
+    static void addLastResort(const Ranking &ranking, Decisions &decisions) {
+        for (const auto *model : ranking.failed)
+            for (const auto &[id, endpoint] : model->endpoints) {
+                if (!endpoint.listed || endpoint.stop || decisions.stopped.contains(id) ||
+                    decisions.live.contains(id))
                     continue;
-                const Claim &claim = *firstClaim(id, order);
-                decided.live[id] = claim.entry;
-                decided.classes[id] = claim.priority;
+                const Claim &claim = *firstClaim(id, ranking);
+                decisions.live[id] = claim.entry;
+                decisions.classes[id] = claim.priority;
             }
     }
 
-    // Row 9: the last class that is open, of the classes of one build's live endpoints.
-    int lastOpen(int last, const std::vector<int> &classes, const std::set<int> &ordered) const {
+    // Row 9: the new last open class, given the classes of one build's live endpoints.
+    int nextLastOpen(int last, const std::vector<int> &classes,
+                     const std::set<int> &ordered) const {
         const auto count = [&classes](int upTo) {
             return std::ranges::count_if(classes, [upTo](int one) { return one <= upTo; });
         };
@@ -194,169 +197,171 @@
         return last;
     }
 
-    // Row 9: reserves.
-    void takeOutReserves(Decided &decided) {
+    // Row 9: removes live endpoints whose class is closed.
+    void removeReserves(Decisions &decisions) {
         std::map<BuildNumber, std::vector<int>> byBuild;
-        for (const auto &[id, entry] : decided.live)
-            byBuild[entry.build].push_back(decided.classes[id]);
-        std::erase_if(openUpTo, [&](const auto &item) { return !byBuild.contains(item.first); });
+        for (const auto &[id, entry] : decisions.live)
+            byBuild[entry.build].push_back(decisions.classes[id]);
+        std::erase_if(lastOpenClass,
+                      [&](const auto &item) { return !byBuild.contains(item.first); });
         for (const auto &[build, classes] : byBuild) {
             std::set<int> ordered(classes.begin(), classes.end());
             ordered.erase(membership::kNoClass);
             if (ordered.empty())
                 continue;
-            int &last = openUpTo.try_emplace(build, *ordered.begin()).first->second;
-            last = lastOpen(last, classes, ordered);
+            int &last = lastOpenClass.try_emplace(build, *ordered.begin()).first->second;
+            last = nextLastOpen(last, classes, ordered);
             const int open = last;
             const BuildNumber ofBuild = build;
-            std::erase_if(decided.live, [&decided, open, ofBuild](const auto &item) {
-                return item.second.build == ofBuild && decided.classes[item.first] > open;
+            std::erase_if(decisions.live, [&decisions, open, ofBuild](const auto &item) {
+                return item.second.build == ofBuild && decisions.classes[item.first] > open;
             });
         }
     }
 
-    // Rows 6 and 7: what leaves is draining for the grace.
-    std::map<EndpointId, EndpointEntry> withGrace(const Decided &decided, Duration now) {
+    // Rows 6 and 7: an endpoint that leaves the set is draining for the grace period.
+    std::map<EndpointId, EndpointEntry> applyGrace(const Decisions &decisions, Duration now) {
         std::map<EndpointId, EndpointEntry> out;
         const auto put = [&](const EndpointId &id, const EndpointEntry &entry,
                              EndpointState state) {
             out[id] = entry;
             out[id].state = state;
         };
-        for (const auto &[id, entry] : decided.live)
+        for (const auto &[id, entry] : decisions.live)
             put(id, entry, EndpointState::active);
-        for (const auto &[id, entry] : decided.draining)
+        for (const auto &[id, entry] : decisions.draining)
             put(id, entry, EndpointState::draining);
-        std::erase_if(leaving, [&](const auto &item) { return out.contains(item.first); });
-        for (const auto &[id, entry] : inSet) {
-            if (out.contains(id) || decided.gone.contains(id))
+        std::erase_if(graceStart, [&](const auto &item) { return out.contains(item.first); });
+        for (const auto &[id, entry] : routed) {
+            if (out.contains(id) || decisions.removed.contains(id))
                 continue;
-            const Duration since = leaving.try_emplace(id, now).first->second;
+            const Duration since = graceStart.try_emplace(id, now).first->second;
             if (now - since < rules.grace)
                 put(id, entry, EndpointState::draining);
         }
-        std::erase_if(leaving, [&](const auto &item) { return !out.contains(item.first); });
+        std::erase_if(graceStart, [&](const auto &item) { return !out.contains(item.first); });
         return out;
     }
 
-    // What none lists and is out of the set is forgotten, with all that was said of it.
-    void forgetUnknown(const std::set<EndpointId> &everyone, const std::vector<Belief> &beliefs) {
-        for (const auto &id : everyone) {
+    // Forgets all reports on endpoints that no source lists and that are not in the set.
+    void forgetUnknown(const std::set<EndpointId> &allIds, const std::vector<SourceModel> &models) {
+        for (const auto &id : allIds) {
             const bool isListed = std::ranges::any_of(
-                beliefs, [&](const Belief &belief) { return listed(belief, id); });
-            if (!isListed && !inSet.contains(id))
+                models, [&](const SourceModel &model) { return listed(model, id); });
+            if (!isListed && !routed.contains(id))
                 forgotten.emplace(reportsSoFar, id);
         }
     }
 
-    // All reports of one source, from the first one on.
-    Belief believe(const std::vector<Report> &reports) const {
-        Belief belief;
+    // The state of one source after all its reports.
+    SourceModel replay(const std::vector<Report> &reports) const {
+        SourceModel model;
         auto next = forgotten.begin();
         const auto forgetBefore = [&](int number) {
             for (; next != forgotten.end() && next->first < number; ++next)
-                belief.about.erase(next->second);
+                model.endpoints.erase(next->second);
         };
         for (const auto &report : reports) {
             forgetBefore(report.number);
-            if (report.kind == Kind::loss)
-                belief.freshUntil = std::min(belief.freshUntil, report.at);
+            if (report.kind == Kind::unavailable)
+                model.freshUntil = std::min(model.freshUntil, report.at);
             else if (report.kind == Kind::changes)
-                believeChanges(belief, report);
+                replayChanges(model, report);
             else
-                believeReading(belief, report.reading);
+                replayReading(model, report.reading);
         }
         forgetBefore(reportsSoFar + 1);
-        return belief;
+        return model;
     }
 
-    static void believeChanges(Belief &belief, const Report &report) {
-        if (!belief.read || report.at < belief.at)
+    static void replayChanges(SourceModel &model, const Report &report) {
+        if (!model.read || report.at < model.at)
             return;
         for (const auto &claim : report.claims)
-            believeClaim(belief, claim, report.at, false);
-        belief.at = report.at;
+            replayClaim(model, claim, report.at, false);
+        model.at = report.at;
     }
 
-    void believeReading(Belief &belief, const Reading &reading) const {
-        if (belief.read && reading.at < belief.at)
+    void replayReading(SourceModel &model, const Reading &reading) const {
+        if (model.read && reading.at < model.at)
             return;
-        const bool waits = believeLosses(belief, reading);
+        const bool holdsAny = replayLosses(model, reading);
         for (const auto &claim : reading.claims)
-            believeClaim(belief, claim, reading.at, !belief.read);
-        if (!waits)
-            belief.trusted = reading.from;
-        belief.read = true;
-        belief.at = reading.at;
-        belief.freshUntil = reading.at + reading.lifetime;
+            replayClaim(model, claim, reading.at, !model.read);
+        if (!holdsAny)
+            model.believedReporter = reading.from;
+        model.read = true;
+        model.at = reading.at;
+        model.freshUntil = reading.at + reading.lifetime;
     }
 
-    // Rows 10 to 13; whether any loss waits.
-    bool believeLosses(Belief &belief, const Reading &reading) const {
-        const auto isMissing = [&](const EndpointId &id, const About &about) {
-            return about.listed && !reading.unknown.contains(about.claim.as) &&
+    // Rows 10 to 13. Returns whether any loss is held.
+    bool replayLosses(SourceModel &model, const Reading &reading) const {
+        const auto isMissing = [&](const EndpointId &id, const EndpointModel &endpoint) {
+            return endpoint.listed && !reading.unknown.contains(endpoint.claim.as) &&
                    std::ranges::none_of(reading.claims,
                                         [&](const Claim &claim) { return claim.entry.id == id; });
         };
-        int before = 0;
+        int listedBefore = 0;
         int missing = 0;
-        for (const auto &[id, about] : belief.about) {
-            before += about.listed;
-            missing += isMissing(id, about);
+        for (const auto &[id, endpoint] : model.endpoints) {
+            listedBefore += endpoint.listed;
+            missing += isMissing(id, endpoint);
         }
-        const bool careful =
-            !reading.certain && (missing > rules.confirmShare * before ||
-                                 (!belief.trusted.empty() && belief.trusted != reading.from));
-        bool waits = false;
-        for (auto &[id, about] : belief.about) {
-            if (!isMissing(id, about))
+        const bool needsConfirmation =
+            !reading.certain &&
+            (missing > rules.confirmShare * listedBefore ||
+             (!model.believedReporter.empty() && model.believedReporter != reading.from));
+        bool holdsAny = false;
+        for (auto &[id, endpoint] : model.endpoints) {
+            if (!isMissing(id, endpoint))
                 continue;
-            if (careful && !about.missingSince)
-                about.missingSince = reading.at;
-            if (careful && reading.at < *about.missingSince + rules.confirmAfter) {
-                waits = true;
+            if (needsConfirmation && !endpoint.missingSince)
+                endpoint.missingSince = reading.at;
+            if (needsConfirmation && reading.at < *endpoint.missingSince + rules.confirmAfter) {
+                holdsAny = true;
                 continue;
             }
-            about.listed = false;
-            about.withdrawn = true;
-            about.missingSince.reset();
+            endpoint.listed = false;
+            endpoint.withdrawn = true;
+            endpoint.missingSince.reset();
         }
-        return waits;
+        return holdsAny;
     }
 
-    static void believeClaim(Belief &belief, const Claim &claim, Duration when, bool first) {
-        About &about = belief.about[claim.entry.id];
-        const bool wasLive = about.listed && about.claim.entry.state == EndpointState::active;
-        const auto startedBefore = about.claim.entry.startedAt;
-        about.missingSince.reset();
-        about.withdrawn = false;
-        about.claim = claim;
+    static void replayClaim(SourceModel &model, const Claim &claim, Duration when, bool first) {
+        EndpointModel &endpoint = model.endpoints[claim.entry.id];
+        const bool wasLive = endpoint.listed && endpoint.claim.entry.state == EndpointState::active;
+        const auto startedBefore = endpoint.claim.entry.startedAt;
+        endpoint.missingSince.reset();
+        endpoint.withdrawn = false;
+        endpoint.claim = claim;
         if (claim.entry.state != EndpointState::active) {
-            if (about.stop != claim.entry.state) {
-                about.stop = claim.entry.state;
-                about.stopSince = when;
+            if (endpoint.stop != claim.entry.state) {
+                endpoint.stop = claim.entry.state;
+                endpoint.stopSince = when;
             }
-            about.since = when;
-            about.listed = claim.entry.state == EndpointState::draining;
+            endpoint.since = when;
+            endpoint.listed = claim.entry.state == EndpointState::draining;
             return;
         }
-        about.stop.reset();
-        about.listed = true;
+        endpoint.stop.reset();
+        endpoint.listed = true;
         if (!wasLive)
-            about.since = when;
+            endpoint.since = when;
         if (!claim.entry.startedAt && wasLive)
-            about.claim.entry.startedAt = startedBefore;
+            endpoint.claim.entry.startedAt = startedBefore;
         else if (!claim.entry.startedAt && !first)
-            about.claim.entry.startedAt = when;
+            endpoint.claim.entry.startedAt = when;
     }
 
     MergeRules rules;
     std::vector<std::vector<Report>> history;
-    std::map<EndpointId, EndpointEntry> inSet;
-    std::map<EndpointId, Duration> leaving;
-    std::map<BuildNumber, int> openUpTo;
+    std::map<EndpointId, EndpointEntry> routed;
+    std::map<EndpointId, Duration> graceStart;
+    std::map<BuildNumber, int> lastOpenClass;
     int reportsSoFar = 0;
-    std::multimap<int, EndpointId> forgotten;  // after which report
+    std::multimap<int, EndpointId> forgotten;  // by the number of the last report before
 };
 
 }  // namespace deckcart::test
--- a/tests/unit/merge_fixture.hpp
+++ b/tests/unit/merge_fixture.hpp
@@ -1,5 +1,5 @@
-// What the tests of the merge share: rules, claims and readings in short, and a merge beside its
-// reference.
+// Shared by the tests of the merge: short forms of rules, claims and readings, and a merge that is
+// compared with the reference implementation.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 using membership::View;
 using std::chrono::seconds;
 
-inline MergeRules threeSources() {
+inline MergeRules makeRules() {
     MergeRules rules;
     rules.sources = {
         {"desk", SourceKind::controlPlane}, {"a.", SourceKind::srv}, {"b.", SourceKind::srv}};
@@ -26,8 +26,8 @@
     return rules;
 }
 
-inline Claim claimOf(int server, BuildNumber build = 1, EndpointState state = EndpointState::active,
-                     int priority = 0) {
+inline Claim makeClaim(int server, BuildNumber build = 1,
+                       EndpointState state = EndpointState::active, int priority = 0) {
     Claim claim;
     claim.entry.id = "10.0.0." + std::to_string(server) + ":80";
     claim.entry.build = build;
@@ -36,66 +36,67 @@
     claim.as = "relay" + std::to_string(server);
     return claim;
 }
-inline Reading reading(Duration at, std::vector<Claim> claims, std::string from = "ns1",
-                       Duration lifetime = seconds(30)) {
+inline Reading makeReading(Duration at, std::vector<Claim> claims, std::string from = "ns1",
+                           Duration lifetime = seconds(30)) {
     return {at, lifetime, std::move(from), std::move(claims), false, {}};
 }
-inline std::vector<Claim> servers(int from, int to) {
-    std::vector<Claim> out;
+inline std::vector<Claim> makeClaims(int from, int to) {
+    std::vector<Claim> claims;
     for (int k = from; k <= to; ++k)
-        out.push_back(claimOf(k));
-    return out;
+        claims.push_back(makeClaim(k));
+    return claims;
 }
 
-struct Both {
-    explicit Both(const MergeRules &rules = threeSources()) : merge(rules), reference(rules) {}
-    void took(std::size_t source, const Reading &given) {
-        merge.took(source, given);
-        reference.took(source, given);
+// A merge and its reference, which get the same reports and are compared at each evaluation.
+struct CheckedMerge {
+    explicit CheckedMerge(const MergeRules &rules = makeRules()) : merge(rules), reference(rules) {}
+    void applyReading(std::size_t source, const Reading &reading) {
+        merge.took(source, reading);
+        reference.applyReading(source, reading);
     }
-    void changed(std::size_t source, Duration now, const std::vector<Claim> &claims) {
+    void applyChanges(std::size_t source, Duration now, const std::vector<Claim> &claims) {
         merge.applyChanges(source, now, claims);
-        reference.changed(source, now, claims);
+        reference.applyChanges(source, now, claims);
     }
-    void lost(std::size_t source, Duration at) {
-        merge.lost(source, at, "lost");
-        reference.lost(source, at);
+    void markUnavailable(std::size_t source, Duration at) {
+        merge.lost(source, at, "unavailable");
+        reference.markUnavailable(source, at);
     }
-    // As words, so that a difference can be read: "1 live b1; 2 draining b1".
-    std::string at(Duration now) {
+    // Returns the routed set as text, for readable differences: "1 live b1; 2 draining b1; ".
+    std::string evaluate(Duration now) {
         view = merge.at(now);
-        std::string got, want;
-        for (const auto &m : view.members)
-            if (m.inSet)
-                got += words(m.entry);
-        for (const auto &[id, e] : reference.at(now))
-            want += words(e);
-        EXPECT_EQ(got, want) << "at " << now.count() / 1000 << " ms";
-        same = got == want;
-        return got;
+        std::string actual, expected;
+        for (const auto &each : view.members)
+            if (each.inSet)
+                actual += describe(each.entry);
+        for (const auto &[id, entry] : reference.evaluate(now))
+            expected += describe(entry);
+        EXPECT_EQ(actual, expected) << "at " << now.count() / 1000 << " ms";
+        matches = actual == expected;
+        return actual;
     }
-    std::size_t live() const {
-        std::size_t n = 0;
-        for (const auto &m : view.members)
-            n += m.inSet && m.entry.state == EndpointState::active;
-        return n;
+    std::size_t liveCount() const {
+        std::size_t count = 0;
+        for (const auto &each : view.members)
+            count += each.inSet && each.entry.state == EndpointState::active;
+        return count;
     }
     const membership::Member &member(int server) const {
-        for (const auto &m : view.members)
-            if (m.entry.id == claimOf(server).entry.id)
-                return m;
+        for (const auto &each : view.members)
+            if (each.entry.id == makeClaim(server).entry.id)
+                return each;
         static const membership::Member none;
         return none;
     }
-    static std::string words(const EndpointEntry &e) {
-        return e.id.substr(7, e.id.size() - 10) +
-               (e.state == EndpointState::active ? " live" : " draining") + " b" +
-               std::to_string(e.build) + (e.startedAt ? " new" : "") + "; ";
+    static std::string describe(const EndpointEntry &entry) {
+        return entry.id.substr(7, entry.id.size() - 10) +
+               (entry.state == EndpointState::active ? " live" : " draining") + " b" +
+               std::to_string(entry.build) + (entry.startedAt ? " new" : "") + "; ";
     }
     Merge merge;
     Reference reference;
     View view;
-    bool same = true;
+    bool matches = true;
 };
 
 }  // namespace deckcart::test
--- a/tests/unit/restart_test.cpp
+++ b/tests/unit/restart_test.cpp
@@ -1,14 +1,14 @@
-// When the decision module may start anew.
+// When the decision module may be restarted.
 #include "../../src/membership/restart.hpp"
 #include "merge_fixture.hpp"
 
 namespace deckcart::test {
 namespace {
 
-TEST(ModuleRestart, NeedsOneLiveBuildAndNoTrial) {
+TEST(ModuleRestart, NeedsAtMostOneLiveBuildAndNoCanary) {
     using membership::mayStartAnew;
     const auto entry = [](BuildNumber build, EndpointState state) {
-        return claimOf(1, build, state).entry;
+        return makeClaim(1, build, state).entry;
     };
     EXPECT_TRUE(mayStartAnew({}, std::nullopt));
     EXPECT_TRUE(mayStartAnew({entry(1, EndpointState::active), entry(2, EndpointState::draining)},
--- a/tests/unit/scripts_test.cpp
+++ b/tests/unit/scripts_test.cpp
@@ -1,5 +1,5 @@
-// Scripts of the stand-in name server through the real lookup, query schedule and merge, on virtual
-// time: the set over time must be what the reference of the table predicts.
+// Runs the scripts of the fake name server through the real lookup, query schedule and merge, on
+// virtual time. The routed set must be what the reference implementation predicts at all times.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -18,42 +18,44 @@
 
 const std::string kName = "_relay._tcp.example.org.";
 
-// The resolver without its sockets: one question at the servers of this moment.
-std::optional<dns::Message> ask(const dns::Question &question,
-                                std::vector<std::unique_ptr<NameServer>> &servers,
-                                const std::vector<fakes::NameFaults> &faults,
-                                dns::ServerRanking &ranking, Duration now,
-                                std::size_t &answeredBy) {
+// The resolver without its sockets: puts one question to the servers in their current state.
+std::optional<dns::Message> query(const dns::Question &question,
+                                  std::vector<std::unique_ptr<NameServer>> &servers,
+                                  const std::vector<fakes::NameFaults> &faults,
+                                  dns::ServerRanking &ranking, Duration now,
+                                  std::size_t &answeredBy) {
     dns::QueryAttempts attempts(ranking.order(now), 1);
-    dns::Message m;
-    m.id = 1, m.question = question;
+    dns::Message message;
+    message.id = 1, message.question = question;
     while (const auto attempt = attempts.next()) {
-        const auto &f = faults[attempt->server];
-        auto bytes = servers[attempt->server]->reply(m, attempt->tcp);
-        if (attempt->tcp && f.tcpCutAt >= 0)
-            bytes.resize(std::min(bytes.size(), std::size_t(f.tcpCutAt)));
-        const auto got = dns::decode(bytes.data(), bytes.size());
-        const bool whole = got.message && got.message->question == question && !f.silent &&
-                           !(attempt->tcp && (f.noTcp || f.tcpCutAt >= 0));
+        const auto &fault = faults[attempt->server];
+        auto bytes = servers[attempt->server]->reply(message, attempt->tcp);
+        if (attempt->tcp && fault.tcpCutAt >= 0)
+            bytes.resize(std::min(bytes.size(), std::size_t(fault.tcpCutAt)));
+        const auto decoded = dns::decode(bytes.data(), bytes.size());
+        const bool whole = decoded.message && decoded.message->question == question &&
+                           !fault.silent && !(attempt->tcp && (fault.noTcp || fault.tcpCutAt >= 0));
         if (!whole) {
             ranking.onFailure(attempt->server, now);
             attempts.onFailure("no answer");
             continue;
         }
-        if (attempts.onReply(*got.message) == dns::QueryAttempts::ReplyUse::tryAgain)
+        if (attempts.onReply(*decoded.message) == dns::QueryAttempts::ReplyUse::tryAgain)
             continue;
         ranking.onAnswer(attempt->server, 1ms);
         answeredBy = attempt->server;
-        return got.message;
+        return decoded.message;
     }
     return std::nullopt;
 }
 
-// A script's name servers, looked up and merged on virtual time, beside the reference.
+// Looks up and merges the name servers of a script on virtual time, and compares with the
+// reference.
 class ScriptRun {
   public:
-    explicit ScriptRun(const fakes::NameScript &of)
-        : script(of), faults(std::size_t(of.servers)), ranking(std::size_t(of.servers)) {
+    explicit ScriptRun(const fakes::NameScript &nameScript)
+        : script(nameScript), faults(std::size_t(nameScript.servers)),
+          ranking(std::size_t(nameScript.servers)) {
         servers.reserve(faults.size());
         for (int k = 0; k < script.servers; ++k)
             servers.push_back(std::make_unique<NameServer>(
@@ -61,24 +63,24 @@
                 std::uint32_t(k + 1)));
     }
     Duration end() const { return script.steps.back().at + 300s; }
-    // When something is to be done next.
-    Duration next() const { return std::min({nextLookup, lookAt, end()}); }
+    // When the next lookup or change of the merged set is due.
+    Duration next() const { return std::min({nextLookup, nextChange, end()}); }
     void advanceTo(Duration now) {
         for (; step < script.steps.size() && script.steps[step].at <= now; ++step)
-            carryOut(script.steps[step]);
+            applyStep(script.steps[step]);
         if (now >= nextLookup)
             lookUp(now);
         const auto view = merge.at(now);
         for (const auto &[source, at] : view.confirm)
             nextLookup = std::min(nextLookup, std::max(at, now + 1s));
-        lookAt = view.changesAt.value_or(Duration::max());
+        nextChange = view.changesAt.value_or(Duration::max());
         merged.clear();
         for (const auto &member : view.members)
             if (member.inSet)
-                merged += words(member.entry);
+                merged += describe(member.entry);
         predicted.clear();
-        for (const auto &[id, entry] : reference.at(now))
-            predicted += words(entry);
+        for (const auto &[id, entry] : reference.evaluate(now))
+            predicted += describe(entry);
     }
 
     std::string merged;
@@ -96,21 +98,22 @@
         rules.reserveUntil = 3;
         return rules;
     }
-    static std::string words(const EndpointEntry &entry) {
+    static std::string describe(const EndpointEntry &entry) {
         return entry.id + (entry.state == EndpointState::active ? " live; " : " draining; ");
     }
-    void carryOut(const fakes::NameStep &now) {
+    void applyStep(const fakes::NameStep &change) {
         for (std::size_t k = 0; k < servers.size(); ++k) {
-            if (!now.servers.empty() && std::ranges::find(now.servers, int(k)) == now.servers.end())
+            if (!change.servers.empty() &&
+                std::ranges::find(change.servers, int(k)) == change.servers.end())
                 continue;
-            if (now.records)
-                servers[k]->serve(*now.records);
-            faults[k] = now.faults;
+            if (change.records)
+                servers[k]->serve(*change.records);
+            faults[k] = change.faults;
             servers[k]->misbehave(faults[k]);
         }
     }
     void answer(dns::Lookup &lookup, const dns::Question &question, Duration now) {
-        const auto reply = ask(question, servers, faults, ranking, now, answeredBy);
+        const auto reply = query(question, servers, faults, ranking, now, answeredBy);
         if (question.type == dns::Type::srv)
             srvAnsweredBy = answeredBy;
         if (reply)
@@ -134,7 +137,7 @@
         const auto reading = membership::readingOf({kName, 1, 0, 0}, found, now, lifetime,
                                                    std::to_string(srvAnsweredBy));
         merge.took(0, reading);
-        reference.took(0, reading);
+        reference.applyReading(0, reading);
         nextLookup = now + refresh.afterAnswer(lifetime);
     }
 
@@ -150,12 +153,12 @@
     std::size_t answeredBy = 0;
     std::size_t srvAnsweredBy = 0;
     Duration nextLookup{};
-    Duration lookAt = Duration::max();
+    Duration nextChange = Duration::max();
 };
 
 class Scripts : public testing::TestWithParam<std::string> {};
 
-TEST_P(Scripts, TheSetIsWhatTheTablePredicts) {
+TEST_P(Scripts, TheSetIsWhatTheReferencePredicts) {
     std::ifstream file(GetParam());
     const auto read = fakes::readNameScript(nlohmann::json::parse(file));
     ASSERT_TRUE(read.script) << toJson(read.refused);
@@ -168,23 +171,23 @@
         sets += run.merged != before;
         before = run.merged;
     }
-    EXPECT_GE(sets, 2u) << "nothing happened";
+    EXPECT_GE(sets, 2u) << "the set never changed";
 }
 
 std::vector<std::string> scripts() {
-    std::vector<std::string> out;
+    std::vector<std::string> paths;
     for (const auto &file : std::filesystem::directory_iterator(DECKCART_SCRIPTS))
-        out.push_back(file.path());
-    std::ranges::sort(out);
-    return out;
+        paths.push_back(file.path());
+    std::ranges::sort(paths);
+    return paths;
 }
-INSTANTIATE_TEST_SUITE_P(Names, Scripts, testing::ValuesIn(scripts()), [](const auto &of) {
-    auto name = std::filesystem::path(of.param).stem().string();
+INSTANTIATE_TEST_SUITE_P(Names, Scripts, testing::ValuesIn(scripts()), [](const auto &script) {
+    auto name = std::filesystem::path(script.param).stem().string();
     std::ranges::replace(name, '-', '_');
     return name;
 });
 
-TEST(NameScripts, BadOnesAreRefusedWithTheirPlaces) {
+TEST(NameScripts, InvalidScriptsAreRejectedWithThePathOfTheError) {
     const auto refusedAt = [](const char *text) {
         const auto read = fakes::readNameScript(nlohmann::json::parse(text));
         EXPECT_FALSE(read.script);
