--- a/src/dns/query_schedule.cpp
+++ b/src/dns/query_schedule.cpp
@@ -186,7 +186,7 @@
                      drawBetween(0.5, 1));
 }
 
-Duration Refresh::sooner(Duration minDelay) {
+Duration Refresh::confirmationDelay(Duration minDelay) {
     return scaled(minDelay, drawBetween(1, kMaxConfirmDelayFactor));
 }
 
--- a/src/dns/query_schedule.hpp
+++ b/src/dns/query_schedule.hpp
@@ -100,7 +100,7 @@
     /// Delay after a failure; grows with consecutive failures.
     [[nodiscard]] Duration afterFailure();
     /// Delay of a lookup that confirms losses: at least `minDelay` and little longer.
-    [[nodiscard]] Duration sooner(Duration minDelay);
+    [[nodiscard]] Duration confirmationDelay(Duration minDelay);
 
   private:
     double drawBetween(double from, double to);
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -100,7 +100,7 @@
     if (found == watchedNames.end() || found->second->lookup)
         return;
     WatchedName &watched = *found->second;
-    const Duration delay = watched.refresh.sooner(minDelay);
+    const Duration delay = watched.refresh.confirmationDelay(minDelay);
     if (clock.now() + delay < watched.dueAt)
         scheduleLookup(watched, delay);
 }
--- a/src/membership/claims.cpp
+++ b/src/membership/claims.cpp
@@ -61,7 +61,7 @@
             reading.claims.push_back(std::move(claim));
         }
     }
-    reading.unknown.insert(found.unresolved.begin(), found.unresolved.end());
+    reading.unresolved.insert(found.unresolved.begin(), found.unresolved.end());
     return reading;
 }
 
--- a/src/membership/reading.hpp
+++ b/src/membership/reading.hpp
@@ -27,16 +27,16 @@
 /// The complete list of a source at one time.
 struct Reading {
     /// When the source was read.
-    TimePoint at{};
+    TimePoint readAt{};
     Duration lifetime{};
     /// Who reported it, such as one of several name servers.
-    std::string from;
+    std::string reporter;
     std::vector<Claim> claims;
     /// Set by the operator: losses are believed without confirmation.
-    bool certain = false;
+    bool lossesConfirmed = false;
     /// Values of Claim::as that could not be resolved this time. Endpoints listed under them are
     /// kept unchanged.
-    std::set<std::string> unknown;
+    std::set<std::string> unresolved;
 };
 
 }  // namespace deckcart::membership
--- a/src/membership/source_record.cpp
+++ b/src/membership/source_record.cpp
@@ -39,25 +39,25 @@
 
 void SourceRecord::applyReading(const Reading &reading, const MergeRules &rules) {
     // Row 14: ignores a reading that is older than the last one.
-    if (hasReading && reading.at < lastReadAt)
+    if (hasReading && reading.readAt < lastReadAt)
         return;
     const auto missing = missingFrom(reading);
     const bool confirm = needsConfirmation(reading, missing.size(), rules.confirmShare);
     bool holdsAny = false;
     for (const auto &id : missing) {
-        if (confirm && holdLoss(id, reading.at, rules.confirmAfter))
+        if (confirm && holdLoss(id, reading.readAt, rules.confirmAfter))
             holdsAny = true;
         else
-            withdraw(id, reading.at);
+            withdraw(id, reading.readAt);
     }
     for (const auto &claim : reading.claims)
-        applyClaim(reading.at, claim, !hasReading);
+        applyClaim(reading.readAt, claim, !hasReading);
     // While losses are held, the previous reporter stays the last one that was believed.
     if (!holdsAny)
-        believedReporter = reading.from;
+        believedReporter = reading.reporter;
     hasReading = true;
-    lastReadAt = reading.at;
-    lifetimeEnd = expiryOf(reading.at, reading.lifetime);
+    lastReadAt = reading.readAt;
+    lifetimeEnd = expiryOf(reading.readAt, reading.lifetime);
     lastFault.clear();
 }
 
@@ -82,7 +82,7 @@
         reported.insert(claim.entry.id);
     std::vector<EndpointId> missing;
     for (const auto &[id, listing] : listed)
-        if (!reported.contains(id) && !reading.unknown.contains(listing.claim.as))
+        if (!reported.contains(id) && !reading.unresolved.contains(listing.claim.as))
             missing.push_back(id);
     return missing;
 }
@@ -91,10 +91,10 @@
 // one that was believed (row 11). A list set by the operator is believed at once (row 13).
 bool SourceRecord::needsConfirmation(const Reading &reading, std::size_t missing,
                                      double confirmShare) const {
-    if (reading.certain)
+    if (reading.lossesConfirmed)
         return false;
     const bool largeLoss = double(missing) > confirmShare * double(listed.size());
-    const bool otherReporter = !believedReporter.empty() && believedReporter != reading.from;
+    const bool otherReporter = !believedReporter.empty() && believedReporter != reading.reporter;
     return largeLoss || otherReporter;
 }
 
--- a/tests/unit/membership_reference.hpp
+++ b/tests/unit/membership_reference.hpp
@@ -20,7 +20,7 @@
     explicit Reference(MergeRules mergeRules)
         : rules(std::move(mergeRules)), history(rules.sources.size()) {}
     void applyReading(std::size_t source, const Reading &reading) {
-        history[source].push_back({++reportsSoFar, reading.at, Kind::reading, reading, {}});
+        history[source].push_back({++reportsSoFar, reading.readAt, Kind::reading, reading, {}});
     }
     void applyChanges(std::size_t source, Duration at, const std::vector<Claim> &claims) {
         history[source].push_back({++reportsSoFar, at, Kind::changes, {}, claims});
@@ -283,22 +283,22 @@
     }
 
     void replayReading(SourceModel &model, const Reading &reading) const {
-        if (model.read && reading.at < model.at)
+        if (model.read && reading.readAt < model.at)
             return;
         const bool holdsAny = replayLosses(model, reading);
         for (const auto &claim : reading.claims)
-            replayClaim(model, claim, reading.at, !model.read);
+            replayClaim(model, claim, reading.readAt, !model.read);
         if (!holdsAny)
-            model.believedReporter = reading.from;
+            model.believedReporter = reading.reporter;
         model.read = true;
-        model.at = reading.at;
-        model.freshUntil = reading.at + reading.lifetime;
+        model.at = reading.readAt;
+        model.freshUntil = reading.readAt + reading.lifetime;
     }
 
     // Rows 10 to 13. Returns whether any loss is held.
     bool replayLosses(SourceModel &model, const Reading &reading) const {
         const auto isMissing = [&](const EndpointId &id, const EndpointModel &endpoint) {
-            return endpoint.listed && !reading.unknown.contains(endpoint.claim.as) &&
+            return endpoint.listed && !reading.unresolved.contains(endpoint.claim.as) &&
                    std::ranges::none_of(reading.claims,
                                         [&](const Claim &claim) { return claim.entry.id == id; });
         };
@@ -309,16 +309,16 @@
             missing += isMissing(id, endpoint);
         }
         const bool needsConfirmation =
-            !reading.certain &&
+            !reading.lossesConfirmed &&
             (missing > rules.confirmShare * listedBefore ||
-             (!model.believedReporter.empty() && model.believedReporter != reading.from));
+             (!model.believedReporter.empty() && model.believedReporter != reading.reporter));
         bool holdsAny = false;
         for (auto &[id, endpoint] : model.endpoints) {
             if (!isMissing(id, endpoint))
                 continue;
             if (needsConfirmation && !endpoint.missingSince)
-                endpoint.missingSince = reading.at;
-            if (needsConfirmation && reading.at < *endpoint.missingSince + rules.confirmAfter) {
+                endpoint.missingSince = reading.readAt;
+            if (needsConfirmation && reading.readAt < *endpoint.missingSince + rules.confirmAfter) {
                 holdsAny = true;
                 continue;
             }
--- a/tests/unit/merge_test.cpp
+++ b/tests/unit/merge_test.cpp
@@ -168,7 +168,7 @@
     checked.applyReading(1, makeReading(seconds(1), makeClaims(1, 4)));
     checked.evaluate(seconds(1));
     auto partial = makeReading(seconds(2), makeClaims(2, 4));
-    partial.unknown = {"relay1"};
+    partial.unresolved = {"relay1"};
     checked.applyReading(1, partial);
     checked.evaluate(seconds(2));
     EXPECT_EQ(checked.liveCount(), 4u);
