--- a/tests/path/cells_test.cpp
+++ b/tests/path/cells_test.cpp
@@ -1,13 +1,13 @@
-// The cells of the rule table (tests/rules/table.txt) that need sockets: one non-retriable request
-// is brought to a stage, a fault strikes, and what the client and the instances have seen is judged
-// at the end.
+// The cells of the rule table (tests/rules/table.txt) that need sockets. Each test brings one
+// non-retriable request to a stage, injects a fault, and then checks what the client and the
+// endpoints have seen: one end for the client, and at most one endpoint that the request reached.
 #include "gateway_fixture.hpp"
 
 namespace deckcart::test {
 namespace {
 
-// An endpoint that the test drives. Its queue of connections is short, so that it can be filled:
-// connects then hang.
+// The endpoint that the fault hits, driven step by step. Its listen queue is short; once it is
+// full, connects hang.
 struct Victim {
     explicit Victim(asio::io_context &context) : io(context), acceptor(io), peer(io) {
         acceptor.open(tcp::v4());
@@ -15,25 +15,26 @@
         acceptor.listen(0);
         id = format(acceptor.local_endpoint());
     }
-    void fill() {
-        for (int k = 0; k < 4; ++k) {
+    void fillListenQueue() {
+        for (int i = 0; i < 4; ++i) {
             fillers.emplace_back(io);
             fillers.back().async_connect(acceptor.local_endpoint(), [](asio::error_code) {});
         }
     }
     void accept() {
-        acceptor.async_accept(peer, [this](asio::error_code fault) {
-            if (!fault)
+        acceptor.async_accept(peer, [this](asio::error_code error) {
+            if (!error)
                 accepted = true;
         });
     }
     void read() {
-        peer.async_read_some(asio::buffer(buffer), [this](asio::error_code fault, std::size_t n) {
-            if (fault)
-                return;
-            in.append(buffer.data(), n);
-            read();
-        });
+        peer.async_read_some(asio::buffer(buffer),
+                             [this](asio::error_code error, std::size_t length) {
+                                 if (error)
+                                     return;
+                                 received.append(buffer.data(), length);
+                                 read();
+                             });
     }
     void write(const std::string &bytes) {
         asio::error_code ignored;
@@ -52,7 +53,7 @@
     EndpointId id;
     std::deque<tcp::socket> fillers;
     bool accepted = false;
-    std::string in;
+    std::string received;
     std::array<char, 65536> buffer;
 };
 
@@ -72,18 +73,18 @@
     *out << "(\"" << cell.stage << "\", \"" << cell.fault << "\")";
 }
 
-const std::string kHalf =
+const std::string kHalfResponse =
     "HTTP/1.1 200 OK\r\nContent-Length: 8192\r\n\r\n" + std::string(4096, 'x');
 
 class Cells : public Path, public testing::WithParamInterface<Cell> {
   protected:
-    bool at(const std::string &stage) const { return GetParam().stage == stage; }
-    bool struckBy(const std::string &fault) const { return GetParam().fault == fault; }
+    bool isAtStage(const std::string &stage) const { return GetParam().stage == stage; }
+    bool faultIs(const std::string &fault) const { return GetParam().fault == fault; }
     void list(const EndpointId &id, EndpointState state) { controlPlane.list(id, 1, state); }
-    // What is left of the victim's response.
-    std::string rest() const {
-        const std::string end(4096, 'y');
-        return at("answering") ? end : kHalf + end;
+    // The part of the victim's response that it has not sent yet.
+    std::string remainingResponse() const {
+        const std::string secondHalf(4096, 'y');
+        return isAtStage("answering") ? secondHalf : kHalfResponse + secondHalf;
     }
 
     void startWithVictim() {
@@ -91,20 +92,20 @@
             {"connectWithinMs", 250}, {"heldAnswerBytes", 1024}, {"stalledMs", 200}};
         document["limits"] = {{"bodyBytes", 67108864}};
         controlPlane.list(victim.id);
-        if (at("connecting"))
-            victim.fill();
+        if (isAtStage("connecting"))
+            victim.fillListenQueue();
         else
             victim.accept();
         start();
     }
 
     void bringToStage(RawClient &sender) {
-        const std::size_t length = at("sending") ? 16 * 1024 * 1024 : 4;
+        const std::size_t bodyLength = isAtStage("sending") ? 16 * 1024 * 1024 : 4;
         const std::string head =
             "POST /once HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 300\r\nContent-Length: ";
         const std::string request =
-            head + std::to_string(length) + "\r\n\r\n" + std::string(length, 'b');
-        std::size_t sent = 0;  // handed over piece by piece: the gateway reads in this same loop
+            head + std::to_string(bodyLength) + "\r\n\r\n" + std::string(bodyLength, 'b');
+        std::size_t sent = 0;  // in pieces, as the gateway reads on this same thread
         ASSERT_TRUE(until([&] {
             const auto piece = std::min<std::size_t>(request.size() - sent, 12288);
             if (piece > 0) {
@@ -113,105 +114,108 @@
             }
             return gateway->counts().attempts == 1;
         }));
-        ASSERT_TRUE(at("connecting") || until([&] { return victim.accepted; }));
-        if (at("waiting") || at("answering")) {
+        ASSERT_TRUE(isAtStage("connecting") || until([&] { return victim.accepted; }));
+        if (isAtStage("waiting") || isAtStage("answering")) {
             victim.read();
-            ASSERT_TRUE(until([&] { return victim.in.ends_with("bbbb"); }));
+            ASSERT_TRUE(until([&] { return victim.received.ends_with("bbbb"); }));
         }
-        if (at("answering")) {
-            victim.write(kHalf);
+        if (isAtStage("answering")) {
+            victim.write(kHalfResponse);
             ASSERT_TRUE(until([&] { return !sender.in.empty(); }));
         }
     }
 
-    void strikeConnection() {
-        if (struckBy("dies")) {
+    void injectConnectionFault() {
+        if (faultIs("dies")) {
             victim.acceptor.close();
             victim.close(true);
         }
-        if (struckBy("resets"))
+        if (faultIs("resets"))
             victim.close(true);
-        if (struckBy("answerLost"))
+        if (faultIs("answerLost"))
             victim.close(false);
-        if (struckBy("refuses"))
+        if (faultIs("refuses"))
             victim.acceptor.close();
-        if (struckBy("bytesCut")) {
-            victim.write(at("answering") ? "yy" : "HTTP/1.1 20");
+        if (faultIs("bytesCut")) {
+            victim.write(isAtStage("answering") ? "yy" : "HTTP/1.1 20");
             victim.close(false);
         }
-        if (struckBy("full")) {
+        if (faultIs("full")) {
             victim.write(status(503, "X-Instance-Full: 1\r\n").bytes);
             victim.close(false);
         }
     }
 
-    void strikeControlPlane(const EndpointId &other) {
-        if (struckBy("listLate") || struckBy("drain"))
+    void injectControlPlaneFault(const EndpointId &other) {
+        if (faultIs("listLate") || faultIs("drain"))
             list(victim.id, EndpointState::draining);
-        if (struckBy("listContradicts"))
+        if (faultIs("listContradicts"))
             for (const auto state : {EndpointState::draining, EndpointState::active,
                                      EndpointState::removed, EndpointState::active})
                 list(victim.id, state);
-        if (struckBy("coldStart"))
+        if (faultIs("coldStart"))
             controlPlane.list(other, 2);
-        if (struckBy("listLost") || struckBy("deskErrs") || struckBy("deskSilent"))
-            controlPlane.fails = true;
-        if (struckBy("deskLate") || struckBy("capLowered"))
+        if (faultIs("listLost") || faultIs("deskErrs") || faultIs("deskSilent"))
+            controlPlane.unavailable = true;
+        if (faultIs("deskLate") || faultIs("capLowered"))
             controlPlane.stage = {2, 0, RolloutPhase::canary, 0, Duration{0}};
     }
 
-    void strikeGateway() {
-        if (struckBy("stalled"))
+    void injectGatewayFault() {
+        if (faultIs("stalled"))
             clock.ahead = 1500ms;
-        if (struckBy("settings")) {
+        if (faultIs("settings")) {
             document["release"] = {{"spareTries", 9}};
             gateway->apply(*parseSettings(document).settings, true);
         }
-        if (struckBy("shutdown"))
+        if (faultIs("shutdown"))
             gateway->drain([this] { drained = true; });
-        if (struckBy("killed"))
+        if (faultIs("killed"))
             gateway.reset();
-        if (struckBy("surge"))
-            for (int k = 0; k < 50; ++k)
+        if (faultIs("surge"))
+            for (int i = 0; i < 50; ++i)
                 client().send("GET /x HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 300\r\n\r\n");
     }
 
-    // The victim goes on with its response where the fault is in how it does.
-    void goOn() {
-        const bool goesOn = struckBy("slow") || struckBy("trickles") || struckBy("resultTwice");
-        if (!goesOn || at("sending") || at("connecting"))
+    // Sends the rest of the victim's response, for the faults that consist in how it is sent.
+    void continueResponse() {
+        const bool continues = faultIs("slow") || faultIs("trickles") || faultIs("resultTwice");
+        if (!continues || isAtStage("sending") || isAtStage("connecting"))
             return;
-        const std::string bytes = rest();
-        const std::size_t singly = struckBy("trickles") ? 64 : 0;
-        for (std::size_t k = 0; k < singly; ++k)
-            victim.write(bytes.substr(k, 1));
-        victim.write(bytes.substr(singly));
-        if (struckBy("resultTwice"))
-            victim.write(kHalf + bytes);
+        const std::string bytes = remainingResponse();
+        const std::size_t singleBytes = faultIs("trickles") ? 64 : 0;
+        for (std::size_t i = 0; i < singleBytes; ++i)
+            victim.write(bytes.substr(i, 1));
+        victim.write(bytes.substr(singleBytes));
+        if (faultIs("resultTwice"))
+            victim.write(kHalfResponse + bytes);
     }
 
-    void checkNothingIsLeft(const RawClient &sender, const ScriptedEndpoint &other) {
+    void checkNothingRemains(const RawClient &sender, const ScriptedEndpoint &other) {
         EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 2500ms))
-            << "nothing of it is left";
+            << "expected no request to be left in flight";
         const auto attempts = gateway->counts().attempts;
         const auto decisions = gateway->counts().decisions;
-        ASSERT_TRUE(struckBy("shutdown") ||
+        ASSERT_TRUE(faultIs("shutdown") ||
                     until([&] { return gateway->counts().decisions > decisions + 5; }));
-        EXPECT_EQ(gateway->counts().attempts, attempts) << "nothing more is sent for it";
+        EXPECT_EQ(gateway->counts().attempts, attempts)
+            << "expected no further attempts once the request has ended";
         EXPECT_EQ(sender.statuses().size(), 1u);
-        // Bytes of it at one endpoint at most, but for one that says it was overloaded.
-        std::size_t reached = at("connecting") ? 0 : 1;
+        // The request may reach one endpoint, and a second one only after an overload response.
+        std::size_t endpointsReached = isAtStage("connecting") ? 0 : 1;
         for (const auto &request : other.requests)
-            reached += says(request, "/once");
-        EXPECT_LE(reached, struckBy("full") ? 2u : 1u);
-        EXPECT_EQ(gateway->counts().overdue, struckBy("stalled") ? gateway->counts().overdue : 0u);
-        EXPECT_TRUE(!struckBy("shutdown") || until([&] { return drained; }));
+            endpointsReached += contains(request, "/once");
+        EXPECT_LE(endpointsReached, faultIs("full") ? 2u : 1u);
+        EXPECT_EQ(gateway->counts().overdue, faultIs("stalled") ? gateway->counts().overdue : 0u);
+        EXPECT_TRUE(!faultIs("shutdown") || until([&] { return drained; }));
     }
 
     Victim victim{io};
     bool drained = false;
 };
 
+// A fault at any stage could make the gateway send the request twice, answer it twice or not at
+// all, or leave it in flight forever.
 TEST_P(Cells, RulesHold) {
     startWithVictim();
     auto &sender = client();
@@ -219,30 +223,30 @@
     if (HasFatalFailure())
         return;
     auto &other = instances.emplace_back(io, [](auto, auto &) { return ok(); });
-    strikeConnection();
-    strikeControlPlane(other.id());
-    strikeGateway();
+    injectConnectionFault();
+    injectControlPlaneFault(other.id());
+    injectGatewayFault();
     list(other.id(), EndpointState::active);
-    goOn();
+    continueResponse();
 
-    // One end at the client, by its time: an answer, or the connection cut where one had begun or
-    // all was killed.
+    // The request ends once for the client, in time: with a response, or with a closed connection
+    // where the response had begun or the gateway was killed.
     const auto ended = [&] {
-        return sender.closed || (sender.statuses().size() == 1 && !at("answering")) ||
+        return sender.closed || (sender.statuses().size() == 1 && !isAtStage("answering")) ||
                sender.in.ends_with("yyyy");
     };
     EXPECT_TRUE(until(ended, 2500ms));
     EXPECT_LE(sender.statuses().size(), 1u);
-    EXPECT_TRUE(sender.statuses().size() == 1 || struckBy("killed"));
-    if (struckBy("resultLate"))
-        victim.write(rest());
+    EXPECT_TRUE(sender.statuses().size() == 1 || faultIs("killed"));
+    if (faultIs("resultLate"))
+        victim.write(remainingResponse());
     if (gateway)
-        checkNothingIsLeft(sender, other);
+        checkNothingRemains(sender, other);
 }
 
-// Those that can happen; the table says why the others cannot.
+// All combinations that can occur; the rule table says why the others can't.
 std::vector<Cell> cells() {
-    std::vector<Cell> out;
+    std::vector<Cell> possible;
     const auto isOneOf = [](const std::string &fault, std::initializer_list<const char *> faults) {
         return std::ranges::find(faults, fault) != faults.end();
     };
@@ -256,9 +260,9 @@
                 continue;
             if (stage == "answering" && fault == "full")
                 continue;
-            out.push_back({stage, fault});
+            possible.push_back({stage, fault});
         }
-    return out;
+    return possible;
 }
 std::string cellName(const testing::TestParamInfo<Cell> &info) {
     return info.param.stage + "_" + info.param.fault;
