--- a/tests/policy_script_runner/main.cpp
+++ b/tests/policy_script_runner/main.cpp
@@ -1,8 +1,9 @@
-// Plays policy scripts: a line says what happens, or what must (not) have been done. Whatever
-// crossed is judged by the five rules at the end. tests/README.md describes the notation.
+// Runs policy scripts. Each line delivers an event to the policy, changes how endpoints behave, or
+// checks the policy's actions. At the end the invariant checker applies the five rules to all that
+// was recorded. tests/README.md describes the notation.
 //
 //   policy_script_runner FILE              the whole file
-//   policy_script_runner FILE SECTION...   these sections, one after the other in one gateway
+//   policy_script_runner FILE SECTION...   these sections, in this order, on one gateway
 #include <fstream>
 #include <iostream>
 
@@ -11,26 +12,26 @@
 namespace deckcart::test {
 namespace {
 
-// After the last line: what is in flight ends by its deadline.
-constexpr Duration kClosingTime = std::chrono::seconds(10);
+// Simulated after the last line, so that all requests in flight reach their deadlines.
+constexpr Duration kDrainTime = std::chrono::seconds(10);
 
-// @throws ScriptFailure that begins with the place of the line at fault
-void playLine(const std::string &text, const std::string &place, SimulatedGateway &gateway) {
+// Throws a ScriptFailure that begins with the file and line number.
+void executeLine(const std::string &text, const std::string &place, SimulatedGateway &gateway) {
     try {
-        play(ScriptLine(text), gateway);
+        execute(ScriptLine(text), gateway);
     } catch (const std::exception &failure) {
         throw ScriptFailure(place + ": " + text + "\n" + failure.what());
     }
 }
 
-// A line that begins with [name] opens a section. An empty section stands for the whole file.
-void playFile(const std::string &file, const std::string &section, SimulatedGateway &gateway) {
-    std::ifstream in(file);
-    check(in.good(), file + ": can't be read");
+// Executes one section, which begins at a line [name]; with an empty name, the whole file.
+void executeFile(const std::string &file, const std::string &section, SimulatedGateway &gateway) {
+    std::ifstream stream(file);
+    check(stream.good(), file + ": can't be read");
     bool inSection = section.empty();
     bool found = inSection;
     std::string text;
-    for (int number = 1; std::getline(in, text); ++number) {
+    for (int number = 1; std::getline(stream, text); ++number) {
         const ScriptLine line(text);
         if (line.empty())
             continue;
@@ -38,7 +39,7 @@
             inSection = line.word(0) == "[" + section + "]";
             found = found || inSection;
         } else if (inSection)
-            playLine(text, file + ":" + std::to_string(number), gateway);
+            executeLine(text, file + ":" + std::to_string(number), gateway);
     }
     check(found, file + ": there is no section " + section);
 }
@@ -56,10 +57,10 @@
     try {
         SimulatedGateway gateway;
         if (arguments.size() == 1)
-            playFile(arguments[0], "", gateway);
+            executeFile(arguments[0], "", gateway);
         for (std::size_t index = 1; index < arguments.size(); ++index)
-            playFile(arguments[0], arguments[index], gateway);
-        gateway.advance(kClosingTime);
+            executeFile(arguments[0], arguments[index], gateway);
+        gateway.advance(kDrainTime);
         gateway.checkInvariants();
     } catch (const std::exception &failure) {
         std::cerr << failure.what() << '\n';
--- a/tests/policy_script_runner/script_line.cpp
+++ b/tests/policy_script_runner/script_line.cpp
@@ -15,9 +15,9 @@
 }
 
 ScriptLine::ScriptLine(const std::string &text) {
-    std::istringstream in(text.substr(0, text.find('#')));
+    std::istringstream stream(text.substr(0, text.find('#')));
     std::string part;
-    while (in >> part) {
+    while (stream >> part) {
         const auto equals = part.find('=');
         if (equals == std::string::npos)
             words.push_back(part);
@@ -31,22 +31,22 @@
     return words[index];
 }
 
-std::string ScriptLine::text(const std::string &name, const std::string &otherwise) const {
+std::string ScriptLine::text(const std::string &name, const std::string &defaultValue) const {
     const auto found = arguments.find(name);
-    return found == arguments.end() ? otherwise : found->second;
+    return found == arguments.end() ? defaultValue : found->second;
 }
 
-double ScriptLine::number(const std::string &name, double otherwise) const {
+double ScriptLine::number(const std::string &name, double defaultValue) const {
     const auto found = arguments.find(name);
-    return found == arguments.end() ? otherwise : std::stod(found->second);
+    return found == arguments.end() ? defaultValue : std::stod(found->second);
 }
 
-int ScriptLine::integer(const std::string &name, int otherwise) const {
-    return static_cast<int>(number(name, otherwise));
+int ScriptLine::integer(const std::string &name, int defaultValue) const {
+    return static_cast<int>(number(name, defaultValue));
 }
 
-Duration ScriptLine::duration(const std::string &name, double otherwise) const {
-    return seconds(number(name, otherwise));
+Duration ScriptLine::duration(const std::string &name, double defaultValue) const {
+    return seconds(number(name, defaultValue));
 }
 
 std::vector<std::string> ScriptLine::argumentNames() const {
@@ -56,7 +56,7 @@
     return names;
 }
 
-bool ScriptLine::describes(const ScriptLine &action) const {
+bool ScriptLine::matches(const ScriptLine &action) const {
     if (action.words.size() + 1 < words.size())
         return false;
     for (std::size_t index = 1; index < words.size(); ++index) {
--- a/tests/policy_script_runner/script_verbs.cpp
+++ b/tests/policy_script_runner/script_verbs.cpp
@@ -21,11 +21,11 @@
                                                    {"removed", EndpointState::removed}};
 const std::map<std::string, PromotionRule> kPromotionRules{{"quorum", PromotionRule::quorum},
                                                            {"timer", PromotionRule::timer}};
-// From so many gateways on, endpoints are asked for their load.
+// With this many gateways the policy probes endpoints for their load.
 constexpr int kGatewaysWithProbes = 99;
-constexpr int kGateways = 3;
+constexpr int kDefaultGateways = 3;
 
-using Verb = void (*)(const ScriptLine &line, SimulatedGateway &gateway);
+using VerbHandler = void (*)(const ScriptLine &line, SimulatedGateway &gateway);
 
 void start(const ScriptLine &line, SimulatedGateway &gateway) {
     PolicySettings &settings = gateway.settings;
@@ -41,7 +41,7 @@
     settings.exposureAllowance = line.number("allowance", 2);
     settings.crossZoneCost = line.number("crossZoneCost", 0);
     settings.inFlightReportField = probes ? 0 : -1;
-    settings.gateways = line.integer("gateways", probes ? kGatewaysWithProbes : kGateways);
+    settings.gateways = line.integer("gateways", probes ? kGatewaysWithProbes : kDefaultGateways);
     settings.votesToRollBack = line.integer("votesToRollBack", 1);
     settings.incorrectReportRate = 0.5;
     if (line.has("promotion"))
@@ -73,7 +73,7 @@
     behavior.failingRoute = line.integer("onRoute", -1);
 }
 
-RolloutUpdate rolloutOf(const ScriptLine &line) {
+RolloutUpdate parseRolloutUpdate(const ScriptLine &line) {
     RolloutUpdate update;
     update.outcome = valueOf(kOutcomes, line.text("outcome", "ok"));
     update.build = line.integer("build", 2);
@@ -85,16 +85,16 @@
 }
 
 void rollout(const ScriptLine &line, SimulatedGateway &gateway) {
-    gateway.deliverRollout(rolloutOf(line));
+    gateway.deliverRollout(parseRolloutUpdate(line));
 }
 
 void voteReply(const ScriptLine &line, SimulatedGateway &gateway) {
-    RolloutUpdate update = rolloutOf(line);
+    RolloutUpdate update = parseRolloutUpdate(line);
     update.isVoteReply = true;
     gateway.deliverRollout(update);
 }
 
-// The last update once more: with another limit, or an older one.
+// Delivers the last update again, with another limit, step or phase, or as an older one.
 void repeatRollout(const ScriptLine &line, SimulatedGateway &gateway) {
     RolloutUpdate update = gateway.lastRollout();
     update.exposureLimit = line.number("limit", update.exposureLimit);
@@ -105,22 +105,22 @@
     gateway.deliverRollout(update);
 }
 
-RequestOptions optionsOf(const ScriptLine &line) {
+RequestOptions parseRequestOptions(const ScriptLine &line) {
     return {line.integer("route", 0), line.text("key"), line.duration("timeout", 3)};
 }
 
 void request(const ScriptLine &line, SimulatedGateway &gateway) {
-    gateway.request(std::stoull(line.word(1)), optionsOf(line));
+    gateway.request(std::stoull(line.word(1)), parseRequestOptions(line));
 }
 
 void requests(const ScriptLine &line, SimulatedGateway &gateway) {
-    const TimePoint until = gateway.time() + line.duration("for", 1);
+    const TimePoint end = gateway.time() + line.duration("for", 1);
     const Duration interval = seconds(1 / line.number("rate", 50));
     const int routes = line.integer("routes", 0);
     const int keys = line.integer("keys", 0);
-    while (gateway.time() < until) {
+    while (gateway.time() < end) {
         const RequestId id = gateway.nextRequestId++;
-        RequestOptions options = optionsOf(line);
+        RequestOptions options = parseRequestOptions(line);
         if (routes > 0)
             options.route = static_cast<int>(id % RequestId(routes));
         if (keys > 0)
@@ -144,7 +144,7 @@
     gateway.deliver(IncorrectResponseReported{line.word(1), line.duration("age", 1)});
 }
 
-// A result that nobody waits for.
+// A result without an attempt that waits for it: late, or of an unknown attempt or request.
 void attemptEnded(const ScriptLine &line, SimulatedGateway &gateway) {
     AttemptEnded event;
     event.requestId = std::stoull(line.word(1));
@@ -156,34 +156,39 @@
 
 // ---- checks ----
 
-// A check of something that is never recorded would always hold or always fail.
+// The actions and arguments that are recorded. A check of any other would always hold or always
+// fail.
 const std::set<std::string> kRecordedActions{"send", "cancel", "shed",  "failed", "completed",
                                              "vote", "watch",  "probe", "log"};
 const std::set<std::string> kRecordedArguments{"request", "endpoint", "build", "attempt",
                                                "step",    "least",    "most"};
 
-std::size_t countOf(const ScriptLine &line, const SimulatedGateway &gateway) {
-    check(kRecordedActions.contains(line.word(1)), "no action is called " + line.word(1));
+std::size_t countMatches(const ScriptLine &line, const SimulatedGateway &gateway) {
+    check(kRecordedActions.contains(line.word(1)),
+          "expected the name of a recorded action, saw " + line.word(1));
     for (const auto &name : line.argumentNames())
-        check(kRecordedArguments.contains(name), "no action has an argument " + name);
-    const auto fits = [&](const std::string &action) { return line.describes(ScriptLine(action)); };
-    return static_cast<std::size_t>(std::ranges::count_if(gateway.actions(), fits));
+        check(kRecordedArguments.contains(name),
+              "expected an argument of a recorded action, saw " + name);
+    const auto isMatch = [&](const std::string &action) {
+        return line.matches(ScriptLine(action));
+    };
+    return static_cast<std::size_t>(std::ranges::count_if(gateway.actions(), isMatch));
 }
 
-// The last actions since the mark, for the message of a check.
+// The last actions since the mark, for the message of a failed check.
 std::string lastActions(const SimulatedGateway &gateway) {
-    constexpr std::size_t kShown = 12;
+    constexpr std::size_t kShownActions = 12;
     const auto &actions = gateway.actions();
-    const std::size_t first = actions.size() > kShown ? actions.size() - kShown : 0;
-    std::ostringstream out;
-    out << "; of " << actions.size() << " actions since the mark the last are:";
+    const std::size_t first = actions.size() > kShownActions ? actions.size() - kShownActions : 0;
+    std::ostringstream text;
+    text << "; of " << actions.size() << " actions since the mark the last are:";
     for (std::size_t index = first; index < actions.size(); ++index)
-        out << "\n  " << actions[index];
-    return out.str();
+        text << "\n  " << actions[index];
+    return text.str();
 }
 
 void expect(const ScriptLine &line, SimulatedGateway &gateway) {
-    const auto count = static_cast<double>(countOf(line, gateway));
+    const auto count = static_cast<double>(countMatches(line, gateway));
     const double least = line.number("least", 1);
     const double most = line.number("most", std::numeric_limits<double>::infinity());
     std::ostringstream message;
@@ -192,13 +197,13 @@
 }
 
 void never(const ScriptLine &line, SimulatedGateway &gateway) {
-    const auto count = countOf(line, gateway);
+    const auto count = countMatches(line, gateway);
     check(count == 0,
           "expected no such action, saw " + std::to_string(count) + lastActions(gateway));
 }
 
-const std::map<std::string, Verb> &verbs() {
-    static const std::map<std::string, Verb> byName{
+const std::map<std::string, VerbHandler> &verbHandlers() {
+    static const std::map<std::string, VerbHandler> handlers{
         {"start", start},
         {"stop", [](const ScriptLine &, SimulatedGateway &gateway) { gateway.stop(); }},
         {"restart", [](const ScriptLine &, SimulatedGateway &gateway) { gateway.restart(); }},
@@ -230,15 +235,15 @@
         {"expect", expect},
         {"never", never},
     };
-    return byName;
+    return handlers;
 }
 
 }  // namespace
 
-void play(const ScriptLine &line, SimulatedGateway &gateway) {
-    const auto verb = verbs().find(line.word(0));
-    check(verb != verbs().end(), "unknown verb '" + line.word(0) + "'");
-    verb->second(line, gateway);
+void execute(const ScriptLine &line, SimulatedGateway &gateway) {
+    const auto handler = verbHandlers().find(line.word(0));
+    check(handler != verbHandlers().end(), "unknown verb '" + line.word(0) + "'");
+    handler->second(line, gateway);
 }
 
 }  // namespace deckcart::test
--- a/tests/policy_script_runner/script_verbs.hpp
+++ b/tests/policy_script_runner/script_verbs.hpp
@@ -5,7 +5,7 @@
 
 namespace deckcart::test {
 
-/// Carries out one line. @throws ScriptFailure where a check does not hold or the line is unknown
-void play(const ScriptLine &line, SimulatedGateway &gateway);
+/// Executes one line. @throws ScriptFailure for a failed check or an unknown verb or keyword
+void execute(const ScriptLine &line, SimulatedGateway &gateway);
 
 }  // namespace deckcart::test
--- a/tests/policy_script_runner/simulated_gateway.cpp
+++ b/tests/policy_script_runner/simulated_gateway.cpp
@@ -9,17 +9,17 @@
 constexpr GatewayId kGateway = 1;
 constexpr Duration kCancelDelay = std::chrono::milliseconds(10);
 constexpr Duration kProbeDelay = std::chrono::milliseconds(1);
-// What a warm endpoint bears at the least, in requests a second.
-constexpr double kLeastCapacity = 10;
-// Attempts over the allowed number before an endpoint counts as overloaded.
+// The least capacity assumed of a warm endpoint, in requests per second.
+constexpr double kMinCapacity = 10;
+// Attempts by which an endpoint may exceed its allowed number before it counts as overloaded.
 constexpr double kOverloadSlack = 2;
 
 double inSeconds(Duration duration) {
     return std::chrono::duration<double>(duration).count();
 }
 
-// Whether the n-th of a series is one of an evenly spread share.
-bool isOfShare(int n, double share) {
+// Whether the n-th item of a series belongs to a share that is spread evenly over it.
+bool isInShare(int n, double share) {
     return std::floor(n * share) > std::floor((n - 1) * share);
 }
 
@@ -63,17 +63,17 @@
     settings.voteTimeout = seconds(0.8);
 }
 
-// ---- what happens ----
+// ---- events ----
 
 void SimulatedGateway::deliver(const Event &event) {
-    carryOut(policy.decide(kGateway, now, {event}));
+    execute(policy.decide(kGateway, now, {event}));
 }
 
 void SimulatedGateway::stop() {
     const auto actions = policy.decide(kGateway, now, {PolicyStopped{}});
     scheduled.clear();
     ++incarnation;
-    carryOut(actions);
+    execute(actions);
     records.halts.push_back({0, scenarios::HaltKind::killed, now, now});
 }
 
@@ -82,31 +82,31 @@
     const auto actions = policy.decide(kGateway, now, {PolicyStopped{}, PolicyStarted{settings}});
     scheduled.clear();
     ++incarnation;
-    carryOut(actions);
+    execute(actions);
     records.halts.push_back({0, scenarios::HaltKind::killed, now, now});
     deliverEndpointList();
     if (!records.releases.empty())
-        deliverRollout(rollout);
+        deliverRollout(latestRollout);
 }
 
 void SimulatedGateway::stall(Duration length) {
     records.halts.push_back({0, scenarios::HaltKind::stopped, now, now + length});
     now += length;
-    std::vector<std::function<void()>> found;
+    std::vector<std::function<void()>> due;
     while (!scheduled.empty() && scheduled.begin()->first <= now) {
-        found.push_back(scheduled.begin()->second);
+        due.push_back(scheduled.begin()->second);
         scheduled.erase(scheduled.begin());
     }
-    for (const auto &happening : found)
-        happening();
+    for (const auto &task : due)
+        task();
 }
 
 void SimulatedGateway::advanceTo(TimePoint until) {
     while (!scheduled.empty() && scheduled.begin()->first <= until) {
-        const auto [at, happening] = *scheduled.begin();
+        const auto [at, task] = *scheduled.begin();
         scheduled.erase(scheduled.begin());
         now = at;
-        happening();
+        task();
     }
     now = until;
 }
@@ -121,8 +121,8 @@
     EndpointListUpdate update{true, {}};
     for (const auto &[id, entry] : endpoints) {
         update.entries.push_back(entry);
-        const bool startedNow = entry.startedAt && now - *entry.startedAt < settings.warmUpTime;
-        records.endpoints.push_back({0, now, id, entry.build, entry.state, startedNow});
+        const bool isColdStart = entry.startedAt && now - *entry.startedAt < settings.warmUpTime;
+        records.endpoints.push_back({0, now, id, entry.build, entry.state, isColdStart});
     }
     deliver(update);
 }
@@ -131,7 +131,7 @@
     if (update.outcome == Outcome::ok) {
         records.releases.push_back(
             {0, now, update.build, update.step, update.phase, update.exposureLimit});
-        rollout = update;
+        latestRollout = update;
     }
     deliver(update);
 }
@@ -141,7 +141,7 @@
     Request &request = requests[id];
     request.route = options.route;
     request.finalResponses = 0;
-    request.record = records.clients.size();
+    request.clientRecordIndex = records.clients.size();
     scenarios::ClientRecord record;
     record.requestId = std::to_string(incarnation) + "/" + std::to_string(id);
     record.route = options.route;
@@ -150,7 +150,7 @@
     record.givesUp = deadline;
     records.clients.push_back(record);
     deliver(RequestArrived{id, options.key, options.route, 0, deadline});
-    // As a gateway does: what is in flight at the deadline has timed out.
+    // As in the gateway, attempts in flight at the deadline time out.
     scheduled.emplace(deadline, [this, id] {
         for (int number = 0; number < requests[id].attempts; ++number)
             endAttempt({id, number}, Outcome::timeout, Duration{0});
@@ -160,80 +160,84 @@
 void SimulatedGateway::crash(const EndpointId &id) {
     behaviors[id] = EndpointBehavior{};
     behaviors[id].outcome = Outcome::connectFailed;
-    for (const auto &[attempt, target] : sentTo) {
-        if (target == id && !ended.contains(attempt))
+    for (const auto &[attempt, target] : targets) {
+        if (target == id && !endedAttempts.contains(attempt))
             endAttempt(attempt, Outcome::reset, Duration{0});
     }
 }
 
-// ---- what the policy does ----
+// ---- actions of the policy ----
 
-void SimulatedGateway::carryOut(const std::vector<Action> &actions) {
+void SimulatedGateway::execute(const std::vector<Action> &actions) {
     for (const auto &action : actions)
-        std::visit([this](const auto &one) { carryOut(one); }, action);
+        std::visit([this](const auto &typedAction) { execute(typedAction); }, action);
 }
 
-void SimulatedGateway::carryOut(const SendAttempt &action) {
+void SimulatedGateway::execute(const SendAttempt &action) {
     Request &request = requests[action.requestId];
     check(request.finalResponses == 0,
-          "request " + std::to_string(action.requestId) + ": an attempt after its final response");
+          "request " + std::to_string(action.requestId) +
+              ": expected no attempt after its final response, saw one");
     const Attempt attempt{action.requestId, request.attempts++};
     const EndpointEntry &target = endpoints.at(action.endpoint);
-    sentTo[attempt] = action.endpoint;
-    endpointRecord[attempt] = records.instances.size();
-    records.instances.push_back({records.clients.at(request.record).requestId, action.endpoint,
-                                 target.zone, target.cell, target.build, now, true});
+    targets[attempt] = action.endpoint;
+    endpointRecordIndex[attempt] = records.instances.size();
+    records.instances.push_back({records.clients.at(request.clientRecordIndex).requestId,
+                                 action.endpoint, target.zone, target.cell, target.build, now,
+                                 true});
     recordOverload(target);
-    note("send request=" + std::to_string(action.requestId) + " endpoint=" + action.endpoint +
-         " build=" + std::to_string(target.build) + " attempt=" + std::to_string(attempt.number));
+    logAction("send request=" + std::to_string(action.requestId) + " endpoint=" + action.endpoint +
+              " build=" + std::to_string(target.build) +
+              " attempt=" + std::to_string(attempt.number));
 
     EndpointBehavior &behavior = behaviors[action.endpoint];
     if (behavior.silent)
         return;
-    const int number = ++behavior.attemptsSeen;
+    const int number = ++behavior.attemptCount;
     const bool mayFail = behavior.failingRoute < 0 || behavior.failingRoute == request.route;
     Outcome outcome = behavior.outcome;
-    if (mayFail && isOfShare(number, behavior.failureShare))
+    if (mayFail && isInShare(number, behavior.failureShare))
         outcome = Outcome::error;
-    if (isOfShare(number, behavior.droppedShare))
+    if (isInShare(number, behavior.droppedShare))
         return;
     const double variation = 0.7 + 0.06 * (number * 7 % 10);
     endAttempt(attempt, outcome, seconds(behavior.responseSeconds * variation));
 }
 
-void SimulatedGateway::carryOut(const CancelAttempt &action) {
+void SimulatedGateway::execute(const CancelAttempt &action) {
     const Attempt attempt{action.requestId, action.attemptNumber};
-    note("cancel request=" + std::to_string(action.requestId));
-    if (!ended.contains(attempt))
+    logAction("cancel request=" + std::to_string(action.requestId));
+    if (!endedAttempts.contains(attempt))
         endAttempt(attempt, Outcome::cancelled, kCancelDelay);
 }
 
-void SimulatedGateway::carryOut(const SetTimer &action) {
+void SimulatedGateway::execute(const SetTimer &action) {
     scheduled.emplace(now + action.delay, [this] { deliver(TimerFired{}); });
 }
 
-void SimulatedGateway::carryOut(const ProbeEndpoint &action) {
-    note("probe endpoint=" + action.endpoint);
+void SimulatedGateway::execute(const ProbeEndpoint &action) {
+    logAction("probe endpoint=" + action.endpoint);
     const ProbeEnded result{action.endpoint, {behaviors[action.endpoint].load}};
     scheduled.emplace(now + kProbeDelay, [this, result] { deliver(result); });
 }
 
-void SimulatedGateway::carryOut(const Vote &action) {
-    note(std::string("vote ") + nameOf(action.verdict) + " build=" + std::to_string(action.build) +
-         " step=" + std::to_string(action.step));
+void SimulatedGateway::execute(const Vote &action) {
+    logAction(std::string("vote ") + nameOf(action.verdict) +
+              " build=" + std::to_string(action.build) + " step=" + std::to_string(action.step));
 }
 
-void SimulatedGateway::respond(RequestId id, const std::string &word) {
+void SimulatedGateway::respond(RequestId id, const std::string &action) {
     Request &request = requests[id];
-    auto &record = records.clients[request.record];
+    auto &record = records.clients[request.clientRecordIndex];
     record.answered = now;
     ++record.answers;
-    record.end = word == "completed" ? scenarios::ClientEnd::completed
-                 : word == "shed"    ? scenarios::ClientEnd::shed
-                                     : scenarios::ClientEnd::errored;
+    record.end = action == "completed" ? scenarios::ClientEnd::completed
+                 : action == "shed"    ? scenarios::ClientEnd::shed
+                                       : scenarios::ClientEnd::errored;
     check(++request.finalResponses == 1,
-          "request " + std::to_string(id) + ": a second final response, " + word);
-    note(word + " request=" + std::to_string(id));
+          "request " + std::to_string(id) +
+              ": expected one final response, saw a second: " + action);
+    logAction(action + " request=" + std::to_string(id));
 }
 
 void SimulatedGateway::endAttempt(const Attempt &attempt, Outcome outcome, Duration after) {
@@ -244,20 +248,20 @@
 }
 
 void SimulatedGateway::attemptEnded(const Attempt &attempt, Outcome outcome) {
-    auto &received = records.instances[endpointRecord.at(attempt)];
+    auto &endpointRecord = records.instances[endpointRecordIndex.at(attempt)];
     if (outcome == Outcome::overloaded || outcome == Outcome::connectFailed)
-        received.mayHaveRun = false;
-    if (!ended.insert(attempt).second)
-        return;  // cancelled before it responded
+        endpointRecord.mayHaveRun = false;
+    if (!endedAttempts.insert(attempt).second)
+        return;  // ended before, for example by a cancellation
     Request &request = requests[attempt.requestId];
     if (outcome == Outcome::ok && request.finalResponses == 0) {
         respond(attempt.requestId, "completed");
-        records.clients[request.record].build = received.build;
+        records.clients[request.clientRecordIndex].build = endpointRecord.build;
     }
     const AttemptEnded event{attempt.requestId, attempt.number, request.finalResponses > 0,
                              outcome};
     deliver(event);
-    if (behaviors[sentTo.at(attempt)].reportsTwice)
+    if (behaviors[targets.at(attempt)].reportsTwice)
         deliver(event);
 }
 
@@ -267,7 +271,7 @@
     return !entry.startedAt || now - *entry.startedAt > settings.warmUpTime;
 }
 
-// Within the overload window.
+// Attempts sent to the endpoint within the overload window.
 double SimulatedGateway::recentAttempts(const EndpointId &id) const {
     const auto found = attemptTimes.find(id);
     if (found == attemptTimes.end())
@@ -276,11 +280,12 @@
     return double(times.end() - std::ranges::upper_bound(times, now - settings.overloadWindow));
 }
 
-// An endpoint that warms up is overloaded by more than the stated multiple of what it bears by its
-// warm-up fraction. A warm one bears the most that any has got of late.
+// An endpoint in warm-up counts as overloaded when its recent attempts exceed the configured
+// multiple of its warm-up fraction of a warm endpoint's capacity. The capacity is the highest
+// number of recent attempts that any warm endpoint got, but at least kMinCapacity.
 void SimulatedGateway::recordOverload(const EndpointEntry &target) {
     attemptTimes[target.id].push_back(now);
-    double capacity = kLeastCapacity * inSeconds(settings.overloadWindow);
+    double capacity = kMinCapacity * inSeconds(settings.overloadWindow);
     for (const auto &[id, entry] : endpoints) {
         if (isWarm(entry))
             capacity = std::max(capacity, recentAttempts(id));
@@ -305,12 +310,12 @@
     parameters.firstExposureLimit = settings.exposureLimits.front();
     parameters.idempotentOnlyStages = settings.idempotentOnlyStages;
     parameters.firstBuild = 1;
-    parameters.slack = Duration{0};  // one clock: to the microsecond
+    parameters.slack = Duration{0};  // all records share one clock, so no tolerance is needed
     std::string violations;
     for (const auto &violation : scenarios::audit(records, parameters))
         violations += std::string("\n  ") + scenarios::nameOf(violation.rule) + ": request " +
                       violation.requestId + ": " + violation.words;
-    check(violations.empty(), "rules are broken:" + violations);
+    check(violations.empty(), "expected no rule violations, saw:" + violations);
 }
 
 }  // namespace deckcart::test
--- a/tests/policy_script_runner/simulated_gateway.hpp
+++ b/tests/policy_script_runner/simulated_gateway.hpp
@@ -1,5 +1,5 @@
-// One policy on a virtual clock with endpoints that respond as told, and a record of what crossed,
-// which the invariant checker judges by the five rules.
+// Runs one policy on a simulated clock against endpoints of configured behavior, and records all
+// requests, attempts and updates for the invariant checker.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -19,52 +19,59 @@
 struct EndpointBehavior {
     Outcome outcome = Outcome::ok;
     double responseSeconds = 0.05;
-    double failureShare = 0;  ///< of the attempts fail instead, evenly spread
-    double droppedShare = 0;  ///< are carried out, but their responses never come
-    bool silent = false;
-    bool reportsTwice = false;  ///< each result is reported a second time
-    double load = 0;            ///< as it answers probes
-    int failingRoute = -1;      ///< failures on this route only; -1: any
-    int attemptsSeen = 0;
+    double failureShare = 0;    ///< share of attempts that end in an error, evenly spread
+    double droppedShare = 0;    ///< share of attempts that run but whose responses are lost
+    bool silent = false;        ///< never responds
+    bool reportsTwice = false;  ///< delivers each result a second time
+    double load = 0;            ///< reported in reply to probes
+    int failingRoute = -1;      ///< the only route that `failureShare` applies to; -1: all routes
+    int attemptCount = 0;
 };
 
+/// `key` is the session key; empty for none.
 struct RequestOptions {
     int route = 0;
     std::string key;
     Duration timeout = std::chrono::seconds(3);
 };
 
+/// The gateway around the policy: delivers events, executes actions and keeps simulated time, which
+/// passes only in advance() and stall().
 class SimulatedGateway {
   public:
     SimulatedGateway();
 
-    PolicySettings settings;  // take effect at start()
+    PolicySettings settings;  ///< take effect at start()
 
-    // ---- what happens ----
+    // ---- events ----
     void start() { deliver(PolicyStarted{settings}); }
+    /// Stops the policy and drops all that is scheduled.
     void stop();
-    /// Killed and started again in one batch, with its endpoint list and the last rollout update.
+    /// Kills and restarts the policy in one batch, then delivers the endpoint list and the last
+    /// rollout update.
     void restart();
-    /// The process stands still: what comes meanwhile is found all at once, by its clock at the
-    /// end.
+    /// Simulates a process stall: all that falls due meanwhile is delivered at its end.
     void stall(Duration length);
     void advance(Duration length) { advanceTo(now + length); }
     void deliver(const Event &event);
     void deliverEndpointList();
     void deliverRollout(const RolloutUpdate &update);
     void request(RequestId id, const RequestOptions &options);
-    /// Its attempts are reset, and nothing can connect to it from now on.
+    /// Resets the endpoint's attempts in flight and fails all later connects to it.
     void crash(const EndpointId &id);
 
+    /// The entry of the endpoint list, added if missing. Changes reach the policy with the next
+    /// list.
     EndpointEntry &endpoint(const EndpointId &id);
     EndpointBehavior &behavior(const EndpointId &id) { return behaviors[id]; }
     [[nodiscard]] TimePoint time() const { return now; }
-    [[nodiscard]] const RolloutUpdate &lastRollout() const { return rollout; }
+    [[nodiscard]] const RolloutUpdate &lastRollout() const { return latestRollout; }
     RequestId nextRequestId = 1000;
 
-    // ---- what was done ----
+    // ---- recorded actions ----
     /// Actions since the last mark, each in the form of a script line.
     [[nodiscard]] const std::vector<std::string> &actions() const { return log; }
+    /// Discards the actions recorded so far.
     void mark() { log.clear(); }
     /// @throws ScriptFailure with all violations of the five rules
     void checkInvariants() const;
@@ -81,22 +88,22 @@
         int route = 0;
         int attempts = 0;
         int finalResponses = 0;
-        std::size_t record = 0;  // among the clients' records
+        std::size_t clientRecordIndex = 0;  // index in records.clients
     };
 
-    void carryOut(const std::vector<Action> &actions);
-    void carryOut(const SendAttempt &action);
-    void carryOut(const CancelAttempt &action);
-    void carryOut(const ShedRequest &action) { respond(action.requestId, "shed"); }
-    void carryOut(const FailRequest &action) { respond(action.requestId, "failed"); }
-    void carryOut(const SetTimer &action);
-    void carryOut(const ProbeEndpoint &action);
-    void carryOut(const WatchEndpoints &) { note("watch"); }
-    void carryOut(const Vote &action);
-    void carryOut(const LogLine &action) { note("log " + action.message); }
-
-    void note(const std::string &action) { log.push_back(action); }
-    void respond(RequestId id, const std::string &word);
+    void execute(const std::vector<Action> &actions);
+    void execute(const SendAttempt &action);
+    void execute(const CancelAttempt &action);
+    void execute(const ShedRequest &action) { respond(action.requestId, "shed"); }
+    void execute(const FailRequest &action) { respond(action.requestId, "failed"); }
+    void execute(const SetTimer &action);
+    void execute(const ProbeEndpoint &action);
+    void execute(const WatchEndpoints &) { logAction("watch"); }
+    void execute(const Vote &action);
+    void execute(const LogLine &action) { logAction("log " + action.message); }
+
+    void logAction(const std::string &action) { log.push_back(action); }
+    void respond(RequestId id, const std::string &action);
     void endAttempt(const Attempt &attempt, Outcome outcome, Duration after);
     void attemptEnded(const Attempt &attempt, Outcome outcome);
     void advanceTo(TimePoint until);
@@ -106,17 +113,17 @@
 
     Policy policy;
     TimePoint now = seconds(100);
-    int incarnation = 0;  // starts of the policy
-    RolloutUpdate rollout{};
+    int incarnation = 0;  // counts the restarts of the policy
+    RolloutUpdate latestRollout{};
     std::map<EndpointId, EndpointEntry> endpoints;
     std::map<EndpointId, EndpointBehavior> behaviors;
     std::multimap<TimePoint, std::function<void()>> scheduled;
     std::vector<std::string> log;
 
     std::map<RequestId, Request> requests;
-    std::map<Attempt, EndpointId> sentTo;
-    std::map<Attempt, std::size_t> endpointRecord;  // its place among the endpoints' records
-    std::set<Attempt> ended;
+    std::map<Attempt, EndpointId> targets;
+    std::map<Attempt, std::size_t> endpointRecordIndex;  // index in records.instances
+    std::set<Attempt> endedAttempts;
     std::map<EndpointId, std::vector<TimePoint>> attemptTimes;
     scenarios::Records records;
 };
