--- a/tests/path/service.sh
+++ b/tests/path/service.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# The gateway as a process: settings kept over SIGKILL, a refused document changes nothing, a damaged snapshot is set aside,
-# SIGTERM ends it with 0, the state of an earlier version is taken up. Usage: service.sh PROGRAM STORED-DATA
+# Tests the gateway as a process against the loss of its state: settings survive SIGKILL, a rejected document changes nothing,
+# a damaged snapshot is renamed and not used, SIGTERM ends the process with status 0, and state stored by an earlier version is
+# loaded. Usage: service.sh PROGRAM STORED-DATA
 set -eu
 program=$1
 stored=$2
@@ -25,49 +26,49 @@
 
 start
 "$program" settings apply --api "$api" "$state/good.json" > "$state/applied"
-# Past the check of the command line: the gateway itself refuses, names the place and keeps what it has.
+# Sent without the check of the command line: the gateway itself rejects it, names the field and keeps its settings.
 status=$(curl -s -o "$state/refused" -w '%{http_code}' -X PUT --data-binary @"$state/bad.json" "http://$api/v1/settings")
-[ "$status" = 422 ] && grep -q '/routes/0/latencyObjectiveMs' "$state/refused" || fail "422 with the place was wanted, $status came"
+[ "$status" = 422 ] && grep -q '/routes/0/latencyObjectiveMs' "$state/refused" || fail "invalid settings: expected 422 that names the field, got $status"
 status=$(curl -s -o /dev/null -w '%{http_code}' -X PUT --data-binary '{' "http://$api/v1/settings")
-[ "$status" = 400 ] || fail "400 was wanted for no JSON, $status came"
-"$program" settings get --api "$api" | cmp -s - "$state/applied" || fail "a refused document changed the settings"
-"$program" settings check "$state/bad.json" 2>"$state/said" && fail "check let a bad document pass"
-grep -q '/routes/0/latencyObjectiveMs' "$state/said" || fail "check does not name the place"
+[ "$status" = 400 ] || fail "malformed JSON: expected 400, got $status"
+"$program" settings get --api "$api" | cmp -s - "$state/applied" || fail "expected a rejected document to leave the settings unchanged"
+"$program" settings check "$state/bad.json" 2>"$state/said" && fail "expected 'settings check' to reject an invalid document"
+grep -q '/routes/0/latencyObjectiveMs' "$state/said" || fail "expected 'settings check' to name the invalid field"
 
 kill -9 "$pid"; wait "$pid" || true
 start
-"$program" settings get --api "$api" | cmp -s - "$state/applied" || fail "settings were lost by SIGKILL"
+"$program" settings get --api "$api" | cmp -s - "$state/applied" || fail "expected the settings to survive SIGKILL"
 
 kill -9 "$pid"; wait "$pid" || true
 printf '{"format": 1, "settings": {' > "$state/settings.json"
 start
-grep -q '"event":"set-aside"' "$state/log" || fail "a damaged snapshot was not told"
-[ -e "$state/settings.json.bad" ] || fail "a damaged snapshot was not set aside"
-[ "$("$program" settings get --api "$api")" = "{}" ] || fail "a damaged snapshot was used"
+grep -q '"event":"set-aside"' "$state/log" || fail "expected a set-aside event for a damaged snapshot"
+[ -e "$state/settings.json.bad" ] || fail "expected a damaged snapshot to be renamed to settings.json.bad"
+[ "$("$program" settings get --api "$api")" = "{}" ] || fail "expected empty settings after a damaged snapshot"
 
-# A folder that takes no file: nothing changes, and that is said.
+# The state folder can't be written: the settings stay, and the command fails.
 rm -f "$state/settings.json.new"; mkdir "$state/settings.json.new"
-"$program" settings apply --api "$api" "$state/good.json" 2>/dev/null && fail "settings that were not kept were taken"
-[ "$("$program" settings get --api "$api")" = "{}" ] || fail "settings that were not kept are in force"
+"$program" settings apply --api "$api" "$state/good.json" 2>/dev/null && fail "expected 'settings apply' to fail when the settings can't be stored"
+[ "$("$program" settings get --api "$api")" = "{}" ] || fail "expected settings that can't be stored not to be applied"
 
-kill "$pid"; wait "$pid" || fail "SIGTERM did not end it with 0"
+kill "$pid"; wait "$pid" || fail "expected exit status 0 after SIGTERM"
 pid=""
 
-# What commit a119355 has written is in force after the start; neither file is refused.
+# State files written by commit a119355 are loaded at the start; none of them is rejected.
 for kind in list sources; do
     rm -rf "$state"/*
     cp "$stored/$kind"/*.json "$state"
     start
     "$program" settings get --api "$api" > "$state/got"
-    # The file holds the document below its second line, two columns in.
+    # The file holds the document from its third line on, indented by two columns.
     sed -e '1,2d' -e '$d' -e 's/^  //' -e 's/^"settings": //' "$stored/$kind/settings.json" |
-        cmp -s - "$state/got" || fail "stored settings ($kind) were not taken as they are"
-    grep -q '"event":"set-aside"' "$state/log" && fail "stored state ($kind) was refused"
-    grep -q '"event":"recalled"' "$state/log" || fail "stored state ($kind) was not recalled"
+        cmp -s - "$state/got" || fail "expected the stored settings ($kind) to be loaded unchanged"
+    grep -q '"event":"set-aside"' "$state/log" && fail "expected the stored state ($kind) not to be set aside"
+    grep -q '"event":"recalled"' "$state/log" || fail "expected a recalled event for the stored state ($kind)"
     curl -s "http://$api/v1/members" > "$state/members"
     for port in 9001 9002 9005 9006 9007; do
-        grep -q "127.0.0.1:$port" "$state/members" || fail "an instance of the stored state ($kind) is not listed"
+        grep -q "127.0.0.1:$port" "$state/members" || fail "expected the endpoint on port $port of the stored state ($kind) to be listed"
     done
-    kill "$pid"; wait "$pid" || fail "SIGTERM did not end it with 0"
+    kill "$pid"; wait "$pid" || fail "expected exit status 0 after SIGTERM"
     pid=""
 done
