--- a/tests/path/program_test.cpp
+++ b/tests/path/program_test.cpp
@@ -1,5 +1,6 @@
-// The platform's gateway as a process of its own: its start, its signals, its end. Two events that
-// cross, as in crossings_test.cpp: docs/design-crossings.md names these tests as well.
+// The platform's gateway as a separate process: startup, signals, shutdown. As in
+// crossings_test.cpp, each test forces a race condition between two events;
+// docs/design-crossings.md names these tests, too.
 #include <fcntl.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -26,41 +27,42 @@
             kill(pid, SIGKILL);
             waitpid(pid, nullptr, 0);
         }
-        std::filesystem::remove_all(folder);
+        std::filesystem::remove_all(directory);
         Platform::TearDown();
     }
     void launch(const std::string &listen = "127.0.0.1:0") {
-        char made[] = "/tmp/deckcart-XXXXXX";
-        folder = mkdtemp(made);
-        json doc = document(256);
-        doc["listen"] = listen;
-        std::ofstream(folder + "/config.json") << doc.dump();
-        const std::string log = folder + "/log", config = "EDGE_CONFIG=" + folder + "/config.json";
-        posix_spawn_file_actions_t files;
-        posix_spawn_file_actions_init(&files);
-        posix_spawn_file_actions_addopen(&files, 2, log.c_str(), O_CREAT | O_WRONLY | O_APPEND,
-                                         0600);
-        const char *words[] = {DECKCART_PROGRAM, "gateway", "--platform",
-                               "--logs",         "json",    nullptr};
-        const char *env[] = {config.c_str(), nullptr};
-        ASSERT_EQ(posix_spawn(&pid, DECKCART_PROGRAM, &files, nullptr, const_cast<char **>(words),
-                              const_cast<char **>(env)),
+        char pathTemplate[] = "/tmp/deckcart-XXXXXX";
+        directory = mkdtemp(pathTemplate);
+        json configurationDocument = document(256);
+        configurationDocument["listen"] = listen;
+        std::ofstream(directory + "/config.json") << configurationDocument.dump();
+        const std::string log = directory + "/log",
+                          config = "EDGE_CONFIG=" + directory + "/config.json";
+        posix_spawn_file_actions_t fileActions;
+        posix_spawn_file_actions_init(&fileActions);
+        posix_spawn_file_actions_addopen(&fileActions, 2, log.c_str(),
+                                         O_CREAT | O_WRONLY | O_APPEND, 0600);
+        const char *arguments[] = {DECKCART_PROGRAM, "gateway", "--platform",
+                                   "--logs",         "json",    nullptr};
+        const char *environment[] = {config.c_str(), nullptr};
+        ASSERT_EQ(posix_spawn(&pid, DECKCART_PROGRAM, &fileActions, nullptr,
+                              const_cast<char **>(arguments), const_cast<char **>(environment)),
                   0);
-        posix_spawn_file_actions_destroy(&files);
+        posix_spawn_file_actions_destroy(&fileActions);
     }
-    std::string logged() const {
-        std::ifstream in(folder + "/log");
+    std::string readLog() const {
+        std::ifstream in(directory + "/log");
         return {std::istreambuf_iterator<char>(in), {}};
     }
-    // When the program logged the event, as Unix time.
-    std::int64_t loggedAtMs(const std::string &event) const {
-        std::istringstream lines(logged());
+    // When the program first logged the event, as Unix time in milliseconds.
+    std::int64_t eventTimeMs(const std::string &event) const {
+        std::istringstream lines(readLog());
         for (std::string line; std::getline(lines, line);) {
             const json entry = json::parse(line);
             if (entry.at("event") == event)
                 return entry.at("t_ms").get<std::int64_t>();
         }
-        ADD_FAILURE() << "no " << event << " in " << logged();
+        ADD_FAILURE() << "expected an event " << event << " in the log, saw: " << readLog();
         return 0;
     }
     static std::int64_t unixMs() {
@@ -68,107 +70,121 @@
                    std::chrono::system_clock::now().time_since_epoch())
             .count();
     }
-    bool says(const std::string &event) {
+    // False if the program does not log the event in time.
+    bool waitForEvent(const std::string &event) {
         return until(
-            [&] { return logged().find(R"("event":")" + event + "\"") != std::string::npos; });
+            [&] { return readLog().find(R"("event":")" + event + "\"") != std::string::npos; });
     }
-    tcp::endpoint listens() {
-        EXPECT_TRUE(says("listening")) << logged();
-        const std::string log = logged();
+    // The address of the listening event, once it has been logged.
+    tcp::endpoint waitForListenAddress() {
+        EXPECT_TRUE(waitForEvent("listening")) << readLog();
+        const std::string log = readLog();
         const auto at = log.find(R"("listen":")") + 10;
         return *parseAddress(log.substr(at, log.find('"', at) - at));
     }
-    RawClient &clientOf(const tcp::endpoint &at) { return clients.emplace_back(io, at); }
-    bool ended() {
+    RawClient &connectTo(const tcp::endpoint &at) { return clients.emplace_back(io, at); }
+    // Stores the exit status of the process once it has exited.
+    bool hasExited() {
         if (pid <= 0)
             return true;
-        if (waitpid(pid, &status, WNOHANG) != pid)
+        if (waitpid(pid, &exitStatus, WNOHANG) != pid)
             return false;
         pid = 0;
         return true;
     }
-    std::string folder;
+    std::string directory;
     pid_t pid = 0;
-    int status = -1;
+    int exitStatus = -1;
 };
 
+// A second SIGTERM or a SIGHUP during a shutdown must not abort the requests in flight.
 TEST_F(Program, ASecondSignalAndANewConfigurationLeaveWhatIsInFlightAlone) {
-    auto &one = endpoint(neverAnswer);
+    auto &target = endpoint(neverAnswer);
     launch();
-    auto &c = clientOf(listens());
-    c.send(request("a"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; })) << logged();
+    auto &connection = connectTo(waitForListenAddress());
+    connection.send(request("a"));
+    ASSERT_TRUE(until([&] { return attempts() == 1; })) << readLog();
     kill(pid, SIGHUP);
     kill(pid, SIGTERM);
-    ASSERT_TRUE(says("draining"));
+    ASSERT_TRUE(waitForEvent("draining"));
     kill(pid, SIGTERM);
     kill(pid, SIGHUP);
-    ASSERT_TRUE(says("draining-already")) << logged();
-    one.send(successReply("of a"));
-    EXPECT_TRUE(until([&] { return c.closed; }));
-    EXPECT_EQ(c.in, resp::bulk("of a"));
-    EXPECT_TRUE(until([&] { return ended(); }));
-    EXPECT_EQ(status, 0) << logged();
+    ASSERT_TRUE(waitForEvent("draining-already")) << readLog();
+    target.send(successReply("of a"));
+    EXPECT_TRUE(until([&] { return connection.closed; }));
+    EXPECT_EQ(connection.in, resp::bulk("of a"));
+    EXPECT_TRUE(until([&] { return hasExited(); }));
+    EXPECT_EQ(exitStatus, 0) << readLog();
 }
 
+// The platform kills the process a fixed time after SIGTERM. A request that its endpoint never
+// answers must get an error response before that instead of a closed connection.
 TEST_F(Program, ARequestThatIsNeverAnsweredIsErroredBeforeTheProcessEnds) {
-    constexpr auto kKilledAfter = 3700ms;  // of the platform's page: 3 s and 0.7 s after SIGTERM
+    constexpr auto kKillDelay = 3700ms;  // after SIGTERM, as the platform documents: 3 s and 0.7 s
     endpoint(neverAnswer);
     launch();
-    auto &c = clientOf(listens());
-    c.send(request("a", "once", "3900"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; })) << logged();
-    const auto from = std::chrono::steady_clock::now();
+    auto &connection = connectTo(waitForListenAddress());
+    connection.send(request("a", "once", "3900"));
+    ASSERT_TRUE(until([&] { return attempts() == 1; })) << readLog();
+    const auto signalledAt = std::chrono::steady_clock::now();
     const std::int64_t signalledAtMs = unixMs();
     kill(pid, SIGTERM);
-    EXPECT_TRUE(until([&] { return c.closed; }));
-    EXPECT_LT(std::chrono::steady_clock::now() - from, kKilledAfter) << "the answer has come";
-    EXPECT_EQ(c.in, "-ERR failed\r\n");
-    EXPECT_TRUE(until([&] { return ended(); }));
-    EXPECT_EQ(status, 0) << logged();
-    EXPECT_LT(std::chrono::milliseconds(loggedAtMs("ended") - signalledAtMs), kKilledAfter)
-        << "its last word comes before it is killed";
+    EXPECT_TRUE(until([&] { return connection.closed; }));
+    EXPECT_LT(std::chrono::steady_clock::now() - signalledAt, kKillDelay)
+        << "expected the error response before the kill";
+    EXPECT_EQ(connection.in, "-ERR failed\r\n");
+    EXPECT_TRUE(until([&] { return hasExited(); }));
+    EXPECT_EQ(exitStatus, 0) << readLog();
+    EXPECT_LT(std::chrono::milliseconds(eventTimeMs("ended") - signalledAtMs), kKillDelay)
+        << "expected the last log line before the kill";
 #ifndef DECKCART_SANITIZED
-    // With sanitizers the leak check at exit comes behind the last word: 21 to 50 ms as measured,
-    // up to 168 ms beside busy processes, and 50 ms are left to the kill.
-    EXPECT_LT(std::chrono::steady_clock::now() - from, kKilledAfter) << "before it is killed";
+    // Not with sanitizers: their leak check runs at exit, after the last log line. It takes 21 to
+    // 50 ms, on a busy machine up to 168 ms, and only 50 ms are left before the kill.
+    EXPECT_LT(std::chrono::steady_clock::now() - signalledAt, kKillDelay)
+        << "expected the process to exit before the kill";
 #endif
 }
 
+// A replacement starts while the previous process still listens on the address: it must retry to
+// listen instead of exiting.
 TEST_F(Program, AnAddressThatIsStillTakenIsWaitedFor) {
-    tcp::acceptor former(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
-    const auto at = former.local_endpoint();
-    fcntl(former.native_handle(), F_SETFD, FD_CLOEXEC);
+    tcp::acceptor formerListener(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
+    const auto at = formerListener.local_endpoint();
+    fcntl(formerListener.native_handle(), F_SETFD, FD_CLOEXEC);
     launch(format(at));
-    ASSERT_TRUE(says("listen")) << "it is taken: " << logged();
-    former.close();
-    auto &c = clientOf(listens());
-    c.send(resp::command({"PING"}));
-    EXPECT_TRUE(until([&] { return c.in == "+PONG\r\n"; }));
+    ASSERT_TRUE(waitForEvent("listen"))
+        << "expected a failed attempt to listen in the log, saw: " << readLog();
+    formerListener.close();
+    auto &connection = connectTo(waitForListenAddress());
+    connection.send(resp::command({"PING"}));
+    EXPECT_TRUE(until([&] { return connection.in == "+PONG\r\n"; }));
 }
 
+// The endpoint list in the configuration may be outdated: a request that arrives before the first
+// list from discovery must not be sent to an address that another process may use by now.
 TEST_F(Program, ARequestThatComesBeforeTheFirstListWaitsForIt) {
-    auto &old = endpoint(echo);
-    auto &now = endpoints.emplace_back(io, echo);
-    launch();  // knows the old address only
-    fakePlatform.listEndpoint("s1", now.address());
+    auto &oldEndpoint = endpoint(echo);
+    auto &newEndpoint = endpoints.emplace_back(io, echo);
+    launch();  // the configuration has the old address only
+    fakePlatform.listEndpoint("s1", newEndpoint.address());
     std::string log;
-    while ((log = logged()).find("\"listening\"") == std::string::npos && !ended())
+    while ((log = readLog()).find("\"listening\"") == std::string::npos && !hasExited())
         std::this_thread::yield();
-    auto &c = clientOf(listens());
-    c.send(request("a", "once"));
-    EXPECT_TRUE(until([&] { return !c.in.empty(); }));
-    EXPECT_EQ(c.in, resp::bulk("of a"));
-    EXPECT_EQ(old.commands.size(), 0u);
+    auto &connection = connectTo(waitForListenAddress());
+    connection.send(request("a", "once"));
+    EXPECT_TRUE(until([&] { return !connection.in.empty(); }));
+    EXPECT_EQ(connection.in, resp::bulk("of a"));
+    EXPECT_EQ(oldEndpoint.commands.size(), 0u);
 }
 
+// A shutdown while the gateway still waits for its first list must end the process with status 0.
 TEST_F(Program, ASignalBeforeTheFirstListEndsItInOrder) {
     fakePlatform.scriptedListWatches = {[](http::Exchange &) {}};
     launch();
-    listens();
+    waitForListenAddress();
     kill(pid, SIGTERM);
-    EXPECT_TRUE(until([&] { return ended(); }));
-    EXPECT_EQ(status, 0) << logged();
+    EXPECT_TRUE(until([&] { return hasExited(); }));
+    EXPECT_EQ(exitStatus, 0) << readLog();
 }
 
 }  // namespace
