--- a/include/deckcart/policy.hpp
+++ b/include/deckcart/policy.hpp
@@ -56,13 +56,13 @@
     Duration deduplicationWindow{};  ///< starts with the first attempt that may have run
 };
 
-/// Settings that a gateway starts with; constant while it runs.
+/// Settings of a gateway, constant while it runs. "Received requests" include those that it sheds.
 struct PolicySettings {
     std::uint64_t seed = 0;
     int gateways = 1;
     int zone = 0;
     std::vector<Route> routes;
-    std::vector<double> tenantQuotas;  ///< by tenant: fraction of the accepted requests, 0 to 1
+    std::vector<double> tenantQuotas;  ///< by tenant: fraction of the received requests, 0 to 1
     // ---- allowed operations ----
     bool hedgingAllowed = false;
     bool cancellationAllowed = false;
@@ -85,11 +85,11 @@
     PromotionRule promotionRule = PromotionRule::firstVote;
     bool inPlaceReplacement = false;  ///< new endpoints replace old ones instead of joining them
     bool exposurePerRoute = false;    ///< the exposure limit applies to each route separately
-    bool stickyKeys = false;          ///< a key stays with the build that has answered it
+    bool stickyKeys = false;          ///< once a build may have answered a key, no older one will
     int idempotentOnlyStages = 0;  ///< number of initial stages that take idempotent requests only
     double exposureAllowance = 0;  ///< attempts allowed beyond the limit, per window
-    Duration exposureWindow{};     ///< window over which attempts and accepted requests are counted
-    std::vector<double> exposureLimits;  ///< by stage: fraction of the accepted requests, 0 to 1
+    Duration exposureWindow{};     ///< window over which attempts and received requests are counted
+    std::vector<double> exposureLimits;  ///< by stage: fraction of the received requests, 0 to 1
     std::vector<double> stageShares;     ///< by stage: fraction of endpoints that run the build
     Duration minStageDuration{};         ///< minimum duration of a stage; 0: not known
     Duration voteLifetime{};             ///< a vote lapses after this time unless it is renewed
@@ -148,7 +148,7 @@
     BuildNumber build = 0;
     int step = 0;
     RolloutPhase phase = RolloutPhase::canary;
-    double exposureLimit = 0;  ///< fraction of the accepted requests, 0 to 1
+    double exposureLimit = 0;  ///< fraction of the received requests, 0 to 1
     Duration age{};            ///< since the start of the stage
 };
 /// Attempts of all gateways at a build, as counted by the platform.
--- a/src/policy/admission_controller.cpp
+++ b/src/policy/admission_controller.cpp
@@ -11,9 +11,12 @@
 
 using namespace std::chrono_literals;
 
-// Expected mean latency as a fraction of the latency objective. Shedding starts at about half of
-// the objective, for headroom, and its probability grows linearly to 1 over the range.
+// Shedding starts when the expected latency reaches this fraction of the latency objective; the
+// fraction is raised while the throughput is uncertain (see shouldShed). The expected latency is a
+// mean, so it needs headroom for requests that take longer.
 constexpr double kShedThreshold = 0.45;
+// From the threshold on, the shed probability grows linearly to 1 over this fraction of the
+// objective.
 constexpr double kShedRange = 0.5;
 // Throughput is measured over this time: several latencies, but shorter than a surge.
 constexpr Duration kThroughputWindow = 1s;
@@ -23,12 +26,13 @@
 // Requests admitted per request that ended in time. Above 1, so that a recovery of the fleet is
 // noticed.
 constexpr double kThrottleRatio = 2;
-// Fewer attempts in flight than this are never an overload.
+// With fewer attempts in flight, the load pressure is not estimated but taken as 1. The number is
+// also added to a tenant's finished requests, so that a few failures cause little throttling.
 constexpr double kMinInFlight = 4;
 // A tenant exceeds its quota from this multiple of it on.
 constexpr double kQuotaTolerance = 1.25;
-// The fleet is considered full for this long after a request was shed: covers several overloads and
-// the pauses between them.
+// The fleet is considered full for this long after shouldShed last shed a request: covers repeated
+// overloads and the pauses between them.
 constexpr Duration kFleetFullPeriod = 5s;
 // Delay after which clients may repeat a shed request, if the maximum allows: a surge may have
 // passed by then.
@@ -36,9 +40,9 @@
 
 }  // namespace
 
-void AdmissionController::requestAccepted(int tenant, TimePoint now) {
-    accepted.push_back({now, tenant});
-    countAccepted(tenant, 1);
+void AdmissionController::requestArrived(int tenant, TimePoint now) {
+    received.push_back({now, tenant});
+    countReceived(tenant, 1);
 }
 
 void AdmissionController::requestFinished(int tenant, bool inTime, TimePoint now) {
@@ -49,8 +53,8 @@
 }
 
 void AdmissionController::expire(TimePoint now) {
-    dropUntil(accepted, now - settings.overloadWindow,
-              [&](const AcceptedRequest &request) { countAccepted(request.tenant, -1); });
+    dropUntil(received, now - settings.overloadWindow,
+              [&](const ReceivedRequest &request) { countReceived(request.tenant, -1); });
 }
 
 bool AdmissionController::shouldShed(int tenant, double usualSeconds, Duration objective,
@@ -108,16 +112,16 @@
     counts.inTime += request.inTime ? change : 0;
 }
 
-void AdmissionController::countAccepted(int tenant, double change) {
-    if (tenant >= 0 && std::size_t(tenant) < acceptedByTenant.size())
-        acceptedByTenant[std::size_t(tenant)] += change;
+void AdmissionController::countReceived(int tenant, double change) {
+    if (tenant >= 0 && std::size_t(tenant) < receivedByTenant.size())
+        receivedByTenant[std::size_t(tenant)] += change;
 }
 
 bool AdmissionController::overQuota(int tenant) const {
-    if (tenant < 0 || std::size_t(tenant) >= acceptedByTenant.size() || accepted.empty())
+    if (tenant < 0 || std::size_t(tenant) >= receivedByTenant.size() || received.empty())
         return false;
-    return acceptedByTenant[std::size_t(tenant)] >
-           kQuotaTolerance * settings.tenantQuotas[std::size_t(tenant)] * double(accepted.size());
+    return receivedByTenant[std::size_t(tenant)] >
+           kQuotaTolerance * settings.tenantQuotas[std::size_t(tenant)] * double(received.size());
 }
 
 }  // namespace deckcart::policy
--- a/src/policy/admission_controller.hpp
+++ b/src/policy/admission_controller.hpp
@@ -16,14 +16,15 @@
 class AdmissionController {
   public:
     explicit AdmissionController(const PolicySettings &policySettings)
-        : settings(policySettings), acceptedByTenant(policySettings.tenantQuotas.size()) {}
+        : settings(policySettings), receivedByTenant(policySettings.tenantQuotas.size()) {}
 
-    void requestAccepted(int tenant, TimePoint now);
+    /// Counts a request on arrival, whether it is shed or not.
+    void requestArrived(int tenant, TimePoint now);
     /// Records a successful response.
     void attemptAnswered(TimePoint now) { answerTimes.push_back(now); }
     /// Records the end of a request; `inTime`: answered within its latency objective.
     void requestFinished(int tenant, bool inTime, TimePoint now);
-    /// Drops accepted requests that have left the overload window.
+    /// Drops received requests that have left the overload window.
     void expire(TimePoint now);
 
     /// Sheds requests while those in flight could not be answered in time at the throughput of the
@@ -47,22 +48,22 @@
         double all = 0;
         double inTime = 0;
     };
-    struct AcceptedRequest {
+    struct ReceivedRequest {
         TimePoint at{};
         int tenant = 0;
     };
     double loadPressure(const InFlightLoad &load, TimePoint now);
     double throttledFraction(int tenant, TimePoint now);
     void countFinished(const FinishedRequest &request, double change);
-    void countAccepted(int tenant, double change);
+    void countReceived(int tenant, double change);
     bool overQuota(int tenant) const;
 
     const PolicySettings &settings;
     std::deque<TimePoint> answerTimes;
     std::deque<FinishedRequest> finished;
     std::map<int, FinishedCounts> finishedByTenant;
-    std::deque<AcceptedRequest> accepted;
-    std::vector<double> acceptedByTenant;  // by tenant, those with a quota only
+    std::deque<ReceivedRequest> received;
+    std::vector<double> receivedByTenant;  // by tenant, those with a quota only
     TimePoint lastShedAt{};                // 0: never
 };
 
--- a/src/policy/canary_analyzer.cpp
+++ b/src/policy/canary_analyzer.cpp
@@ -13,7 +13,9 @@
 
 using namespace std::chrono_literals;
 
-// Minimum length of a comparison window, so that both builds are observed over the same time.
+// Minimum length of a comparison window. In a shorter one the baseline may lack attempts, and the
+// canary would be compared with an earlier window of the baseline. Also the settling time of the
+// limit to an even share: attempts sent within it are not counted.
 constexpr Duration kMinWindow = 1s;
 // Minimum number of latency samples for a p95.
 constexpr int kMinLatencySamples = 50;
@@ -25,7 +27,7 @@
 // failure.
 constexpr Duration kFailureFreePeriod = 5s;
 // The canary counts as slow if its p95 exceeds the reference p95 by this factor. 1.5 is too low: at
-// high load a build that is 10% slower queues twice as long.
+// high load the requests of a build that is only 10% slower already queue for twice as long.
 constexpr double kSlowP95Factor = 2;
 // The p95 must also exceed the reference by this much, since latencies of fast routes vary more in
 // relation to their length.
@@ -35,21 +37,21 @@
 // The canary's median endpoint must be slower than the baseline's by this factor: one slow endpoint
 // is no evidence.
 constexpr double kSlowMedianEndpointFactor = 1.6;
-// Delay of the vote to promote after the start of the stage's clock: 2 s, and 0.5 s for the error
-// of our estimate of that start.
+// The gateway votes to promote no sooner than this after the estimated start of the stage's clock:
+// 2 s, and a margin of 0.5 s for the error of the estimate. Short stages scale it down.
 constexpr Duration kPromotionDelay = 2500ms;
 // Pooled evidence: the canary is slower by more than this factor, and by this many standard errors
 // beyond it, to restart the failure-free period or to vote for a roll back.
 constexpr double kPooledSlownessFactor = 1.4;
 constexpr double kStandardErrorsToDelay = 1;
 constexpr double kStandardErrorsToRollBack = 2;
-// The baseline counts as serving nearly all requests while the canary's share of first attempts is
-// below this.
+// In a canary phase, the baseline counts as serving most requests while the canary's share of first
+// attempts is below this.
 constexpr double kSmallCanaryShare = 0.25;
 
 }  // namespace
 
-bool CanaryAnalyzer::baselineFullyLoaded(const AnalysisContext &context) const {
+bool CanaryAnalyzer::baselineServesMost(const AnalysisContext &context) const {
     if (!context.rollout.inPhase(RolloutPhase::canary))
         return true;
     return interference.idle() && context.canaryShare < kSmallCanaryShare;
@@ -63,7 +65,7 @@
     if (!context.rollout.underAnalysis())
         return false;
     // An earlier build that was rolled back is neither the canary nor its baseline. Its late
-    // failures must not hide those of the next canary. No drawback is known.
+    // failures would raise the baseline's failure rate and so hide failures of the next canary.
     if (sample.build < context.rollout.current().build &&
         sample.build == context.rollout.rolledBackBuild())
         return false;
@@ -85,7 +87,7 @@
     const bool cutShort =
         sample.outcome == Outcome::cancelled || sample.outcome == Outcome::timeout;
     const bool comparableEndpoint =
-        sample.build <= rolloutBuild && !sample.warmingUp && !sample.endpointUnresponsive;
+        sample.build <= rolloutBuild && !sample.tooYoung && !sample.endpointUnresponsive;
     if (cutShort && comparableEndpoint && sample.slowness > 1 &&
         settings.votesToRollBack >= kMinVotesForPooling)
         window.slowness.push_back({now, sample.slowness});
@@ -94,7 +96,7 @@
     recordPair(sample, context);
     if (fromCanary)
         recordCanary(sample, now);
-    if (sample.warmingUp || sample.build > rolloutBuild ||
+    if (sample.tooYoung || sample.build > rolloutBuild ||
         (evenShareActive && sample.sentAt < evenShareSince + kMinWindow))
         return;
     window.add(sample.route, sample.endpoint, isFailure(sample.outcome),
@@ -120,7 +122,7 @@
     // as well, so failures are not held against the canary while the baseline fails often.
     // Drawback: hides a bad canary while the baseline is bad too.
     const bool baselineAlsoFails = hasManyGateways(settings) && baseline.failsOften();
-    if (isFailure(sample.outcome) && (!sample.warmingUp || error) && !baselineAlsoFails)
+    if (isFailure(sample.outcome) && (!sample.tooYoung || error) && !baselineAlsoFails)
         lastCanaryFailure = now;
     if (error)
         usage.recordOwnError();
@@ -141,9 +143,9 @@
     interference.recordBaseline(sample.slowness, now);
     // Samples from before the canary are preferred, since the canary may slow the baseline from its
     // first requests on.
-    if (baselineFullyLoaded(context) &&
-        (!rollout.isCanary(rollout.current().build) || interference.needsFullLoadSamples()))
-        interference.recordFullLoad(sample.slowness);
+    if (baselineServesMost(context) &&
+        (!rollout.isCanary(rollout.current().build) || interference.needsReferenceSamples()))
+        interference.recordReference(sample.slowness);
 }
 
 void CanaryAnalyzer::recordUsage(const UsageReport &report, const AnalysisContext &context) {
@@ -245,7 +247,7 @@
     const double standardErrors =
         std::min(standardErrorsSlower(canaryRatios, baselineRatios, kPooledSlownessFactor,
                                       kMinPooledSamples),
-                 standardErrorsSlower(canaryRatios, interference.fullLoadSamples(),
+                 standardErrorsSlower(canaryRatios, interference.referenceSamples(),
                                       kPooledSlownessFactor, kMinPooledSamples));
     if (standardErrors > kStandardErrorsToDelay)
         lastCanaryFailure = now;  // slow responses restart the failure-free period
@@ -259,18 +261,20 @@
     return canary.typicalSlowness() > kSlowMedianEndpointFactor * base.typicalSlowness();
 }
 
-// Compares the p95 latencies. In late stages the canary's endpoints take more traffic and queue
-// more, so the canary must also be slower than the baseline was under full load, and slow on most
-// of its endpoints. Keeps load, a noisy neighbour or a pause from being attributed to the build.
-// Drawback: less sensitive if the fleet was slow before. Empty: too few latency samples to tell.
-std::optional<bool> CanaryAnalyzer::latencyRegressed(const SampleWindow &base, bool usePrevious,
+// Returns whether the canary's p95 latency is clearly above the baseline's, both now and while the
+// baseline served most requests: in late stages the canary's endpoints take more traffic and queue
+// more than the baseline's beside them. The canary must also be slow on most of its endpoints, so
+// that a noisy neighbour or a stall of one endpoint is not attributed to the build. Drawback: less
+// sensitive if the fleet was slow before. Empty: too few latency samples to tell. Drops the
+// canary's latency samples once there are enough of them to compare.
+std::optional<bool> CanaryAnalyzer::compareLatencies(const SampleWindow &base, bool usePrevious,
                                                      const AnalysisContext &context) {
     if (int(canary.slowness.size()) < kMinLatencySamples)
         return std::nullopt;
-    // Both sides are compared over the same time, or an earlier slowdown of both builds would
-    // remain in the side with fewer, older samples only. In late stages the baseline has few
-    // samples, so the comparison goes back in time until it has the minimum count, within the
-    // latency window.
+    // Unless the previous window is used, both sides are compared over the same time, or an earlier
+    // slowdown of both builds would remain in the side with fewer, older samples only. In late
+    // stages the baseline has few samples, so the comparison goes back in time until it has the
+    // minimum count, within the latency window.
     TimePoint since = (canary.slowness.end() - kMinLatencySamples)->at;
     if (!usePrevious && int(base.slowness.size()) >= kMinLatencySamples)
         since = std::max(context.now - kLatencyWindow,
@@ -280,7 +284,7 @@
     canary.slowness.clear();  // each window of a streak is compared on samples of its own
     const double canaryP95 = quantile(canaryRatios, 0.95);
     const double fastestSeconds = context.latencies.fastest();
-    for (const auto *reference : {&baselineRatios, &interference.fullLoadSamples()}) {
+    for (const auto *reference : {&baselineRatios, &interference.referenceSamples()}) {
         if (int(reference->size()) < kMinLatencySamples)
             return std::nullopt;
         const double referenceP95 = quantile(*reference, 0.95);
@@ -300,7 +304,7 @@
         return Progress::proceed;
     WindowResult result;
     result.moreErrors = failsMore(canary, base, &OutcomeCounts::errors);
-    result.slow = latencyRegressed(base, usePrevious, context);
+    result.slow = compareLatencies(base, usePrevious, context);
     result.moreFailures = failsMore(canary, base, &OutcomeCounts::failures) &&
                           slowOnMostEndpoints(base) &&
                           canary.typicalFailureShare() > kFailureMargin;
@@ -324,30 +328,35 @@
     if (result.moreErrors || result.moreFailures || result.slow.value_or(false)) {
         healthyStreak = 0;
         ++unhealthyStreak;
+        // "failures" stands for error responses; "time-outs" for failures of any kind on endpoints
+        // that are slow as well; "slow" for the p95 alone.
         const char *slowness = result.moreFailures ? "time-outs" : "slow";
         unhealthyReason = result.moreErrors ? "failures" : slowness;
         return;
     }
     ++healthyStreak;
-    // Without enough latency samples a streak of slow windows does not end.
+    // A streak due to slowness or timeouts ends only with a window that has enough latency samples
+    // to show that the canary is not slow (result.slow is then set, to false). A streak due to
+    // error responses ends with any healthy window.
     if (result.slow || unhealthyReason == "failures")
         unhealthyStreak = 0;
 }
 
 // Before slowness or timeouts count against the build, the canary is limited to an even share per
-// endpoint, and the attempts sent before that are discarded. Keeps overloaded canary endpoints from
-// being mistaken for a slow build. Drawback: a slow build is detected one or two seconds later.
+// endpoint. Samples so far, and attempts sent within the settling time, are discarded. Keeps
+// overloaded canary endpoints from being mistaken for a slow build. Drawback: a slow build is
+// detected at least two seconds later, once per build.
 void CanaryAnalyzer::startEvenShare(TimePoint now) {
     evenShareActive = true;
     evenShareSince = now;
-    messages.emplace_back("eased: trial slow, even share first");
+    messages.emplace_back("canary looks slow: limited to an even share");
     canary = SampleWindow{};
     baseline = SampleWindow{};
     windowStart = now + kMinWindow;
 }
 
-// Drops the counts of the closed window. Latency samples are kept, so that the p95 reaches its
-// minimum count.
+// Drops the counts of the closed window. Latency samples are kept, so that their number can reach
+// the minimum for a p95; compareLatencies drops the canary's once it has used them.
 void CanaryAnalyzer::closeWindow(TimePoint now) {
     if (baseline.conclusive())
         previousBaseline = baseline;
--- a/src/policy/canary_analyzer.hpp
+++ b/src/policy/canary_analyzer.hpp
@@ -25,7 +25,7 @@
     int route = 0;
     TimePoint sentAt{};
     Outcome outcome = Outcome::ok;
-    bool warmingUp = false;  ///< it was sent before the endpoint reached the evidence age
+    bool tooYoung = false;  ///< it was sent before the endpoint reached the evidence age
     bool endpointUnresponsive = false;  ///< the endpoint is considered dead, whatever its build
     double slowness = 1;                ///< latency as a multiple of the route's usual latency
     /// Build of the request's previous attempt if that ended in an error.
@@ -73,15 +73,17 @@
     /// Whether the canary's share is limited to an even share per endpoint, the first reaction when
     /// it looks slow.
     bool evenShare() const { return evenShareActive; }
-    /// Whether the baseline serves nearly all requests.
-    bool baselineFullyLoaded(const AnalysisContext &context) const;
+    /// Whether the baseline serves most requests. True outside a canary phase; within one, while
+    /// the canary gets less than a quarter of the first attempts, the baseline is not slow and no
+    /// experiment of the interference detector is running.
+    bool baselineServesMost(const AnalysisContext &context) const;
 
   private:
     // Findings of one window comparison.
     struct WindowResult {
-        bool moreErrors = false;
-        bool moreFailures = false;
-        std::optional<bool> slow;  // empty: too few latency samples to tell
+        bool moreErrors = false;    // more error responses than the baseline
+        bool moreFailures = false;  // more failures of any kind, on endpoints that are slow as well
+        std::optional<bool> slow;   // by the p95; empty: too few latency samples to tell
     };
     enum class Progress { proceed, stop };
 
@@ -102,7 +104,7 @@
     BaselineCounts baselineCounts() const;
     bool pooledEvidenceAgainstCanary(TimePoint now);
     bool slowOnMostEndpoints(const SampleWindow &base) const;
-    std::optional<bool> latencyRegressed(const SampleWindow &base, bool usePrevious,
+    std::optional<bool> compareLatencies(const SampleWindow &base, bool usePrevious,
                                          const AnalysisContext &context);
     void updateStreaks(const WindowResult &result);
     void startEvenShare(TimePoint now);
--- a/src/policy/direct_evidence.cpp
+++ b/src/policy/direct_evidence.cpp
@@ -10,8 +10,10 @@
 // back. Fewer may be chance.
 constexpr int kPairsToRollBack = 3;
 constexpr int kReportsToRollBack = 2;
-// Fraction of the canary's recent attempts that failed or were incorrect. A good build rarely has
-// two such attempts.
+// The gateway votes to roll back if the bad responses (pairs, and reports by their weight) reach
+// this fraction of its attempts at the canary within the vote lifetime. A good build rarely has two
+// bad ones. A single one is enough for up to ten attempts; the required number of votes guards
+// against chance.
 constexpr double kBadShareToRollBack = 0.1;
 // Lower bound of the recent bad responses, below the weight of a single one: none at all is no
 // evidence.
@@ -63,8 +65,9 @@
 }
 
 bool DirectEvidence::pairsShowFailure(const BaselineCounts &baseline) const {
-    // Where two or three votes are required, each gateway needs one pair less. Pooled votes lapse
-    // and need a single pair (recentAttemptsFail).
+    // Where two or three votes are required, each gateway needs one pair less. Where evidence is
+    // pooled, the full number is required here, since the vote does not lapse; for votes that lapse
+    // recentAttemptsFail accepts a single pair if attempts are few.
     const bool fewVotes =
         settings.votesToRollBack > 1 && settings.votesToRollBack < kMinVotesForPooling;
     const int required = fewVotes ? kPairsToRollBack - 1 : kPairsToRollBack;
--- a/src/policy/direct_evidence.hpp
+++ b/src/policy/direct_evidence.hpp
@@ -34,7 +34,7 @@
     bool reportedIncorrect() const;
     /// Whether enough requests failed on the canary alone to roll back.
     bool pairsShowFailure(const BaselineCounts &baseline) const;
-    /// Whether too many of the attempts within the last vote lifetime were bad.
+    /// Whether too many of the attempts within the last vote lifetime were bad. For pooled votes.
     bool recentAttemptsFail(const BaselineCounts &baseline) const;
     /// Whether there is any attempt at the canary or report within the last vote lifetime.
     bool hasRecentEvidence() const { return !recent.empty(); }
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -68,7 +68,7 @@
     }
     byBuild.clear();
     for (auto &[id, endpoint] : endpoints)
-        if (endpoint.listed())
+        if (endpoint.active())
             byBuild[endpoint.entry.build].push_back(&endpoint);
 }
 
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -45,7 +45,7 @@
     TimePoint removedAt{};
     int recentAnswers = 0;  ///< responses that the fleet observer still counts
 
-    bool listed() const { return entry.state == EndpointState::active; }
+    bool active() const { return entry.state == EndpointState::active; }
     /// Time since its start; one hour if it is not known because it was long ago.
     Duration age(TimePoint now) const {
         return entry.startedAt ? now - *entry.startedAt : Duration{std::chrono::hours{1}};
--- a/src/policy/exposure_limiter.cpp
+++ b/src/policy/exposure_limiter.cpp
@@ -1,4 +1,4 @@
-// Sliding windows of accepted requests and of attempts at limited builds.
+// Sliding windows of received requests and of attempts at limited builds.
 #include "exposure_limiter.hpp"
 
 namespace deckcart::policy {
@@ -7,8 +7,8 @@
     return attempts.try_emplace(build, groupCount()).first->second[group(route)];
 }
 
-void ExposureLimiter::requestAccepted(int route, TimePoint now) {
-    accepted[group(route)].push_back(now);
+void ExposureLimiter::requestArrived(int route, TimePoint now) {
+    received[group(route)].push_back(now);
 }
 
 void ExposureLimiter::attemptSent(BuildNumber build, int route, TimePoint now) {
@@ -19,11 +19,11 @@
     if (share <= 0)
         return false;
     Times &sent = attemptsAt(build, route);
-    Times &acceptedTimes = accepted[group(route)];
+    Times &receivedTimes = received[group(route)];
     dropUntil(sent, now - settings.exposureWindow - kHousekeepingInterval);
-    dropUntil(acceptedTimes, now - settings.exposureWindow + kHousekeepingInterval);
+    dropUntil(receivedTimes, now - settings.exposureWindow + kHousekeepingInterval);
     return double(sent.size()) + 1 <=
-           settings.exposureAllowance + share * double(acceptedTimes.size());
+           settings.exposureAllowance + share * double(receivedTimes.size());
 }
 
 bool ExposureLimiter::usesLessThan(double share, BuildNumber build, int route) const {
@@ -31,11 +31,11 @@
     if (found == attempts.end())
         return true;
     return double(found->second[group(route)].size()) <
-           share * double(accepted[group(route)].size());
+           share * double(received[group(route)].size());
 }
 
 void ExposureLimiter::expire(TimePoint now) {
-    for (Times &times : accepted)
+    for (Times &times : received)
         dropUntil(times, now - settings.exposureWindow + kHousekeepingInterval);
 }
 
--- a/src/policy/exposure_limiter.hpp
+++ b/src/policy/exposure_limiter.hpp
@@ -1,5 +1,5 @@
 // The exposure limit: how many attempts an unreleased build may get, as a fraction of the requests
-// accepted within a window, in total or by route.
+// received within a window, in total or by route.
 #pragma once
 
 #include <cstddef>
@@ -15,18 +15,19 @@
 class ExposureLimiter {
   public:
     explicit ExposureLimiter(const PolicySettings &policySettings)
-        : settings(policySettings), accepted(groupCount()) {}
+        : settings(policySettings), received(groupCount()) {}
 
-    void requestAccepted(int route, TimePoint now);
+    /// Counts a request on arrival, whether it is shed or not.
+    void requestArrived(int route, TimePoint now);
     void attemptSent(BuildNumber build, int route, TimePoint now);
-    /// Whether one more attempt stays within `share` of the accepted requests. Attempts are counted
-    /// over the window and one housekeeping interval, accepted requests over the window less one
+    /// Whether one more attempt stays within `share` of the received requests. Attempts are counted
+    /// over the window and one housekeeping interval, received requests over the window less one
     /// interval, since the limit holds for windows that end at any moment.
     bool withinLimit(BuildNumber build, int route, double share, TimePoint now);
-    /// Whether the build's attempts are below `share` of the accepted requests, without dropping
+    /// Whether the build's attempts are below `share` of the received requests, without dropping
     /// expired entries first.
     bool usesLessThan(double share, BuildNumber build, int route) const;
-    /// Drops accepted requests that have left the window. While no build is limited, no other call
+    /// Drops received requests that have left the window. While no build is limited, no other call
     /// does.
     void expire(TimePoint now);
 
@@ -41,7 +42,7 @@
     Times &attemptsAt(BuildNumber build, int route);
 
     const PolicySettings &settings;
-    std::vector<Times> accepted;  // one per route if the limit is per route, else a single one
+    std::vector<Times> received;  // one per route if the limit is per route, else a single one
     std::map<BuildNumber, std::vector<Times>> attempts;  // same, by build
 };
 
--- a/src/policy/fleet_observer.hpp
+++ b/src/policy/fleet_observer.hpp
@@ -29,7 +29,8 @@
     FleetObserver(const PolicySettings &policySettings, const SlowStart &slowStartRules)
         : settings(policySettings), slowStart(slowStartRules) {}
 
-    /// Records a response of a warm endpoint.
+    /// Records a response to an attempt that was sent when the endpoint had reached the evidence
+    /// age.
     void recordAnswer(Endpoint &endpoint, TimePoint now);
     /// Whether the next count is due.
     bool due(TimePoint now) const { return now >= dueAt; }
@@ -38,7 +39,7 @@
                TimePoint now);
 
     const FleetSummary &summary() const { return current; }
-    /// Mean number of responses that a warm endpoint has given to this gateway within the overload
+    /// Mean number of such responses that an endpoint has given to this gateway within the overload
     /// window.
     double answersPerEndpoint() const { return meanAnswers; }
     /// The median over endpoints of the latency as a multiple of the usual; at least 1.
--- a/src/policy/forwarding.cpp
+++ b/src/policy/forwarding.cpp
@@ -8,7 +8,7 @@
 
 namespace deckcart {
 
-// Checks the five forwarding rules. Every attempt passes here before it is sent.
+// Checks all rules of forwarding. Every attempt passes here before it is sent.
 bool Policy::Instance::mayForward(const Request &request, Endpoint &endpoint) {
     // every request gets one response, in time
     if (request.finished || now >= request.arrival.deadline || !retries.mayAttempt(request))
@@ -17,7 +17,7 @@
     if (!retries.mayRepeat(request, now) || !retries.sharesDeduplication(request, endpoint))
         return false;
     // no new attempts at draining endpoints
-    if (!endpoint.listed())
+    if (!endpoint.active())
         return false;
     // limited exposure of unreleased builds
     const BuildNumber build = endpoint.entry.build;
@@ -28,6 +28,7 @@
         if (!exposure.withinLimit(build, request.arrival.route, rollout.exposureLimit(build), now))
             return false;
     }
+    // no return of a key to an older build
     if (!affinity.allows(request.arrival.key, build, rollout.rolledBackBuild()))
         return false;
     // no overload of endpoints that are warming up
@@ -122,7 +123,7 @@
                                 .zone = entry.zone,
                                 .cell = entry.cell,
                                 .sentAt = now,
-                                .warmingUp = age < slowStart.evidenceAge()});
+                                .tooYoung = age < slowStart.evidenceAge()});
     endpoint.inFlight.insert({now, request.arrival.requestId, request.arrival.route});
     if (slowStart.warmingUp(age))
         endpoint.slowStart.sends.push_back(now);
--- a/src/policy/interference_detector.cpp
+++ b/src/policy/interference_detector.cpp
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-// The baseline counts as slow if its median exceeds that under full load by this factor.
+// The baseline counts as slow if its median exceeds the reference samples' by this factor.
 constexpr double kSlowMedianFactor = 1.2;
 // Divided by the root of the sample count: about one standard error of the median, added to the
 // factor above.
@@ -19,9 +19,9 @@
 constexpr std::size_t kMinSamples = 15;
 // Samples are kept this long. A short window lets the median follow a pause quickly.
 constexpr Duration kRecentWindow = 1500ms;
-// The baseline must be slow for this long before the canary is paused or found at fault. After a
-// pause that did not help, no new pause starts for the second time.
+// The baseline must be slow for this long before the canary is paused or found at fault.
 constexpr Duration kMinSlowDuration = 700ms;
+// After a pause that did not help, no new pause starts for this long.
 constexpr Duration kNoPausePeriod = 8s;
 // The canary is cleared if a pause has not helped, or if the slowness has not returned after the
 // pause, within these times.
@@ -32,10 +32,10 @@
 
 }  // namespace
 
-void InterferenceDetector::recordFullLoad(double ratio) {
-    fullLoad.push_back(ratio);
-    if (fullLoad.size() > kFullLoadSamples)
-        fullLoad.erase(fullLoad.begin());
+void InterferenceDetector::recordReference(double ratio) {
+    reference.push_back(ratio);
+    if (reference.size() > kMaxReferenceSamples)
+        reference.erase(reference.begin());
 }
 
 void InterferenceDetector::expire(TimePoint now) {
@@ -50,10 +50,10 @@
 
 InterferenceDetector::Finding InterferenceDetector::advance(bool canaryGetsTraffic,
                                                             bool capacityReduced, TimePoint now) {
-    if (recent.size() < kMinSamples || fullLoad.size() < kMinSamples)
+    if (recent.size() < kMinSamples || reference.size() < kMinSamples)
         return {};
     const double slowness =
-        quantile(valuesSince(recent, TimePoint{0}), 0.5) / quantile(fullLoad, 0.5);
+        quantile(valuesSince(recent, TimePoint{0}), 0.5) / quantile(reference, 0.5);
     if (slowness <= kSlowMedianFactor + kMedianErrorFactor / std::sqrt(double(recent.size())))
         slowSince = TimePoint{0};
     else if (slowSince == TimePoint{0})
--- a/src/policy/interference_detector.hpp
+++ b/src/policy/interference_detector.hpp
@@ -18,18 +18,19 @@
 
     /// Records the latency of a baseline response, as a multiple of the route's usual latency.
     void recordBaseline(double ratio, TimePoint now) { recent.push_back({now, ratio}); }
-    /// Same, for responses while the baseline serves nearly all requests.
-    void recordFullLoad(double ratio);
-    /// Whether there are too few samples under full load from before the canary; those are
-    /// preferred, since the canary may slow the baseline from its first requests on.
-    bool needsFullLoadSamples() const { return fullLoad.size() < kFullLoadSamples / 2; }
+    /// Same, for a response given while the baseline served most requests
+    /// (CanaryAnalyzer::baselineServesMost): the reference that later slowness is measured by.
+    void recordReference(double ratio);
+    /// Whether there are too few reference samples. Only then are some taken while a canary gets
+    /// traffic, since it may slow the baseline from its first requests on.
+    bool needsReferenceSamples() const { return reference.size() < kMaxReferenceSamples / 2; }
     void expire(TimePoint now);
     /// Starts a new stage.
     void reset();
 
-    /// Advances the experiment. When the baseline's median latency rises above its median under
-    /// full load, first attempts at the canary are paused. If that helps, they resume; if the
-    /// slowness then returns, the canary is at fault, otherwise it is cleared. Covers shared
+    /// Advances the experiment. When the baseline's median latency rises above the median of the
+    /// reference samples, first attempts at the canary are paused. If that helps, they resume; if
+    /// the slowness then returns, the canary is at fault, otherwise it is cleared. Covers shared
     /// stores, caches and locks; a slowdown or burst of other origin does not end with the pause.
     /// Drawback: a good build waits if such a slowdown happens to end during the pause.
     /// `canaryGetsTraffic`: there is traffic to pause. `capacityReduced`: endpoints are being
@@ -43,8 +44,8 @@
     bool blocksPromotion(TimePoint now) const {
         return state != State::watching || (slowSince != TimePoint{0} && now >= noPauseBefore);
     }
-    /// Latencies of the baseline under full load, as multiples of the usual latency.
-    const std::vector<double> &fullLoadSamples() const { return fullLoad; }
+    /// Latencies of the baseline while it served most requests, as multiples of the usual latency.
+    const std::vector<double> &referenceSamples() const { return reference; }
 
   private:
     enum class State { watching, paused, resumed };
@@ -53,11 +54,11 @@
     Finding advanceResumed(double slowness, bool sustained, TimePoint now);
     bool mostExcessGone(double slowness) const;
 
-    // Maximum number of samples under full load: enough for a p95, and some seconds of traffic at a
+    // Maximum number of reference samples: enough for a p95, and some seconds of traffic at a
     // small gateway.
-    static constexpr std::size_t kFullLoadSamples = 200;
+    static constexpr std::size_t kMaxReferenceSamples = 200;
     TimedValues recent;
-    std::vector<double> fullLoad;
+    std::vector<double> reference;
     State state = State::watching;
     TimePoint stateSince{};
     TimePoint slowSince{};      // 0: the baseline is not slow
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -78,7 +78,7 @@
     endpoints.update(list.entries, random, now);
     watching = true;
     const auto &active = endpoints.active();
-    rollout.setOldestListed(active.empty() ? std::nullopt : std::optional(active.begin()->first));
+    rollout.setOldestActive(active.empty() ? std::nullopt : std::optional(active.begin()->first));
     countFleet();
 }
 
@@ -112,9 +112,9 @@
 void Policy::Instance::on(const RequestArrived &arrival) {
     const auto position =
         requests.try_emplace(arrival.requestId, Request{arrival, now, {}, false, {}, 0}).first;
-    exposure.requestAccepted(arrival.route, now);
-    admission.requestAccepted(arrival.tenant, now);
-    retries.requestAccepted();
+    exposure.requestArrived(arrival.route, now);
+    admission.requestArrived(arrival.tenant, now);
+    retries.requestArrived();
     if (!queryLoad(position->second))
         dispatchOrWait(position);
 }
@@ -188,10 +188,10 @@
         const double seconds = policy::toSeconds(now - attempt.sentAt);
         endpoint.latency.record(seconds / usualLatency(request), now);
         endpoint.health.succeeded();
-        if (!rollout.isCanary(attempt.build) && !attempt.warmingUp &&
-            analyzer.baselineFullyLoaded(analysisContext()))
+        if (!rollout.isCanary(attempt.build) && !attempt.tooYoung &&
+            analyzer.baselineServesMost(analysisContext()))
             latencies.learn(request.arrival.route, seconds);
-        if (!attempt.warmingUp)
+        if (!attempt.tooYoung)
             fleet.recordAnswer(endpoint, now);
     } else if (responded) {
         endpoint.health.responded();
@@ -211,7 +211,7 @@
                                  .route = request.arrival.route,
                                  .sentAt = attempt.sentAt,
                                  .outcome = outcome,
-                                 .warmingUp = attempt.warmingUp,
+                                 .tooYoung = attempt.tooYoung,
                                  .endpointUnresponsive = endpoint.health.unresponsive(),
                                  .slowness = policy::toSeconds(now - attempt.sentAt) /
                                              usualLatency(request),
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -1,4 +1,4 @@
-// Requests that a gateway has accepted and not finished, with their attempts.
+// Requests that a gateway has received and not finished, with their attempts.
 #pragma once
 
 #include <algorithm>
@@ -19,7 +19,7 @@
     int zone = 0;
     int cell = 0;
     TimePoint sentAt{};
-    bool warmingUp = false;  ///< it was sent before the endpoint reached the evidence age
+    bool tooYoung = false;  ///< it was sent before the endpoint reached the evidence age
     bool inFlight = true;
     bool abandoned = false;  ///< cancelled or hedged because the endpoint was silent
     Outcome outcome = Outcome::ok;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -6,7 +6,7 @@
 namespace deckcart::policy {
 namespace {
 
-// Retries per accepted request. More would sustain an overload.
+// Retries per received request. More would sustain an overload.
 constexpr double kBudgetPerRequest = 0.2;
 // An endpoint is silent for too long after this multiple of the usual latency, scaled by the
 // fleet's current slowness.
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void RetryPolicy::requestAccepted() {
+void RetryPolicy::requestArrived() {
     budget = std::min(kMaxBudget, budget + kBudgetPerRequest);
 }
 
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -12,7 +12,8 @@
   public:
     explicit RetryPolicy(const PolicySettings &policySettings) : settings(policySettings) {}
 
-    void requestAccepted();
+    /// Adds a request's part to the retry budget, on arrival.
+    void requestArrived();
     bool budgetLeft() const { return budget >= 1; }
     void spendBudget() { budget -= 1; }
 
--- a/src/policy/rollout_tracker.cpp
+++ b/src/policy/rollout_tracker.cpp
@@ -15,7 +15,8 @@
 // The platform starts the clock of a stage this much later than the last endpoint of the stage,
 // since it learns of the endpoint later.
 constexpr Duration kStageClockDelay = 1s;
-// The clock starts this long after the stage's start at the latest, even if endpoints are missing.
+// If endpoints of the stage are still missing this long after its start, the clock is taken to have
+// started then.
 constexpr Duration kMaxEndpointWait = 8s;
 // The waits of a stage are meant for a minimum stage duration of this; shorter stages scale them
 // down.
@@ -72,7 +73,7 @@
 
 bool RolloutTracker::isCanary(BuildNumber build) const {
     if (!received)
-        return oldestListed && build > *oldestListed;
+        return oldestActive && build > *oldestActive;
     return build > furthest.build ||
            (build == furthest.build && furthest.phase != RolloutPhase::released);
 }
--- a/src/policy/rollout_tracker.hpp
+++ b/src/policy/rollout_tracker.hpp
@@ -19,8 +19,8 @@
 
     /// Applies an update and returns what has changed.
     [[nodiscard]] RolloutChange update(const RolloutUpdate &update, TimePoint now);
-    /// The oldest build in the endpoint list; empty while none is listed.
-    void setOldestListed(std::optional<BuildNumber> build) { oldestListed = build; }
+    /// The oldest build with an active endpoint; empty while there is none.
+    void setOldestActive(std::optional<BuildNumber> build) { oldestActive = build; }
 
     /// Whether any update has arrived since the start.
     bool known() const { return received; }
@@ -37,18 +37,18 @@
     bool underAnalysis() const {
         return inPhase(RolloutPhase::canary) || inPhase(RolloutPhase::released);
     }
-    /// Whether the build is released and no older build is listed.
+    /// Whether the build is released and no older build has an active endpoint.
     bool completed() const {
-        return inPhase(RolloutPhase::released) && oldestListed == furthest.build;
+        return inPhase(RolloutPhase::released) && oldestActive == furthest.build;
     }
     /// Whether the build is not released as far as this gateway knows. Before the first update:
-    /// whether it is newer than the oldest listed build.
+    /// whether it is newer than the oldest build with an active endpoint.
     bool isCanary(BuildNumber build) const;
 
     /// Whether the exposure limit applies to the build. Of the furthest stage and the latest
     /// update, the stricter one counts.
     bool limited(BuildNumber build) const;
-    /// The fraction of the accepted requests that a limited build may get, 0 to 1.
+    /// The fraction of the received requests that a limited build may get, 0 to 1.
     double exposureLimit(BuildNumber build) const;
     /// The stage of the build, from 0: the lower one of the furthest stage and the latest update.
     int step(BuildNumber build) const;
@@ -70,7 +70,7 @@
     TimePoint stageStartedAt{};
     TimePoint firstUpdateReceivedAt{};
     BuildNumber rolledBack = 0;
-    std::optional<BuildNumber> oldestListed;
+    std::optional<BuildNumber> oldestActive;
 };
 
 }  // namespace deckcart::policy
--- a/src/policy/route_latencies.hpp
+++ b/src/policy/route_latencies.hpp
@@ -1,4 +1,4 @@
-// Usual latency by route, learnt from the baseline under full load.
+// Usual latency by route, learnt from the baseline while it serves most requests.
 #pragma once
 
 #include <algorithm>
--- a/src/policy/sample_window.hpp
+++ b/src/policy/sample_window.hpp
@@ -14,7 +14,7 @@
     double attempts = 0;
     double failures = 0;
     double errors = 0;
-    double slowness = 0;  ///< sum over completed attempts of the latency as a multiple of the usual
+    double slowness = 0;  ///< sum of latencies of successful attempts, as multiples of the usual
 
     /// Counts an attempt; `ratio`: its latency as a multiple of the usual one.
     void add(bool failed, bool error, double ratio);
@@ -25,12 +25,13 @@
 struct SampleWindow {
     std::map<int, OutcomeCounts> routes;
     std::map<EndpointId, OutcomeCounts> endpoints;
-    /// Latencies of completed attempts, as multiples of the route's usual latency.
+    /// Latencies of successful attempts and, where evidence is pooled, elapsed times of attempts
+    /// that were cancelled or timed out; as multiples of the route's usual latency.
     TimedValues slowness;
 
     void add(int route, const EndpointId &endpoint, bool failed, bool error, double ratio);
     /// Drops the counts by route and halves those by endpoint. Latency samples are kept, so that
-    /// the p95 reaches its minimum count.
+    /// their number can reach the minimum for a p95.
     void close();
 
     double sum(double OutcomeCounts::*counter) const;
--- a/src/policy/session_affinity.hpp
+++ b/src/policy/session_affinity.hpp
@@ -20,9 +20,9 @@
     /// nothing. Prevents a key from going back to an older build. Drawback: keys get bound to a bad
     /// build.
     void bind(const std::string &key, BuildNumber build, Outcome outcome);
-    /// Binds all keys to the build. Used once no build older than the released one is listed: a
-    /// single number replaces the keys, which would accumulate otherwise. Drawback: older endpoints
-    /// that return unannounced get no requests until the build is rolled back.
+    /// Binds all keys to the build. Used once no build older than the released one has an active
+    /// endpoint: a single number replaces the keys, which would accumulate otherwise. Drawback:
+    /// older endpoints that return unannounced get no requests until the build is rolled back.
     void bindAll(BuildNumber build);
     /// Unbinds the keys of a build that is rolled back.
     void release(BuildNumber build);
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -10,7 +10,7 @@
 
 // Maximum delay of the notice of an endpoint's start.
 constexpr Duration kStartNoticeDelay = 1s;
-// Upper bound of the evidence age, used as it is if there is no warm-up.
+// Maximum evidence age; the evidence age itself where no warm-up time is set.
 constexpr Duration kMaxEvidenceAge = 5s;
 // Fraction of the overload multiple that is used, since the sends of unequal gateways add up.
 constexpr double kUsedOverloadFraction = 0.5;
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -22,7 +22,8 @@
     /// The fraction of its capacity that an endpoint of this age has, if it warms up as slowly as
     /// the settings allow.
     double warmUpFraction(Duration age) const;
-    /// Whether it may be warming up, with a margin for late notice of its start.
+    /// Whether an endpoint of this age may be warming up, with a margin for late notice of its
+    /// start. Not limited as the evidence age is.
     bool warmingUp(Duration age) const;
     /// Responses of endpoints younger than this are no evidence on their build.
     Duration evidenceAge() const;
--- a/src/policy/traffic_splitter.hpp
+++ b/src/policy/traffic_splitter.hpp
@@ -25,7 +25,7 @@
 /// endpoint.
 double canaryShare(const RolloutTracker &rollout, const FleetSummary &fleet, bool evenShare);
 
-/// The newest listed build that is not a canary; 0 if there is none.
+/// The newest build with an active endpoint that is not a canary; 0 if there is none.
 BuildNumber baselineBuild(const EndpointsByBuild &builds, const RolloutTracker &rollout);
 
 /// The builds in the order in which a request should try them. `canaryFirst`: the rollout's build
--- a/src/policy/vote_schedule.hpp
+++ b/src/policy/vote_schedule.hpp
@@ -24,7 +24,8 @@
 
     /// Returns the vote to send now, if any, and marks it as sent.
     [[nodiscard]] std::optional<Vote> next(const RolloutTracker &rollout, TimePoint now);
-    /// Whether the last vote sent was a new vote to roll back, not a renewal.
+    /// Whether the last vote sent was one to roll back and not the renewal of an acknowledged one.
+    /// Also true for each repetition of a vote that was lost or rejected.
     bool startsRollBack() const { return isNewRollBack; }
     const std::string &reason() const { return desiredReason; }
 
--- a/tests/unit/policy_admission_controller_test.cpp
+++ b/tests/unit/policy_admission_controller_test.cpp
@@ -50,7 +50,7 @@
 TEST_F(AdmissionTest, ATenantOverItsQuotaIsShedFirst) {
     recordHundredAnswers();
     for (int request = 0; request < 10; ++request)
-        admission.requestAccepted(request < 8 ? 0 : 1, 100s);
+        admission.requestArrived(request < 8 ? 0 : 1, 100s);
     EXPECT_GT(shedOf100(0, 20), 0);
     EXPECT_EQ(shedOf100(1, 20), 0);
     admission.expire(102s);
--- a/tests/unit/policy_canary_analyzer_test.cpp
+++ b/tests/unit/policy_canary_analyzer_test.cpp
@@ -129,7 +129,7 @@
     }
     void SetUp() override {
         for (int sample = 0; sample < 100; ++sample)
-            detector.recordFullLoad(1);
+            detector.recordReference(1);
     }
     InterferenceDetector detector;
     TimePoint now = 100s;
--- a/tests/unit/policy_exposure_limiter_test.cpp
+++ b/tests/unit/policy_exposure_limiter_test.cpp
@@ -19,13 +19,13 @@
     }
     void accept(int requests) {
         for (int request = 0; request < requests; ++request)
-            limiter.requestAccepted(request % 2, 100s);
+            limiter.requestArrived(request % 2, 100s);
     }
     PolicySettings settings = makeSettings(false);
     ExposureLimiter limiter{settings};
 };
 
-TEST_F(ExposureLimiterTest, AttemptsAreLimitedToTheAllowanceAndAShareOfAcceptedRequests) {
+TEST_F(ExposureLimiterTest, AttemptsAreLimitedToTheAllowanceAndAShareOfReceivedRequests) {
     EXPECT_TRUE(limiter.withinLimit(2, 0, 0.1, 100s));
     EXPECT_FALSE(limiter.withinLimit(2, 0, 0, 100s));
     limiter.attemptSent(2, 0, 100s);
@@ -35,7 +35,7 @@
     EXPECT_TRUE(limiter.withinLimit(3, 1, 0.1, 100s)) << "another build";
 }
 
-TEST_F(ExposureLimiterTest, AttemptsCountLongerThanAcceptedRequests) {
+TEST_F(ExposureLimiterTest, AttemptsCountLongerThanReceivedRequests) {
     limiter.attemptSent(2, 0, 100s);
     accept(10);
     EXPECT_TRUE(limiter.withinLimit(2, 0, 0.1, 103'979ms));
--- a/tests/unit/policy_retry_policy_test.cpp
+++ b/tests/unit/policy_retry_policy_test.cpp
@@ -81,8 +81,8 @@
         retries.spendBudget();
     }
     EXPECT_FALSE(retries.budgetLeft());
-    for (int accepted = 0; accepted < 6; ++accepted)
-        retries.requestAccepted();
+    for (int received = 0; received < 6; ++received)
+        retries.requestArrived();
     EXPECT_TRUE(retries.budgetLeft());
 }
 
--- a/tests/unit/policy_rollout_tracker_test.cpp
+++ b/tests/unit/policy_rollout_tracker_test.cpp
@@ -27,7 +27,7 @@
 
 TEST_F(RolloutTest, WithoutAnUpdateEveryBuildAboveTheOldestIsACanary) {
     EXPECT_FALSE(rollout.isCanary(1));
-    rollout.setOldestListed(1);
+    rollout.setOldestActive(1);
     EXPECT_FALSE(rollout.isCanary(1));
     EXPECT_TRUE(rollout.isCanary(2));
     EXPECT_EQ(rollout.exposureLimit(2), 0.1);
