--- a/src/http/chunk_reader.cpp
+++ b/src/http/chunk_reader.cpp
@@ -6,7 +6,7 @@
 namespace deckcart::http {
 namespace {
 
-// 4 GiB a chunk. Guards against a size whose sum runs over; no sound peer sends more.
+// Limits a chunk to 4 GiB, so that the size cannot overflow; no well-behaved peer sends more.
 constexpr int kMaxSizeDigits = 8;
 
 std::optional<std::uint64_t> hexDigit(char byte) {
@@ -22,22 +22,22 @@
 }  // namespace
 
 std::size_t ChunkReader::feed(std::string_view bytes) {
-    std::size_t used = 0;
-    while (used < bytes.size() && state != State::done) {
+    std::size_t consumed = 0;
+    while (consumed < bytes.size() && state != State::done) {
         if (state == State::data) {
-            const auto part = std::min<std::uint64_t>(chunkLeft, bytes.size() - used);
-            used += part;
-            chunkLeft -= part;
-            if (chunkLeft == 0)
+            const auto part = std::min<std::uint64_t>(chunkBytesLeft, bytes.size() - consumed);
+            consumed += part;
+            chunkBytesLeft -= part;
+            if (chunkBytesLeft == 0)
                 state = State::dataCr;
             continue;
         }
-        foundFault = readByte(bytes[used]);
+        foundFault = readByte(bytes[consumed]);
         if (foundFault != Fault::none)
-            return used;
-        ++used;
+            return consumed;
+        ++consumed;
     }
-    return used;
+    return consumed;
 }
 
 Fault ChunkReader::readByte(char byte) {
@@ -65,7 +65,7 @@
     if (const auto digit = hexDigit(byte)) {
         if (++sizeDigits > kMaxSizeDigits)
             return Fault::malformed;
-        chunkLeft = chunkLeft * 16 + *digit;
+        chunkBytesLeft = chunkBytesLeft * 16 + *digit;
         return Fault::none;
     }
     if (sizeDigits == 0)
@@ -80,7 +80,7 @@
 }
 
 Fault ChunkReader::readExtensionByte(char byte) {
-    if (!spendLineByte())
+    if (!consumeLineByte())
         return Fault::headTooLarge;
     if (byte == '\n' || byte == '\0')
         return Fault::malformed;
@@ -91,15 +91,15 @@
 
 Fault ChunkReader::endSizeLine(char byte) {
     sizeDigits = 0;
-    return expect(byte, '\n', chunkLeft > 0 ? State::data : State::trailers);
+    return expect(byte, '\n', chunkBytesLeft > 0 ? State::data : State::trailers);
 }
 
 Fault ChunkReader::readTrailerByte(char byte) {
-    if (!spendLineByte())
+    if (!consumeLineByte())
         return Fault::headTooLarge;
-    if (!trailerGuard.accepts(byte))
+    if (!trailerValidator.accept(byte))
         return Fault::malformed;
-    if (trailerGuard.ended())
+    if (trailerValidator.isComplete())
         state = State::done;
     return Fault::none;
 }
@@ -111,10 +111,10 @@
     return Fault::none;
 }
 
-bool ChunkReader::spendLineByte() {
-    if (lineBytesLeft == 0)
+bool ChunkReader::consumeLineByte() {
+    if (remainingLineBytes == 0)
         return false;
-    --lineBytesLeft;
+    --remainingLineBytes;
     return true;
 }
 
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -16,19 +16,19 @@
 ClientConnection::ClientConnection(asio::io_context &context, std::size_t maxHeadBytes)
     : stream(context), parser(Parser::Kind::response, maxHeadBytes, *this) {}
 
-void ClientConnection::call(const tcp::endpoint &to, Duration within, std::string bytes,
-                            bool isHead, CallHandler *callHandler) {
-    handler = callHandler;
-    headCall = isHead;
-    handedBytes = 0;
+void ClientConnection::call(const tcp::endpoint &to, Duration connectTimeout, std::string bytes,
+                            bool headRequest, CallHandler *newHandler) {
+    handler = newHandler;
+    isHeadRequest = headRequest;
+    submittedBytes = 0;
     paused = false;
-    sentAll = false;
+    requestSent = false;
     outgoing = std::move(bytes);
     parser.reset();
     stream.beginCall();
     if (stream.isConnected())
         return send();
-    stream.connect(to, within, [self = shared_from_this()](bool connected) {
+    stream.connect(to, connectTimeout, [self = shared_from_this()](bool connected) {
         if (connected)
             self->send();
         else
@@ -38,30 +38,32 @@
 
 void ClientConnection::send() {
     asio::error_code fault;
-    const auto taken = stream.socket.write_some(asio::buffer(outgoing), fault);
+    const auto accepted = stream.socket.write_some(asio::buffer(outgoing), fault);
     if (fault && fault != asio::error::would_block) {
         stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::broken); });
         return;
     }
-    handedBytes += taken;
+    submittedBytes += accepted;
     read();
-    if (taken == outgoing.size()) {
-        sentAll = true;
+    if (accepted == outgoing.size()) {
+        requestSent = true;
         return;
     }
-    outgoing.erase(0, taken);
+    outgoing.erase(0, accepted);
     sendRest();
 }
 
 void ClientConnection::sendRest() {
-    handedBytes += 1;  // from here on the kernel may have taken more than we are notified of
+    // Counts as sent: the kernel may accept bytes before async_write reports them.
+    submittedBytes += 1;
     asio::async_write(stream.socket, asio::buffer(outgoing),
-                      [self = shared_from_this(),
-                       began = stream.callNumber()](asio::error_code fault, std::size_t) {
-                          // A peer may answer before it has read all: what it says is still to be
+                      [self = shared_from_this(), initialCallNumber = stream.callNumber()](
+                          asio::error_code fault, std::size_t) {
+                          // A write error does not end the call: the peer may have responded
+                          // before it read the whole request, and that response is still to be
                           // read.
-                          if (!fault && self->stream.callNumber() == began)
-                              self->sentAll = true;
+                          if (!fault && self->stream.callNumber() == initialCallNumber)
+                              self->requestSent = true;
                       });
 }
 
@@ -72,11 +74,11 @@
         if (fault)
             return self->finish(CallEnd::broken);
         if (!self->paused)
-            self->readable();
+            self->onReadable();
     });
 }
 
-void ClientConnection::readable() {
+void ClientConnection::onReadable() {
     std::array<char, net::kReadAtOnce> buffer;
     asio::error_code fault;
     const auto size = stream.socket.read_some(asio::buffer(buffer), fault);
@@ -84,34 +86,35 @@
         return read();
     const auto self = shared_from_this();
     if (fault)
-        return onReadFault(fault);
-    if (!handler) {  // an idle peer that speaks is out of step
-        unasked = true;
-        return shut();
+        return onReadError(fault);
+    if (!handler) {  // data without a request: requests and responses no longer match
+        receivedUnsolicited = true;
+        return close();
     }
     std::string_view bytes(buffer.data(), size);
-    if (!readResponse(bytes))
+    if (!parseResponse(bytes))
         return finish(CallEnd::garbage);
     if (stream.isClosed())
         return;
     if (!parser.done())
         return read();
-    if (!bytes.empty()) {  // answered twice, or more than was stated
-        tainted = true;
-        unasked = true;
+    if (!bytes.empty()) {  // a second response, or more than the stated length
+        mustClose = true;
+        receivedUnsolicited = true;
     }
     finish(CallEnd::complete);
     read();
 }
 
-void ClientConnection::onReadFault(asio::error_code fault) {
-    const bool ended = handler && fault == asio::error::eof && parser.begun() && parser.finish();
-    tainted = true;
+void ClientConnection::onReadError(asio::error_code fault) {
+    const bool ended = handler && fault == asio::error::eof && parser.started() && parser.finish();
+    mustClose = true;
     finish(ended ? CallEnd::complete : CallEnd::broken);
 }
 
-// Takes bytes up to the end of the response, past interim ones; false if they are none.
-bool ClientConnection::readResponse(std::string_view &bytes) {
+// Consumes bytes up to the end of the final response and skips interim (1xx) responses. Returns
+// false if the response is malformed or switches protocols.
+bool ClientConnection::parseResponse(std::string_view &bytes) {
     while (!bytes.empty() && handler && !stream.isClosed()) {
         const auto used = parser.feed(bytes);
         if (parser.fault() != Fault::none)
@@ -123,7 +126,7 @@
         if (status >= kFirstFinalStatus)
             break;
         if (status == kSwitchingProtocols)
-            return false;  // we never ask to switch
+            return false;  // no request asks for an upgrade
         parser.reset();
     }
     return true;
@@ -132,7 +135,7 @@
 bool ClientConnection::onHead() {
     if (parser.response().status >= kFirstFinalStatus)
         handler->onResponseHead(parser.response());
-    return !headCall;
+    return !isHeadRequest;
 }
 
 void ClientConnection::onBody(std::string_view part) {
@@ -142,24 +145,24 @@
 
 void ClientConnection::onEnd() {
     if (!parser.response().keepAlive)
-        tainted = true;  // the call ends once the parser has returned
+        mustClose = true;  // onReadable() ends the call once the parser has returned
 }
 
 void ClientConnection::finish(CallEnd outcome) {
     const auto self = shared_from_this();
-    CallHandler *const notified = std::exchange(handler, nullptr);
-    if (outcome != CallEnd::complete || tainted || !sentAll)
-        shut();
-    if (notified)
-        notified->onCallEnd(outcome);
+    CallHandler *const endedHandler = std::exchange(handler, nullptr);
+    if (outcome != CallEnd::complete || mustClose || !requestSent)
+        close();
+    if (endedHandler)
+        endedHandler->onCallEnd(outcome);
 }
 
 void ClientConnection::drop() {
     handler = nullptr;
-    shut();
+    close();
 }
 
-void ClientConnection::shut() {
+void ClientConnection::close() {
     if (stream.shut() && onIdleClosed)
         stream.post(std::exchange(onIdleClosed, nullptr));
 }
--- a/src/http/client.hpp
+++ b/src/http/client.hpp
@@ -1,5 +1,5 @@
-// The calling side of HTTP/1.1 on Asio: one connection that carries one call at a time, with what
-// was handed to the socket counted, so that a caller knows whether a call may have run. Used by
+// HTTP/1.1 client connection on Asio. It carries one call at a time and counts the bytes passed to
+// the socket, so that a caller knows whether the server may have processed the request. Used by
 // Fetch, the gateway's transport and the fake clients.
 #pragma once
 
@@ -13,7 +13,7 @@
 
 using deckcart::CallEnd;
 
-/// What a call reports. After onCallEnd nothing more comes.
+/// Callbacks of a call. onCallEnd is the last one.
 class CallHandler {
   public:
     virtual ~CallHandler() = default;
@@ -22,32 +22,34 @@
     virtual void onCallEnd(CallEnd outcome) = 0;
 };
 
-/// Held by shared pointers: operations on its socket keep it alive. One thread.
+/// Owned by shared pointers; pending socket operations keep it alive. Single-threaded.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection>,
                          private MessageHandler {
   public:
     ClientConnection(asio::io_context &context, std::size_t maxHeadBytes);
 
-    /// Connects within the time if it is not connected, then sends. The handler stays valid until
-    /// onCallEnd or drop(). Not while another call is under way.
-    void call(const asio::ip::tcp::endpoint &to, Duration connectWithin, std::string bytes,
-              bool isHead, CallHandler *callHandler);
-    /// Forgets the handler and closes at once.
+    /// Connects, unless connected already, then sends the request `bytes`. `newHandler` must stay
+    /// valid until onCallEnd or drop(). Must not be called while another call is in flight.
+    /// @param headRequest  the request's method is HEAD, so the response has no body
+    void call(const asio::ip::tcp::endpoint &to, Duration connectTimeout, std::string bytes,
+              bool headRequest, CallHandler *newHandler);
+    /// Closes the connection at once without calling the handler.
     void drop();
-    /// Reads nothing until resume().
+    /// Stops reading until resume().
     void pause();
     void resume();
 
+    /// Connected, idle and fit for another call.
     bool reusable() const {
-        return stream.isConnected() && !handler && !stream.isClosed() && !tainted;
+        return stream.isConnected() && !handler && !stream.isClosed() && !mustClose;
     }
-    /// The socket took bytes of the present call.
-    bool startedSending() const { return handedBytes > 0; }
-    /// Bytes came that belong to no call.
-    bool spokeUnasked() const { return unasked; }
+    /// Whether the socket accepted bytes of the current call.
+    bool startedSending() const { return submittedBytes > 0; }
+    /// Whether the peer sent bytes that belong to no call.
+    bool spokeUnasked() const { return receivedUnsolicited; }
 
-    std::function<void()> onIdleClosed;  ///< the peer has closed it while idle
-    Duration idleSince{};                ///< set and read by its owner
+    std::function<void()> onIdleClosed;  ///< called after the connection was closed while idle
+    Duration idleSince{};                ///< set and read by the owner, not used here
 
   private:
     bool onHead() override;
@@ -56,22 +58,22 @@
     void send();
     void sendRest();
     void read();
-    void readable();
-    void onReadFault(asio::error_code fault);
-    bool readResponse(std::string_view &bytes);
+    void onReadable();
+    void onReadError(asio::error_code fault);
+    bool parseResponse(std::string_view &bytes);
     void finish(CallEnd outcome);
-    void shut();
+    void close();
 
     net::ClientSocket stream;
     Parser parser;
     CallHandler *handler = nullptr;
     std::string outgoing;
-    std::size_t handedBytes = 0;
+    std::size_t submittedBytes = 0;
     bool paused = false;
-    bool headCall = false;  // the request's method is HEAD
-    bool sentAll = false;
-    bool tainted = false;  // more came than one response, or the peer wants to close
-    bool unasked = false;
+    bool isHeadRequest = false;
+    bool requestSent = false;
+    bool mustClose = false;  // received more than one response, or the peer will close
+    bool receivedUnsolicited = false;
 };
 
 }  // namespace deckcart::http
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -1,5 +1,5 @@
-// How one request is answered: framing of the answer (RFC 9112, 6), once, whether the peer is still
-// there or not.
+// Exchange: frames and sends the response to one request (RFC 9112, section 6). The calls are valid
+// after the peer has disconnected too.
 #include <algorithm>
 #include <array>
 #include <charconv>
@@ -13,104 +13,105 @@
     return !ended && !connection.expired();
 }
 
-void Exchange::answer(ResponseHead what, std::string_view text) {
-    const auto peer = connection.lock();
-    if (begun)
+void Exchange::answer(ResponseHead response, std::string_view text) {
+    const auto server = connection.lock();
+    if (started)
         return;
-    what.length = text.size();
-    std::string whole = opening(std::move(what));
-    if (!bodiless)
-        whole.append(text);
-    owed = 0;
-    if (peer)
-        peer->write(whole);
+    response.length = text.size();
+    std::string message = makeHead(std::move(response));
+    if (!omitBody)
+        message.append(text);
+    bodyBytesLeft = 0;
+    if (server)
+        server->write(message);
     end();
 }
 
-void Exchange::begin(ResponseHead what) {
-    if (begun)
+void Exchange::begin(ResponseHead response) {
+    if (started)
         return;
-    const std::string text = opening(std::move(what));
-    if (const auto peer = connection.lock())
-        peer->write(text);
+    const std::string text = makeHead(std::move(response));
+    if (const auto server = connection.lock())
+        server->write(text);
 }
 
-std::string Exchange::opening(ResponseHead what) {
-    const auto peer = connection.lock();
-    begun = true;
-    if (head.old && what.chunked) {  // HTTP/1.0 knows no chunks
-        what.chunked = false;
+std::string Exchange::makeHead(ResponseHead response) {
+    const auto server = connection.lock();
+    started = true;
+    if (head.isHttp10 && response.chunked) {  // HTTP/1.0 has no chunked coding
+        response.chunked = false;
         head.keepAlive = false;
     }
-    chunked = what.chunked && !bodiless;
-    counted = what.length.has_value() && !bodiless;
-    owed = what.length.value_or(0);
-    if (!statusAllowsBody(what.status)) {
-        bodiless = true;
-        counted = false;
+    chunked = response.chunked && !omitBody;
+    hasLength = response.length.has_value() && !omitBody;
+    bodyBytesLeft = response.length.value_or(0);
+    if (!statusAllowsBody(response.status)) {
+        omitBody = true;
+        hasLength = false;
         chunked = false;
-        what.length.reset();
-        what.chunked = false;
+        response.length.reset();
+        response.chunked = false;
     }
-    if (!what.length && !what.chunked && !bodiless)
+    if (!response.length && !response.chunked && !omitBody)
         head.keepAlive = false;
-    return http::write(what, !peer || peer->closesAfter(head));
+    return http::write(response, !server || server->shouldCloseAfter(head));
 }
 
 void Exchange::write(std::string_view part) {
-    const auto peer = connection.lock();
-    if (!peer || ended || bodiless || part.empty())
+    const auto server = connection.lock();
+    if (!server || ended || omitBody || part.empty())
         return;
-    if (counted) {
-        part = part.substr(0, std::size_t(std::min<std::uint64_t>(owed, part.size())));
-        owed -= part.size();
+    if (hasLength) {
+        part = part.substr(0, std::size_t(std::min<std::uint64_t>(bodyBytesLeft, part.size())));
+        bodyBytesLeft -= part.size();
     }
     if (!chunked)
-        return peer->write(part);
+        return server->write(part);
     std::array<char, 2 * sizeof(std::size_t)> digits{};
     const auto written =
         std::to_chars(digits.data(), digits.data() + digits.size(), part.size(), 16);
     std::string framed(digits.data(), written.ptr);
     framed.append("\r\n").append(part).append("\r\n");
-    peer->write(framed);
+    server->write(framed);
 }
 
 void Exchange::end() {
-    const auto peer = connection.lock();
+    const auto server = connection.lock();
     if (ended)
         return;
     ended = true;
     onGone = nullptr;
     onDrained = nullptr;
-    if (!peer)
+    if (!server)
         return;
-    if (counted && owed > 0)
-        return peer->shut(net::Closing::reset);  // less than was stated: only a cut shows it
+    if (hasLength && bodyBytesLeft > 0)
+        // The body is shorter than stated, which only a reset can signal.
+        return server->close(net::Closing::reset);
     if (chunked)
-        peer->write("0\r\n\r\n");
-    peer->onAnswerEnd(peer->closesAfter(head));
+        server->write("0\r\n\r\n");
+    server->onResponseEnd(server->shouldCloseAfter(head));
 }
 
 void Exchange::abort() {
-    const auto peer = connection.lock();
+    const auto server = connection.lock();
     if (ended)
         return;
     ended = true;
-    begun = true;
+    started = true;
     onGone = nullptr;
     onDrained = nullptr;
-    if (peer)
-        peer->shut(net::Closing::reset);
+    if (server)
+        server->close(net::Closing::reset);
 }
 
 void Exchange::writeAfterEnd(std::string_view bytes) {
-    if (const auto peer = connection.lock())
-        peer->write(bytes);
+    if (const auto server = connection.lock())
+        server->write(bytes);
 }
 
 std::size_t Exchange::waiting() const {
-    const auto peer = connection.lock();
-    return peer ? peer->waiting() : 0;
+    const auto server = connection.lock();
+    return server ? server->pendingBytes() : 0;
 }
 
 }  // namespace deckcart::http
--- a/src/http/fetch.cpp
+++ b/src/http/fetch.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Guard against a server that never ends its answer. Harm: memory without bound.
+// Limits the memory that a server whose response never ends can take up.
 constexpr std::size_t kMaxHeadBytes = 16 * 1024;
 constexpr std::size_t kMaxBodyBytes = 8 * 1024 * 1024;
 constexpr std::size_t kMaxLineBytes = 8 * 1024 * 1024;
@@ -17,13 +17,13 @@
     : connection(std::make_shared<ClientConnection>(context, kMaxHeadBytes)), timer(context) {}
 
 std::shared_ptr<Fetch> Fetch::start(asio::io_context &context, const asio::ip::tcp::endpoint &to,
-                                    RequestHead head, const std::string &body, Duration within,
-                                    Done done, Line line, Cut cut) {
+                                    RequestHead head, const std::string &body, Duration timeout,
+                                    DoneCallback onDone, DataCallback onData, Cut cut) {
     std::shared_ptr<Fetch> call(new Fetch(context));
     call->self = call;
-    call->within = within;
-    call->done = std::move(done);
-    call->line = std::move(line);
+    call->timeout = timeout;
+    call->onDone = std::move(onDone);
+    call->onData = std::move(onData);
     call->cut = cut;
     if (!head.find("Host"))
         head.headers.insert(head.headers.begin(), {"Host", format(to)});
@@ -31,12 +31,12 @@
         head.length = body.size();
     head.keepAlive = false;
     call->startTimer();
-    call->connection->call(to, within, write(head) + body, head.method == "HEAD", call.get());
+    call->connection->call(to, timeout, write(head) + body, head.method == "HEAD", call.get());
     return call;
 }
 
 void Fetch::startTimer() {
-    timer.expires_after(within);
+    timer.expires_after(timeout);
     timer.async_wait([weak = weak_from_this()](asio::error_code fault) {
         const auto call = weak.lock();
         if (fault || !call || !call->self ||
@@ -49,37 +49,37 @@
 
 void Fetch::onResponseHead(const ResponseHead &head) {
     result.head = head;
-    if (line)
+    if (onData)
         startTimer();
 }
 
 void Fetch::onResponseBody(std::string_view part) {
-    if (!line || result.head.status != 200) {
+    if (!onData || result.head.status != 200) {
         if (result.body.size() + part.size() > kMaxBodyBytes)
             return fail();
         result.body.append(part);
         return;
     }
     startTimer();
-    const auto held = self;
+    const auto strongSelf = self;
     if (cut == Cut::nowhere)
-        return line(part);
-    partial.append(part);
-    takeLines();
-    if (partial.size() > kMaxLineBytes)
+        return onData(part);
+    partialLine.append(part);
+    reportLines();
+    if (partialLine.size() > kMaxLineBytes)
         fail();
 }
 
-// The line's handler may stop this call.
-void Fetch::takeLines() {
+// The callback may stop this call, which resets `self`.
+void Fetch::reportLines() {
     std::size_t from = 0;
-    for (auto end = partial.find('\n'); end != std::string::npos && self;
-         end = partial.find('\n', from)) {
-        const auto whole = partial.substr(from, end - from);
+    for (auto end = partialLine.find('\n'); end != std::string::npos && self;
+         end = partialLine.find('\n', from)) {
+        const auto text = partialLine.substr(from, end - from);
         from = end + 1;
-        line(whole);
+        onData(text);
     }
-    partial.erase(0, from);
+    partialLine.erase(0, from);
 }
 
 void Fetch::fail() {
@@ -93,28 +93,28 @@
 }
 
 void Fetch::finish() {
-    const auto held = std::exchange(self, nullptr);
-    if (!held)
+    const auto strongSelf = std::exchange(self, nullptr);
+    if (!strongSelf)
         return;
     timer.cancel();
     result.startedSending = connection->startedSending();
     connection->drop();
-    const auto notify = std::exchange(done, nullptr);
-    line = nullptr;
+    const auto notify = std::exchange(onDone, nullptr);
+    onData = nullptr;
     if (notify)
         notify(result);
 }
 
 void Fetch::stop() {
-    done = nullptr;
-    // The watch's own line may stand below this call.
-    if (const auto held = std::exchange(self, nullptr)) {
+    onDone = nullptr;
+    // May be called from the callback of the watch: the call must outlive this function.
+    if (const auto strongSelf = std::exchange(self, nullptr)) {
         timer.cancel();
         connection->drop();
     }
 }
 
-// NOLINTNEXTLINE(bugprone-exception-escape): lack of memory ends the program wherever it shows
+// NOLINTNEXTLINE(bugprone-exception-escape): running out of memory ends the program anyway
 Fetches::~Fetches() {
     for (const auto &weak : calls)
         if (const auto call = weak.lock())
--- a/src/http/fetch.hpp
+++ b/src/http/fetch.hpp
@@ -1,39 +1,42 @@
-// One call to a server of ours: the control plane, an endpoint's health check, a gateway's API.
-// Ends within a stated time, with the whole answer; or, as a watch, reports line by line and ends
-// when the peer has been silent for that time.
+// One HTTP call to a server of this system: the control plane, an endpoint's health check or a
+// gateway's API. A call ends with the whole response or with a timeout. A watch reports the
+// response while it is received and ends when the peer sends nothing for the timeout.
 #pragma once
 
 #include "client.hpp"
 
 namespace deckcart::http {
 
-/// How a call has ended.
+/// Result of a call.
 struct Fetched {
-    bool inTime = true;
-    bool startedSending = false;  ///< bytes of the call have left: it may have been carried out
+    bool inTime = true;           ///< the call did not time out
+    bool startedSending = false;  ///< bytes were sent, so the server may have processed the call
     CallEnd outcome = CallEnd::complete;
     ResponseHead head;
-    std::string body;  ///< not of a watch whose status is 200
+    std::string body;  ///< empty for a watch with status 200, which reports its body
 
     bool ok() const { return inTime && outcome == CallEnd::complete && head.status / 100 == 2; }
 };
 
-/// One thread, the loop's. Holds itself until it has ended.
+/// Keeps itself alive until it has ended. Runs on the event loop's thread only.
 class Fetch : public std::enable_shared_from_this<Fetch>, private CallHandler {
   public:
-    using Done = std::function<void(const Fetched &)>;
-    using Line = std::function<void(std::string_view)>;
-    /// How a watch reports: line by line, or as the bytes come.
+    using DoneCallback = std::function<void(const Fetched &)>;
+    using DataCallback = std::function<void(std::string_view)>;
+    /// How a watch reports its body: one line per callback, without the line feed, or in the pieces
+    /// in which it is received.
     enum class Cut { atLines, nowhere };
 
-    /// Calls `done` exactly once, never from within start(), unless stopped before. The host field
-    /// is written here.
-    /// @param within  for the whole call; of a watch (`line` is set): for each silence
+    /// Starts a call. Calls `onDone` exactly once, never from within start(), unless stop() is
+    /// called before. Adds the Host field if the head has none.
+    /// @param timeout  limit for the whole call; for a watch, the longest time without data
+    /// @param onData  set for a watch: called with parts of the body of a response with status 200
     static std::shared_ptr<Fetch> start(asio::io_context &context,
                                         const asio::ip::tcp::endpoint &to, RequestHead head,
-                                        const std::string &body, Duration within, Done done,
-                                        Line line = nullptr, Cut cut = Cut::atLines);
-    /// No callback any more.
+                                        const std::string &body, Duration timeout,
+                                        DoneCallback onDone, DataCallback onData = nullptr,
+                                        Cut cut = Cut::atLines);
+    /// Cancels the call; no callback is called after that.
     void stop();
 
   private:
@@ -42,26 +45,26 @@
     void onResponseBody(std::string_view part) override;
     void onCallEnd(CallEnd outcome) override;
     void startTimer();
-    void takeLines();
+    void reportLines();
     void fail();
     void finish();
 
     std::shared_ptr<ClientConnection> connection;
     asio::steady_timer timer;
-    Duration within{};
+    Duration timeout{};
     Fetched result;
-    Done done;
-    Line line;
+    DoneCallback onDone;
+    DataCallback onData;
     Cut cut = Cut::atLines;
-    std::string partial;
-    std::shared_ptr<Fetch> self;  // until it has ended
+    std::string partialLine;
+    std::shared_ptr<Fetch> self;  // reset when the call ends
 };
 
-/// Calls in flight, stopped with their owner.
+/// Calls in flight that are stopped when their owner is destroyed.
 class Fetches {
   public:
     Fetches() = default;
-    ~Fetches();  // NOLINT(bugprone-exception-escape): as at its definition
+    ~Fetches();  // NOLINT(bugprone-exception-escape): see the definition
     Fetches(const Fetches &) = delete;
     Fetches &operator=(const Fetches &) = delete;
     void add(const std::shared_ptr<Fetch> &call);
--- a/src/http/head_checks.cpp
+++ b/src/http/head_checks.cpp
@@ -5,8 +5,8 @@
 namespace deckcart::http {
 namespace {
 
-// http_parser checks the digits too, but takes white space between them.
-bool isLength(std::string_view text) {
+// Stricter than http_parser, which tolerates white space between the digits.
+bool isContentLength(std::string_view text) {
     return !text.empty() &&
            std::ranges::all_of(text, [](char byte) { return byte >= '0' && byte <= '9'; });
 }
@@ -14,26 +14,27 @@
 }  // namespace
 
 Fault checkFraming(Head &head, ProtocolVersion version, MessageKind kind) {
-    int codings = 0;
-    int lengths = 0;
-    bool lengthsReadable = true;
+    int transferEncodings = 0;
+    int contentLengths = 0;
+    bool contentLengthsValid = true;
     for (const auto &[name, value] : head.headers) {
         if (equalFieldNames(name, "Transfer-Encoding")) {
-            ++codings;
+            ++transferEncodings;
             head.chunked = equalFieldNames(value, "chunked");
         }
         if (equalFieldNames(name, "Content-Length")) {
-            ++lengths;
-            lengthsReadable = lengthsReadable && isLength(value);
+            ++contentLengths;
+            contentLengthsValid = contentLengthsValid && isContentLength(value);
         }
     }
-    if (!lengthsReadable || codings + lengths > 1 || version.major != 1)
+    if (!contentLengthsValid || transferEncodings + contentLengths > 1 || version.major != 1)
         return Fault::malformed;
-    // Chunks came with HTTP/1.1; from an older peer they were not meant by it.
-    if (codings > 0 && version.minor < 1)
+    // HTTP/1.0 has no chunked coding (RFC 9112, 6.1), so the framing of such a message is faulty.
+    if (transferEncodings > 0 && version.minor < 1)
         return Fault::malformed;
-    // Any coding but chunked alone is refused: what follows would be read in two ways.
-    if (codings > 0 && !head.chunked)
+    // Only the coding "chunked" alone is supported: with any other, recipients may disagree on
+    // where the body ends.
+    if (transferEncodings > 0 && !head.chunked)
         return kind == MessageKind::request ? Fault::unsupported : Fault::malformed;
     return Fault::none;
 }
--- a/src/http/head_checks.hpp
+++ b/src/http/head_checks.hpp
@@ -1,6 +1,6 @@
-// The rules by which Parser refuses a head that was read whole: framing that two readers could take
-// in two ways, and what this project does not speak. RFC 9112, 3.2, 6 and 7; RFC 9110, 10.1.1.
-// Pure.
+// Validation of complete message heads, used by Parser: rejects ambiguous framing, which different
+// recipients may interpret differently (request smuggling), and features that are not supported.
+// RFC 9112, sections 3.2, 6 and 7; RFC 9110, section 10.1.1. Performs no I/O.
 #pragma once
 
 #include "message.hpp"
@@ -13,14 +13,15 @@
 };
 enum class MessageKind { request, response };
 
-/// Checks Transfer-Encoding and Content-Length against each other and the version. Sets
-/// head.chunked.
+/// Checks Transfer-Encoding and Content-Length against each other and against the version. Sets
+/// head.chunked. Returns Fault::none, malformed or unsupported.
 [[nodiscard]] Fault checkFraming(Head &head, ProtocolVersion version, MessageKind kind);
 
-/// Checks Host and Expect. Sets head.expectsContinue.
+/// Checks Host and Expect. Sets head.expectsContinue. Returns Fault::none, malformed or
+/// unsupported.
 [[nodiscard]] Fault checkRequest(RequestHead &head, ProtocolVersion version);
 
-/// Whether a response of this status may have a body (RFC 9112, 6.3).
+/// Whether a response with this status may have a body (RFC 9112, section 6.3).
 bool statusAllowsBody(int status);
 
 }  // namespace deckcart::http
--- a/src/http/line_guard.cpp
+++ b/src/http/line_validator.cpp
@@ -1,4 +1,4 @@
-#include "line_guard.hpp"
+#include "line_validator.hpp"
 
 namespace deckcart::http {
 namespace {
@@ -8,14 +8,14 @@
 
 }  // namespace
 
-bool LineGuard::accepts(char byte) {
+bool LineValidator::accept(char byte) {
     switch (state) {
     case State::lineStart:
-        return acceptsAtLineStart(byte);
+        return acceptAtLineStart(byte);
     case State::fieldName:
-        return acceptsInName(byte);
+        return acceptInName(byte);
     case State::text:
-        return acceptsInText(byte);
+        return acceptInText(byte);
     case State::afterCr:
         state = State::lineStart;
         atStartLine = false;
@@ -27,12 +27,12 @@
     return false;
 }
 
-bool LineGuard::acceptsAtLineStart(char byte) {
+bool LineValidator::acceptAtLineStart(char byte) {
     if (byte == '\r') {
         state = State::afterCrOfEmptyLine;
         return !atStartLine;
     }
-    // A folded line, a bare LF or a field without name.
+    // Rejects a folded line, a bare LF and a field with an empty name.
     if (byte == ' ' || byte == '\t' || byte == '\n' || byte == ':')
         return false;
     state = atStartLine ? State::text : State::fieldName;
@@ -40,7 +40,7 @@
     return code > kSpace && code != kDelete;
 }
 
-bool LineGuard::acceptsInName(char byte) {
+bool LineValidator::acceptInName(char byte) {
     if (byte == ':') {
         state = State::text;
         return true;
@@ -49,7 +49,7 @@
     return code > kSpace && code < kDelete;
 }
 
-bool LineGuard::acceptsInText(char byte) {
+bool LineValidator::acceptInText(char byte) {
     if (byte == '\r') {
         state = State::afterCr;
         return true;
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -7,43 +7,44 @@
 
 namespace {
 
-// Guards against a loop on the same fault while descriptors are out. Harm: the loop runs hot.
-constexpr auto kAcceptRetry = std::chrono::milliseconds(20);
+// Delay before accepting again after an error. Without it, running out of file descriptors would
+// make the event loop spin on the same error.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
 
 }  // namespace
 
 Listener::Core::Core(asio::io_context &loop, const tcp::endpoint &address,
                      const ListenerLimits &listenerLimits, Handler requestHandler)
     : context(loop), acceptor(loop), limits(listenerLimits), handler(std::move(requestHandler)),
-      retry(loop) {
+      acceptRetryTimer(loop) {
     listenAt(acceptor, address);
-    local = acceptor.local_endpoint();
+    localAddress = acceptor.local_endpoint();
 }
 
 void Listener::Core::accept() {
-    if (draining || accepting || !acceptor.is_open())
+    if (draining || acceptPending || !acceptor.is_open())
         return;
-    if (open.size() >= limits.connections)
-        return;  // onClosed() goes on
-    accepting = true;
+    if (openConnections.size() >= limits.connections)
+        return;  // onClosed() resumes accepting
+    acceptPending = true;
     acceptor.async_accept([self = shared_from_this()](asio::error_code fault, tcp::socket socket) {
-        self->accepting = false;
+        self->acceptPending = false;
         if (self->draining || fault == asio::error::operation_aborted)
             return;
-        if (fault) {  // out of descriptors, or a peer that left at once: neither ends the listener
-            self->retry.expires_after(kAcceptRetry);
-            self->retry.async_wait([self](asio::error_code) { self->accept(); });
+        if (fault) {  // out of file descriptors, or the peer disconnected at once
+            self->acceptRetryTimer.expires_after(kAcceptRetryDelay);
+            self->acceptRetryTimer.async_wait([self](asio::error_code) { self->accept(); });
             return;
         }
         const auto connection = std::make_shared<ServerConnection>(self, std::move(socket));
-        self->open.insert(connection.get());
+        self->openConnections.insert(connection.get());
         connection->start();
         self->accept();
     });
 }
 
 void Listener::Core::onClosed(ServerConnection *connection) {
-    open.erase(connection);
+    openConnections.erase(connection);
     accept();
 }
 
@@ -58,7 +59,7 @@
 }
 
 tcp::endpoint Listener::address() const {
-    return core->local;
+    return core->localAddress;
 }
 
 void Listener::limit(const ListenerLimits &limits) {
@@ -67,21 +68,21 @@
 }
 
 std::size_t Listener::connections() const {
-    return core->open.size();
+    return core->openConnections.size();
 }
 
 void Listener::drain() {
     core->draining = true;
     asio::error_code ignored;
     core->acceptor.close(ignored);
-    for (ServerConnection *connection : std::set<ServerConnection *>(core->open))
+    for (ServerConnection *connection : std::set<ServerConnection *>(core->openConnections))
         connection->drain();
 }
 
 void Listener::close() {
     drain();
-    for (ServerConnection *connection : std::set<ServerConnection *>(core->open))
-        connection->shut(net::Closing::reset);
+    for (ServerConnection *connection : std::set<ServerConnection *>(core->openConnections))
+        connection->close(net::Closing::reset);
     core->handler = [](const std::shared_ptr<Exchange> &) {};
 }
 
--- a/src/http/listener_core.hpp
+++ b/src/http/listener_core.hpp
@@ -1,5 +1,5 @@
-// What a Listener and its connections share. Kept alive by the connections, so that the Listener
-// may go before them.
+// State shared by a Listener and its connections. The connections keep it alive, so that the
+// Listener may be destroyed before them.
 #pragma once
 
 #include <array>
@@ -9,24 +9,25 @@
 namespace deckcart::http {
 
 struct Listener::Core : std::enable_shared_from_this<Listener::Core> {
-    /// Opens, binds and listens. Throws std::system_error.
+    /// Opens the acceptor, binds it and listens. Throws std::system_error.
     Core(asio::io_context &loop, const asio::ip::tcp::endpoint &address,
          const ListenerLimits &listenerLimits, Handler requestHandler);
 
+    /// Accepts the next connection unless draining or at the limit.
     void accept();
-    /// A connection has closed: its place is free.
+    /// Removes a closed connection and resumes accepting.
     void onClosed(ServerConnection *connection);
 
     asio::io_context &context;
     asio::ip::tcp::acceptor acceptor;
-    asio::ip::tcp::endpoint local;
+    asio::ip::tcp::endpoint localAddress;
     ListenerLimits limits;
     Handler handler;
-    asio::steady_timer retry;
-    std::set<ServerConnection *> open;
+    asio::steady_timer acceptRetryTimer;
+    std::set<ServerConnection *> openConnections;
     bool draining = false;
-    bool accepting = false;
-    std::array<char, 64 * 1024> buffer{};  // shared: an idle connection holds none of its own
+    bool acceptPending = false;
+    std::array<char, 64 * 1024> readBuffer{};  // shared by all connections to save memory
 };
 
 }  // namespace deckcart::http
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -16,20 +16,20 @@
 #undef DECKCART_REASON
 };
 
-char lower(char letter) {
+char toLower(char letter) {
     return letter >= 'A' && letter <= 'Z' ? char(letter - 'A' + 'a') : letter;
 }
 
 std::string_view trim(std::string_view text) {
-    constexpr std::string_view kBlanks = " \t";
-    const auto begin = text.find_first_not_of(kBlanks);
+    constexpr std::string_view kWhitespace = " \t";
+    const auto begin = text.find_first_not_of(kWhitespace);
     if (begin == std::string_view::npos)
         return {};
-    return text.substr(begin, text.find_last_not_of(kBlanks) - begin + 1);
+    return text.substr(begin, text.find_last_not_of(kWhitespace) - begin + 1);
 }
 
-// Whether a list of names that are parted by commas holds this one.
-bool lists(std::string_view list, std::string_view name) {
+// Whether a comma-separated list contains the name, ignoring case.
+bool listContains(std::string_view list, std::string_view name) {
     while (!list.empty()) {
         const auto comma = std::min(list.find(','), list.size());
         if (equalFieldNames(trim(list.substr(0, comma)), name))
@@ -39,27 +39,27 @@
     return false;
 }
 
-void add(std::string &out, std::string_view name, std::string_view value) {
+void appendField(std::string &out, std::string_view name, std::string_view value) {
     out.append(name).append(": ").append(value).append("\r\n");
 }
 
-void addRest(std::string &out, const Head &head, bool closes) {
+void appendFields(std::string &out, const Head &head, bool closeAfter) {
     for (const auto &[name, value] : head.headers)
         if (travels(head, name))
-            add(out, name, value);
+            appendField(out, name, value);
     if (head.chunked)
-        add(out, "Transfer-Encoding", "chunked");
+        appendField(out, "Transfer-Encoding", "chunked");
     else if (head.length)
-        add(out, "Content-Length", std::to_string(*head.length));
-    if (closes)
-        add(out, "Connection", "close");
+        appendField(out, "Content-Length", std::to_string(*head.length));
+    if (closeAfter)
+        appendField(out, "Connection", "close");
     out += "\r\n";
 }
 
 }  // namespace
 
 bool equalFieldNames(std::string_view left, std::string_view right) {
-    return std::ranges::equal(left, right, {}, lower, lower);
+    return std::ranges::equal(left, right, {}, toLower, toLower);
 }
 
 const std::string *Head::find(std::string_view name) const {
@@ -74,27 +74,27 @@
 }
 
 bool travels(const Head &head, std::string_view name) {
-    for (const std::string_view own :
+    for (const std::string_view hopByHop :
          {"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Content-Length",
           "TE", "Trailer", "Upgrade", "Expect"})
-        if (equalFieldNames(own, name))
+        if (equalFieldNames(hopByHop, name))
             return false;
     return std::ranges::none_of(head.headers, [&](const Header &header) {
-        return equalFieldNames(header.first, "Connection") && lists(header.second, name);
+        return equalFieldNames(header.first, "Connection") && listContains(header.second, name);
     });
 }
 
 std::string write(const RequestHead &head) {
     std::string out = head.method + " " + head.target + " HTTP/1.1\r\n";
-    addRest(out, head, !head.keepAlive);
+    appendFields(out, head, !head.keepAlive);
     return out;
 }
 
-std::string write(const ResponseHead &head, bool closes) {
+std::string write(const ResponseHead &head, bool closeAfter) {
     std::string out = "HTTP/1.1 " + std::to_string(head.status) + " ";
     out.append(head.reason.empty() ? reasonOf(head.status) : std::string_view(head.reason))
         .append("\r\n");
-    addRest(out, head, closes);
+    appendFields(out, head, closeAfter);
     return out;
 }
 
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -1,4 +1,4 @@
-// Heads of HTTP/1.1 messages (RFC 9112) as values, and how they are written out.
+// Heads of HTTP/1.1 messages (RFC 9112): data types and serialization.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +10,52 @@
 
 namespace deckcart::http {
 
+/// Name and value of a header field.
 using Header = std::pair<std::string, std::string>;
 
-/// Field names are compared without case.
+/// Compares ASCII text case-insensitively, as for field names.
 bool equalFieldNames(std::string_view left, std::string_view right);
 
-/// What heads of requests and responses share.
+/// Common part of request and response heads.
 struct Head {
     std::vector<Header> headers;
-    std::optional<std::uint64_t> length;  ///< of the body in bytes, where it is stated
-    bool chunked = false;
-    bool keepAlive = true;
+    std::optional<std::uint64_t> length;  ///< Content-Length in bytes, if the head states it
+    bool chunked = false;                 ///< Transfer-Encoding is chunked
+    bool keepAlive = true;                ///< the connection may be reused after this message
 
-    /// The value of the first field of that name; null: there is none.
+    /// Returns the value of the first field with that name, or nullptr if there is none.
     const std::string *find(std::string_view name) const;
 };
 
 struct RequestHead : Head {
     std::string method;
     std::string target;
-    bool expectsContinue = false;
-    bool upgrade = false;
-    bool old = false;  ///< HTTP/1.0
+    bool expectsContinue = false;  ///< Expect: 100-continue
+    bool upgrade = false;          ///< asks for another protocol, or the method is CONNECT
+    bool isHttp10 = false;
 };
 
 struct ResponseHead : Head {
     int status = 0;
-    std::string reason;
+    std::string reason;  ///< reason phrase; when written, empty stands for the standard phrase
 };
 
-/// Why a message is refused: it breaks the protocol, goes over a limit, or is not spoken here.
+/// Why a message is rejected: it violates the protocol, exceeds the limit of the head, or uses a
+/// feature that is not supported.
 enum class Fault { none, malformed, headTooLarge, unsupported };
 
-/// The phrase that goes with a status; "Unknown" for one without.
+/// Returns the standard reason phrase of a status, "Unknown" for an unknown status.
 std::string_view reasonOf(int status);
 
-/// Whether a field may be passed on. False for those that belong to one connection only (RFC 9110,
-/// 7.6.1), those that its Connection field names, and the framing, which is written anew.
+/// Whether a header field is end-to-end, that is, may be forwarded. False for hop-by-hop fields
+/// (RFC 9110, section 7.6.1), for fields named by the Connection field, and for the framing fields,
+/// which are generated for each message.
 bool travels(const Head &head, std::string_view name);
 
-/// A whole head with its empty line. Framing comes from length and chunked; the rest from headers.
+/// Serializes a head, including the empty line at its end. The framing fields are generated from
+/// `length` and `chunked`, the others are taken from `headers` without hop-by-hop fields.
 std::string write(const RequestHead &head);
-std::string write(const ResponseHead &head, bool closes);
+/// @param closeAfter  adds "Connection: close"
+std::string write(const ResponseHead &head, bool closeAfter);
 
 }  // namespace deckcart::http
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -4,52 +4,52 @@
 
 namespace deckcart::http {
 
-// Guards against a peer that sends nothing but line ends before a request. Harm: a head without
-// bound.
+// Limits the empty lines before a request. Without it, a peer could send line ends forever without
+// reaching the limit of the head.
 constexpr std::size_t kMaxEmptyLineBytes = 8;
 
-/// The callbacks of http_parser, which knows C functions only.
+/// Callbacks for http_parser, which accepts only C functions.
 struct ParserCallbacks {
-    static Parser &parserOf(http_parser *state) { return *static_cast<Parser *>(state->data); }
+    static Parser &getParser(http_parser *state) { return *static_cast<Parser *>(state->data); }
     static int onUrl(http_parser *state, const char *bytes, std::size_t size) {
-        parserOf(state).requestHead.target.append(bytes, size);
+        getParser(state).requestHead.target.append(bytes, size);
         return 0;
     }
     static int onStatus(http_parser *state, const char *bytes, std::size_t size) {
-        parserOf(state).responseHead.reason.append(bytes, size);
+        getParser(state).responseHead.reason.append(bytes, size);
         return 0;
     }
     static int onHeaderField(http_parser *state, const char *bytes, std::size_t size) {
-        Parser &parser = parserOf(state);
-        if (parser.inValue)
-            parser.addHeader();
+        Parser &parser = getParser(state);
+        if (parser.valueStarted)
+            parser.storeField();
         parser.fieldName.append(bytes, size);
         return 0;
     }
     static int onHeaderValue(http_parser *state, const char *bytes, std::size_t size) {
-        Parser &parser = parserOf(state);
-        parser.inValue = true;
+        Parser &parser = getParser(state);
+        parser.valueStarted = true;
         parser.fieldValue.append(bytes, size);
         return 0;
     }
     static int onHeadersComplete(http_parser *state) {
-        // What http_parser understands by these results.
+        // Return values that http_parser defines for this callback.
         constexpr int kError = -1;
         constexpr int kReadBody = 0;
         constexpr int kSkipBody = 1;
-        Parser &parser = parserOf(state);
-        parser.addHeader();
+        Parser &parser = getParser(state);
+        parser.storeField();
         parser.completeHead();
         if (parser.foundFault != Fault::none)
             return kError;
         return parser.hasBody ? kReadBody : kSkipBody;
     }
     static int onBody(http_parser *state, const char *bytes, std::size_t size) {
-        parserOf(state).handler.onBody({bytes, size});
+        getParser(state).handler.onBody({bytes, size});
         return 0;
     }
     static const http_parser_settings &settings() {
-        static const http_parser_settings made = [] {
+        static const http_parser_settings parserSettings = [] {
             http_parser_settings callbacks;
             http_parser_settings_init(&callbacks);
             callbacks.on_url = onUrl;
@@ -60,12 +60,12 @@
             callbacks.on_body = onBody;
             return callbacks;
         }();
-        return made;
+        return parserSettings;
     }
 };
 
 Parser::Parser(Kind messageKind, std::size_t maxHeadBytes, MessageHandler &messageHandler)
-    : kind(messageKind), maxHead(maxHeadBytes), handler(messageHandler) {
+    : kind(messageKind), headLimit(maxHeadBytes), handler(messageHandler) {
     reset();
 }
 
@@ -75,12 +75,12 @@
     stage = Stage::start;
     foundFault = Fault::none;
     headBytes = 0;
-    bodyLeft = 0;
-    headGuard = LineGuard(LineGuard::First::startLine);
+    bodyBytesLeft = 0;
+    headValidator = LineValidator(LineValidator::FirstLine::startLine);
     hasBody = false;
     fieldName.clear();
     fieldValue.clear();
-    inValue = false;
+    valueStarted = false;
     requestHead = {};
     responseHead = {};
 }
@@ -90,23 +90,23 @@
                                  : static_cast<Head &>(responseHead);
 }
 
-void Parser::addHeader() {
-    // Trailers are dropped: nothing that we pass on may come after the body.
-    if (inValue && stage != Stage::chunked)
+void Parser::storeField() {
+    // Trailers are dropped, since the gateway does not forward fields that come after the body.
+    if (valueStarted && stage != Stage::chunked)
         head().headers.emplace_back(std::move(fieldName), std::move(fieldValue));
     fieldName.clear();
     fieldValue.clear();
-    inValue = false;
+    valueStarted = false;
 }
 
-bool Parser::execute(std::string_view bytes) {
+bool Parser::runHttpParser(std::string_view bytes) {
     const auto used =
         http_parser_execute(&state, &ParserCallbacks::settings(), bytes.data(), bytes.size());
     if (foundFault != Fault::none)
         return false;
-    const auto problem = HTTP_PARSER_ERRNO(&state);
-    if (problem != HPE_OK)
-        foundFault = problem == HPE_HEADER_OVERFLOW ? Fault::headTooLarge : Fault::malformed;
+    const auto parserError = HTTP_PARSER_ERRNO(&state);
+    if (parserError != HPE_OK)
+        foundFault = parserError == HPE_HEADER_OVERFLOW ? Fault::headTooLarge : Fault::malformed;
     else if (used < bytes.size() && !state.upgrade)
         foundFault = Fault::malformed;
     return foundFault == Fault::none;
@@ -121,27 +121,27 @@
     if (completed.find("Content-Length"))
         completed.length = state.content_length;
     completed.keepAlive = http_should_keep_alive(&state) != 0;
-    bodyLeft = completed.length.value_or(0);
+    bodyBytesLeft = completed.length.value_or(0);
     if (kind == Kind::request)
         completeRequest(version);
     else
         completeResponse();
     if (stage == Stage::chunked)
-        chunks = ChunkReader(maxHead - headBytes);
+        chunkReader = ChunkReader(headLimit - headBytes);
 }
 
 void Parser::completeRequest(ProtocolVersion version) {
     requestHead.method = http_method_str(static_cast<http_method>(state.method));
     requestHead.upgrade = state.upgrade || requestHead.method == "CONNECT";
-    requestHead.old = version.minor == 0;
+    requestHead.isHttp10 = version.minor == 0;
     foundFault = checkRequest(requestHead, version);
     if (foundFault != Fault::none)
         return;
-    hasBody = requestHead.chunked || bodyLeft > 0;
+    hasBody = requestHead.chunked || bodyBytesLeft > 0;
     if (requestHead.chunked)
         stage = Stage::chunked;
     else
-        stage = hasBody ? Stage::length : Stage::done;
+        stage = hasBody ? Stage::fixedLength : Stage::done;
     handler.onHead();
 }
 
@@ -149,25 +149,25 @@
     responseHead.status = state.status_code;
     const bool allowsBody = statusAllowsBody(responseHead.status);
     const bool wantsBody = handler.onHead() && allowsBody;
-    hasBody = wantsBody && (responseHead.chunked || !responseHead.length || bodyLeft > 0);
+    hasBody = wantsBody && (responseHead.chunked || !responseHead.length || bodyBytesLeft > 0);
     if (!hasBody) {
         stage = Stage::done;
     } else if (responseHead.chunked) {
         stage = Stage::chunked;
     } else if (responseHead.length) {
-        stage = Stage::length;
+        stage = Stage::fixedLength;
     } else {
         stage = Stage::untilClose;
         responseHead.keepAlive = false;
     }
 }
 
-void Parser::endMessage() {
+void Parser::completeMessage() {
     stage = Stage::done;
     handler.onEnd();
 }
 
-// An empty line before a request is skipped (RFC 9112, 2.2), as http_parser does.
+// Skips empty lines before a request (RFC 9112, section 2.2), as http_parser does.
 std::size_t Parser::skipEmptyLines(std::string_view bytes) const {
     constexpr std::string_view kLineEnd = "\r\n";
     std::size_t skipped = 0;
@@ -187,45 +187,45 @@
     }
     stage = Stage::head;
     std::size_t used = skipped;
-    for (; used < bytes.size() && !headGuard.ended(); ++used) {
-        if (++headBytes > maxHead) {
+    for (; used < bytes.size() && !headValidator.isComplete(); ++used) {
+        if (++headBytes > headLimit) {
             foundFault = Fault::headTooLarge;
             return used;
         }
-        if (!headGuard.accepts(bytes[used])) {
+        if (!headValidator.accept(bytes[used])) {
             foundFault = Fault::malformed;
             return used;
         }
     }
-    execute(bytes.substr(skipped, used - skipped));
-    if (foundFault == Fault::none && headGuard.ended() && stage == Stage::head)
+    runHttpParser(bytes.substr(skipped, used - skipped));
+    if (foundFault == Fault::none && headValidator.isComplete() && stage == Stage::head)
         foundFault = Fault::malformed;
     if (foundFault == Fault::none && stage == Stage::done)
         handler.onEnd();
     return used;
 }
 
-std::size_t Parser::readLength(std::string_view bytes) {
-    const auto part = std::size_t(std::min<std::uint64_t>(bodyLeft, bytes.size()));
-    bodyLeft -= part;
-    if (execute(bytes.substr(0, part)) && bodyLeft == 0)
-        endMessage();
+std::size_t Parser::readFixedLengthBody(std::string_view bytes) {
+    const auto part = std::size_t(std::min<std::uint64_t>(bodyBytesLeft, bytes.size()));
+    bodyBytesLeft -= part;
+    if (runHttpParser(bytes.substr(0, part)) && bodyBytesLeft == 0)
+        completeMessage();
     return part;
 }
 
-std::size_t Parser::readChunks(std::string_view bytes) {
-    const std::size_t used = chunks.feed(bytes);
-    foundFault = chunks.fault();
+std::size_t Parser::readChunkedBody(std::string_view bytes) {
+    const std::size_t used = chunkReader.feed(bytes);
+    foundFault = chunkReader.fault();
     if (foundFault != Fault::none)
         return used;
-    const bool bodyEnded = chunks.done();
-    if (execute(bytes.substr(0, used)) && bodyEnded)
-        endMessage();
+    const bool bodyEnded = chunkReader.done();
+    if (runHttpParser(bytes.substr(0, used)) && bodyEnded)
+        completeMessage();
     return used;
 }
 
-std::size_t Parser::readUntilClose(std::string_view bytes) {
-    execute(bytes);
+std::size_t Parser::readBodyUntilClose(std::string_view bytes) {
+    runHttpParser(bytes);
     return bytes.size();
 }
 
@@ -238,14 +238,14 @@
         case Stage::head:
             used += readHead(rest);
             break;
-        case Stage::length:
-            used += readLength(rest);
+        case Stage::fixedLength:
+            used += readFixedLengthBody(rest);
             break;
         case Stage::chunked:
-            used += readChunks(rest);
+            used += readChunkedBody(rest);
             break;
         case Stage::untilClose:
-            used += readUntilClose(rest);
+            used += readBodyUntilClose(rest);
             break;
         case Stage::done:
             break;
@@ -256,7 +256,7 @@
 
 bool Parser::finish() {
     if (stage == Stage::untilClose) {
-        endMessage();
+        completeMessage();
         return true;
     }
     return stage == Stage::start || stage == Stage::done;
--- a/src/http/server.hpp
+++ b/src/http/server.hpp
@@ -1,6 +1,6 @@
-// The listening side of HTTP/1.1 on Asio: accepts, reads requests within stated limits, answers
-// them in order. The gateway, its API and the fakes all listen by it; what a request means is its
-// owner's business. RFC 9112.
+// HTTP/1.1 server on Asio (RFC 9112): accepts connections, reads requests within configured limits
+// and sends the responses in order. Used by the gateway, its API and the fakes, which handle the
+// requests.
 #pragma once
 
 #include <asio.hpp>
@@ -13,72 +13,78 @@
 
 namespace deckcart::http {
 
-/// What may come through a listener. What goes over is refused early: 431, 413, 408, or accepting
-/// pauses.
+/// Limits of a listener. A request over a limit gets an early response with status 431, 413 or 408;
+/// over the limit of connections, accepting pauses.
 struct ListenerLimits {
-    /// Beyond it the listener stops accepting until one has closed.
+    /// At this number of open connections the listener accepts no more until one has closed.
     std::size_t connections = 4096;
-    std::size_t headBytes = 16 * 1024;
-    std::size_t bodyBytes = 1024 * 1024;
-    /// Read ahead while a request is in flight; then the listener stops reading.
+    std::size_t headBytes = 16 * 1024;    ///< of a request
+    std::size_t bodyBytes = 1024 * 1024;  ///< of a request
+    /// Bytes read ahead on a connection while a request is in flight; at the limit, reading pauses.
     std::size_t pipelinedBytes = 16 * 1024;
-    /// Of an answer for a slow reader: a writer should pause beyond.
+    /// Unsent bytes of a response beyond which the writer should pause.
     std::size_t waitingBytes = 256 * 1024;
-    /// From a request's first byte to its last.
+    /// Time limit from a request's first byte to its last.
     Duration messageWithin = std::chrono::seconds(10);
-    /// Between requests.
+    /// Longest time between requests.
     Duration idleFor = std::chrono::seconds(60);
-    /// A reader that takes nothing for so long is cut off.
+    /// A connection is reset if its peer does not read one full write buffer within this time.
     Duration slowPeerFor = std::chrono::seconds(10);
 };
 
 class ServerConnection;
 
-/// One request on the listening side. Answered once: by answer(), or by begin(), write() and end().
-/// What is written after the peer has gone goes nowhere. One thread, the loop's.
+/// One received request and its response. The response is sent once: by answer(), or by begin(),
+/// write() and end(). Writes after the peer has disconnected are ignored. Runs on the event loop's
+/// thread only.
 class Exchange {
   public:
-    RequestHead head;
-    std::string body;
+    RequestHead head;  ///< of the request
+    std::string body;  ///< of the request
 
-    /// The peer is there and no final answer has ended.
+    /// Whether the peer is connected and the response has not ended.
     bool open() const;
-    bool answered() const { return begun; }
-    /// The whole answer at once.
-    void answer(ResponseHead what, std::string_view text);
-    /// Framing by what.length or what.chunked; without either the end of the connection ends the
-    /// answer.
-    void begin(ResponseHead what);
+    /// Whether the response has started.
+    bool answered() const { return started; }
+    /// Sends a whole response.
+    void answer(ResponseHead response, std::string_view text);
+    /// Sends the head. The body is framed by `length` or `chunked` of the head; without either, the
+    /// connection is closed at the end of the response.
+    void begin(ResponseHead response);
+    /// Sends a part of the body; bytes beyond the stated length are dropped.
     void write(std::string_view part);
+    /// Ends the response. Resets the connection if the body is shorter than stated.
     void end();
-    /// Cuts the connection with a reset: the answer can't be completed.
+    /// Resets the connection, for a response that can't be completed.
     void abort();
-    /// After the end: breaks the protocol, for the faults of scenarios.
+    /// Sends raw bytes after the end of the response. Violates the protocol; used to inject faults
+    /// in scenarios.
     void writeAfterEnd(std::string_view bytes);
-    /// Bytes that the peer has not taken yet.
+    /// Number of written bytes that the socket has not accepted yet.
     std::size_t waiting() const;
-    std::function<void()> onGone;     ///< the peer has left before the answer's end
-    std::function<void()> onDrained;  ///< what was waiting has been taken
+    std::function<void()> onGone;     ///< the connection closed before the response ended
+    std::function<void()> onDrained;  ///< the socket has accepted all written bytes
 
   private:
     friend class ServerConnection;
-    std::string opening(ResponseHead what);
+    std::string makeHead(ResponseHead response);
     std::weak_ptr<ServerConnection> connection;
-    bool begun = false;
+    bool started = false;
     bool ended = false;
     bool chunked = false;
-    bool bodiless = false;
-    bool counted = false;    // the answer states its length,
-    std::uint64_t owed = 0;  // of which so many bytes were not written yet
+    bool omitBody = false;
+    bool hasLength = false;           // the response has a Content-Length
+    std::uint64_t bodyBytesLeft = 0;  // of Content-Length, not written yet
 };
 
-/// Accepts on one address from its construction until closed. Connections outlive it until their
-/// handlers have run; the handler is not called any more. One thread, the loop's.
+/// Accepts connections on one address from construction until it is closed or destroyed, after
+/// which the request handler is not called any more. Connections may outlive it until their pending
+/// operations have ended. Runs on the event loop's thread only.
 class Listener {
   public:
     using Handler = std::function<void(std::shared_ptr<Exchange>)>;
 
-    /// Throws std::system_error where it can't listen.
+    /// Throws std::system_error if it can't listen on the address.
     Listener(asio::io_context &context, const asio::ip::tcp::endpoint &address,
              ListenerLimits limits, Handler handler);
     ~Listener();
@@ -86,12 +92,14 @@
     Listener &operator=(const Listener &) = delete;
 
     asio::ip::tcp::endpoint address() const;
+    /// Replaces the limits.
     void limit(const ListenerLimits &limits);
-    /// Accepts no more and ends idle connections; requests in flight are answered, each with its
-    /// connection closed.
+    /// Stops accepting and closes idle connections. Requests in flight are still answered; their
+    /// connections are closed after the response.
     void drain();
-    /// Cuts everything at once.
+    /// Stops accepting and resets all connections.
     void close();
+    /// Number of open connections.
     std::size_t connections() const;
 
     struct Core;
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-// For a peer to read a last answer. Guards against a reset that overtakes it.
+// Time for the peer to read the last response. Closing earlier, with unread input, would send a
+// reset that can overtake the response.
 constexpr Duration kMaxLinger = std::chrono::seconds(1);
-constexpr Duration kUnwatched{0};
+constexpr Duration kNoTimeout{0};
 
 }  // namespace
 
@@ -24,114 +25,116 @@
 }
 
 void ServerConnection::start() {
-    watch(listener->limits.idleFor);
+    setTimeout(listener->limits.idleFor);
     read();
 }
 
 void ServerConnection::write(std::string_view bytes) {
     if (stream.isClosed())
         return;
-    if (queued.empty() && !writing) {  // most answers go out at once and need no queue
+    if (sendQueue.empty() && !writing) {  // most responses can be sent at once, without queueing
         asio::error_code fault;
-        const auto taken =
+        const auto accepted =
             stream.socket.write_some(asio::buffer(bytes.data(), bytes.size()), fault);
         if (fault && fault != asio::error::would_block)
-            return shutLater();
-        bytes.remove_prefix(taken);
+            return closeLater();
+        bytes.remove_prefix(accepted);
         if (bytes.empty())
             return;
     }
-    queued.append(bytes);
+    sendQueue.append(bytes);
     flush();
 }
 
-std::size_t ServerConnection::waiting() const {
-    return queued.size() + (writing ? inFlight.size() : 0);
+std::size_t ServerConnection::pendingBytes() const {
+    return sendQueue.size() + (writing ? sendBuffer.size() : 0);
 }
 
-void ServerConnection::onAnswerEnd(bool closeAfter) {
+void ServerConnection::onResponseEnd(bool closeAfter) {
     closing = closing || closeAfter;
-    current.reset();
+    currentExchange.reset();
     if (stream.isClosed())
         return;
-    if (waiting() == 0)
-        nextRequest();
+    if (pendingBytes() == 0)
+        startNextRequest();
     else
-        answerWritten = true;
+        responseComplete = true;
 }
 
-bool ServerConnection::closesAfter(const RequestHead &head) const {
+bool ServerConnection::shouldCloseAfter(const RequestHead &head) const {
     return !head.keepAlive || closing || listener->draining;
 }
 
 void ServerConnection::drain() {
-    if (!current && !parser.begun() && !answerWritten)
-        shut(Closing::orderly);
+    if (!currentExchange && !parser.started() && !responseComplete)
+        close(Closing::orderly);
 }
 
-void ServerConnection::shut(Closing how) {
+void ServerConnection::close(Closing how) {
     if (!stream.close(how))
         return;
     const auto self = shared_from_this();
     timer.cancel();
     listener->onClosed(this);
-    const auto cut = std::exchange(current, nullptr);
-    if (cut && !cut->ended && cut->onGone) {
-        const auto notify = cut->onGone;
+    const auto interrupted = std::exchange(currentExchange, nullptr);
+    if (interrupted && !interrupted->ended && interrupted->onGone) {
+        const auto notify = interrupted->onGone;
         notify();
     }
 }
 
-// Not from within the writer's own call: it would be notified before its call returns.
-void ServerConnection::shutLater() {
-    stream.post([self = shared_from_this()] { self->shut(Closing::orderly); });
+// Deferred, since close() calls onGone, which must not run before the writer's own call has
+// returned.
+void ServerConnection::closeLater() {
+    stream.post([self = shared_from_this()] { self->close(Closing::orderly); });
 }
 
 void ServerConnection::read() {
     if (stream.isClosed() || stream.isAwaitingRead() || refused)
         return;
-    if (current && readAhead.size() >= listener->limits.pipelinedBytes)
-        return;  // goes on with the next request
+    if (currentExchange && readAhead.size() >= listener->limits.pipelinedBytes)
+        return;  // startNextRequest() resumes reading
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
-            return self->shut(Closing::orderly);
-        self->readable();
+            return self->close(Closing::orderly);
+        self->onReadable();
     });
 }
 
-void ServerConnection::readable() {
+void ServerConnection::onReadable() {
     asio::error_code fault;
-    std::size_t room = listener->buffer.size();
-    if (current)
-        room = std::min(room, listener->limits.pipelinedBytes - readAhead.size());
-    const auto size = stream.socket.read_some(asio::buffer(listener->buffer.data(), room), fault);
+    std::size_t capacity = listener->readBuffer.size();
+    if (currentExchange)
+        capacity = std::min(capacity, listener->limits.pipelinedBytes - readAhead.size());
+    const auto size =
+        stream.socket.read_some(asio::buffer(listener->readBuffer.data(), capacity), fault);
     if (fault == asio::error::would_block)
         return read();
-    // The peer closing its side ends what it asked for: a client that is gone is not worth an
-    // attempt.
+    // A client that closed its side is treated as gone: its requests end here, so that no attempt
+    // is spent on them.
     if (fault)
-        return shut(Closing::orderly);
-    consume({listener->buffer.data(), size});
+        return close(Closing::orderly);
+    processInput({listener->readBuffer.data(), size});
     read();
 }
 
-void ServerConnection::consume(std::string_view bytes) {
+void ServerConnection::processInput(std::string_view bytes) {
     while (!bytes.empty() && !stream.isClosed() && !refused) {
-        if (current || answerWritten) {
+        if (currentExchange || responseComplete) {
             readAhead.append(bytes);
             return;
         }
-        if (!parser.begun())
-            watch(listener->limits.messageWithin);
+        if (!parser.started())
+            setTimeout(listener->limits.messageWithin);
         bytes.remove_prefix(parser.feed(bytes));
-        if (refuseFaulty())
+        if (refuseOnFault())
             return;
         if (parser.done() && !refused)
             dispatch();
     }
 }
 
-bool ServerConnection::refuseFaulty() {
+bool ServerConnection::refuseOnFault() {
     switch (parser.fault()) {
     case Fault::none:
         return false;
@@ -150,7 +153,7 @@
 
 bool ServerConnection::onHead() {
     const auto &head = parser.request();
-    building = std::make_shared<Exchange>();
+    receivingExchange = std::make_shared<Exchange>();
     if (head.upgrade)
         refuse(501, "no upgrades");
     else if (head.length.value_or(0) > listener->limits.bodyBytes)
@@ -163,24 +166,24 @@
 void ServerConnection::onBody(std::string_view part) {
     if (refused)
         return;
-    if (building->body.size() + part.size() > listener->limits.bodyBytes)
+    if (receivingExchange->body.size() + part.size() > listener->limits.bodyBytes)
         return refuse(413, "body over the limit");
-    building->body.append(part);
+    receivingExchange->body.append(part);
 }
 
 void ServerConnection::dispatch() {
-    watch(kUnwatched);
-    current = std::move(building);
-    current->head = parser.request();
-    current->connection = weak_from_this();
-    current->bodiless = current->head.method == "HEAD";
+    setTimeout(kNoTimeout);
+    currentExchange = std::move(receivingExchange);
+    currentExchange->head = parser.request();
+    currentExchange->connection = weak_from_this();
+    currentExchange->omitBody = currentExchange->head.method == "HEAD";
     parser.reset();
-    const auto dispatched = current;
+    const auto dispatched = currentExchange;
     listener->handler(dispatched);
 }
 
-// A request that is refused at the listener: the rest of what this peer sends can't be trusted to
-// be in step.
+// Responds with an error and closes, without involving the handler. Further input is discarded,
+// since request boundaries are not reliable after such a request.
 void ServerConnection::refuse(int status, std::string_view message) {
     refused = true;
     closing = true;
@@ -188,90 +191,90 @@
     head.status = status;
     head.length = message.size() + 1;
     head.headers = {{"Content-Type", "text/plain"}};
-    const bool bodiless = parser.request().method == "HEAD";
-    write(http::write(head, true) + (bodiless ? std::string{} : std::string(message) + "\n"));
-    if (waiting() > 0)
-        answerWritten = true;
+    const bool omitBody = parser.request().method == "HEAD";
+    write(http::write(head, true) + (omitBody ? std::string{} : std::string(message) + "\n"));
+    if (pendingBytes() > 0)
+        responseComplete = true;
     else
         lingerThenClose();
 }
 
-// Lets the peer read the last answer before the connection goes: unread bytes would turn it into a
-// reset.
+// Shuts down the sending side and discards input until the peer closes or a timeout expires.
+// Closing with unread input would send a reset, which can destroy the last response.
 void ServerConnection::lingerThenClose() {
     asio::error_code ignored;
     stream.socket.shutdown(tcp::socket::shutdown_send, ignored);
-    watch(std::min(listener->limits.slowPeerFor, kMaxLinger));
+    setTimeout(std::min(listener->limits.slowPeerFor, kMaxLinger));
     discardInput();
 }
 
-// Beside read(), whose wait may still stand.
+// Waits separately from read(), whose wait may still be pending.
 void ServerConnection::discardInput() {
     stream.socket.async_wait(
         tcp::socket::wait_read, [self = shared_from_this()](asio::error_code fault) {
             if (self->stream.isClosed())
                 return;
             if (!fault)
-                self->stream.socket.read_some(asio::buffer(self->listener->buffer), fault);
+                self->stream.socket.read_some(asio::buffer(self->listener->readBuffer), fault);
             if (fault && fault != asio::error::would_block)
-                return self->shut(Closing::orderly);
+                return self->close(Closing::orderly);
             self->discardInput();
         });
 }
 
-void ServerConnection::nextRequest() {
-    answerWritten = false;
-    // What was read ahead is not answered then: the peer sees its connection end here.
+void ServerConnection::startNextRequest() {
+    responseComplete = false;
+    // Requests that were read ahead are dropped; the peer sees that the connection ends here.
     if (refused || closing || listener->draining)
         return lingerThenClose();
-    watch(listener->limits.idleFor);
+    setTimeout(listener->limits.idleFor);
     if (readAhead.empty())
         return read();
-    // On a turn of its own, so that a long pipeline does not nest.
+    // Posted to the event loop, so that many pipelined requests do not recurse.
     stream.post([self = shared_from_this()] {
         const std::string bytes = std::exchange(self->readAhead, {});
-        self->consume(bytes);
+        self->processInput(bytes);
         self->read();
     });
 }
 
 void ServerConnection::flush() {
-    if (writing || queued.empty() || stream.isClosed())
+    if (writing || sendQueue.empty() || stream.isClosed())
         return;
     writing = true;
-    inFlight.swap(queued);
-    // The least rate of a reader: one full queue, at most the stated waiting bytes, within the
-    // stated time.
-    watch(listener->limits.slowPeerFor);
-    asio::async_write(stream.socket, asio::buffer(inFlight),
+    sendBuffer.swap(sendQueue);
+    // Enforces a minimum read rate of the peer: the whole buffer, at most about `waitingBytes`,
+    // must be read within `slowPeerFor`.
+    setTimeout(listener->limits.slowPeerFor);
+    asio::async_write(stream.socket, asio::buffer(sendBuffer),
                       [self = shared_from_this()](asio::error_code fault, std::size_t) {
                           self->writing = false;
-                          self->inFlight.clear();
+                          self->sendBuffer.clear();
                           if (self->stream.isClosed())
                               return;
                           if (fault)
-                              return self->shut(Closing::orderly);
+                              return self->close(Closing::orderly);
                           self->onFlushed();
                       });
 }
 
 void ServerConnection::onFlushed() {
-    watch(kUnwatched);
+    setTimeout(kNoTimeout);
     flush();
     if (writing)
         return;
-    if (answerWritten)
-        return nextRequest();
-    if (const auto held = current; held && held->onDrained)
-        held->onDrained();
+    if (responseComplete)
+        return startNextRequest();
+    if (const auto exchange = currentExchange; exchange && exchange->onDrained)
+        exchange->onDrained();
 }
 
-void ServerConnection::watch(Duration within) {
-    if (within <= kUnwatched) {
+void ServerConnection::setTimeout(Duration timeout) {
+    if (timeout <= kNoTimeout) {
         timer.cancel();
         return;
     }
-    timer.expires_after(within);
+    timer.expires_after(timeout);
     timer.async_wait([weak = weak_from_this()](asio::error_code fault) {
         const auto self = weak.lock();
         if (!fault && self)
@@ -280,12 +283,12 @@
 }
 
 void ServerConnection::onTimeout() {
-    // It may have been set anew after this expiry was queued.
+    // The timer may have been rearmed after this expiry was queued.
     if (stream.isClosed() || timer.expiry() > std::chrono::steady_clock::now())
         return;
-    if (parser.begun() && !current && !refused && !writing)
+    if (parser.started() && !currentExchange && !refused && !writing)
         return refuse(408, "request not complete in time");
-    shut(writing ? Closing::reset : Closing::orderly);
+    close(writing ? Closing::reset : Closing::orderly);
 }
 
 }  // namespace deckcart::http
--- a/src/http/server_connection.hpp
+++ b/src/http/server_connection.hpp
@@ -1,5 +1,6 @@
-// One accepted connection: reads requests one after another, hands each to the listener's handler
-// as an Exchange and writes what that answers. Made by Listener::Core. RFC 9112, 9.
+// Server side of one accepted connection (RFC 9112, section 9): reads requests one after another,
+// passes each to the listener's handler as an Exchange and writes its response. Created by
+// Listener::Core.
 #pragma once
 
 #include "../net/stream_socket.hpp"
@@ -7,6 +8,7 @@
 
 namespace deckcart::http {
 
+/// Owned by shared pointers; pending operations keep it alive. Single-threaded.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>,
                          private MessageHandler {
   public:
@@ -14,52 +16,53 @@
 
     void start();
 
-    // For the present Exchange.
+    // Called by the current Exchange.
     void write(std::string_view bytes);
-    /// Bytes that were written and that the socket has not taken yet.
-    std::size_t waiting() const;
-    /// The present answer is whole.
-    void onAnswerEnd(bool closeAfter);
-    bool closesAfter(const RequestHead &head) const;
+    /// Number of written bytes that the socket has not accepted yet.
+    std::size_t pendingBytes() const;
+    /// Reports that the current response has been written completely.
+    void onResponseEnd(bool closeAfter);
+    /// Whether the connection closes after the response to this request.
+    bool shouldCloseAfter(const RequestHead &head) const;
 
-    // For the listener.
-    /// Closes it if it is idle.
+    // Called by the listener.
+    /// Closes the connection if it is idle.
     void drain();
-    void shut(net::Closing how);
+    void close(net::Closing how);
 
   private:
     bool onHead() override;
     void onBody(std::string_view part) override;
-    void onEnd() override {}  // dispatched once the parser has returned
+    void onEnd() override {}  // processInput() dispatches once the parser has returned
 
-    void shutLater();
+    void closeLater();
     void read();
-    void readable();
-    void consume(std::string_view bytes);
-    bool refuseFaulty();
+    void onReadable();
+    void processInput(std::string_view bytes);
+    bool refuseOnFault();
     void dispatch();
     void refuse(int status, std::string_view message);
     void lingerThenClose();
     void discardInput();
-    void nextRequest();
+    void startNextRequest();
     void flush();
     void onFlushed();
-    void watch(Duration within);
+    void setTimeout(Duration timeout);
     void onTimeout();
 
     std::shared_ptr<Listener::Core> listener;
     net::StreamSocket stream;
     asio::steady_timer timer;
     Parser parser;
-    std::shared_ptr<Exchange> building;  // its request is being read
-    std::shared_ptr<Exchange> current;   // its answer is under way
-    std::string readAhead;               // came while an answer was under way
-    std::string queued;
-    std::string inFlight;
-    bool writing = false;        // inFlight is being written
-    bool answerWritten = false;  // the answer is whole, not all of it is taken yet
-    bool closing = false;        // no further request is read
-    bool refused = false;
+    std::shared_ptr<Exchange> receivingExchange;  // its request is being read
+    std::shared_ptr<Exchange> currentExchange;  // handled by the owner; its response is in progress
+    std::string readAhead;                      // received while a response was in progress
+    std::string sendQueue;                      // waits for the current write
+    std::string sendBuffer;                     // passed to async_write
+    bool writing = false;                       // async_write is pending
+    bool responseComplete = false;              // the response has ended, not all of it is sent yet
+    bool closing = false;                       // close after the current response
+    bool refused = false;  // the input is discarded: a request was refused by refuse()
 };
 
 }  // namespace deckcart::http
--- a/tests/unit/parser_test.cpp
+++ b/tests/unit/parser_test.cpp
@@ -1,4 +1,5 @@
-// HTTP messages: what is read, and what is refused because two readers could take it in two ways.
+// Parsing of HTTP messages, and rejection of ambiguous messages, which different recipients could
+// interpret differently (request smuggling).
 #include "../../src/http/parser.hpp"
 
 #include <algorithm>
@@ -7,7 +8,7 @@
 namespace deckcart::http {
 namespace {
 
-struct Seen : MessageHandler {
+struct RecordingHandler : MessageHandler {
     bool wantsBody = true;
     int heads = 0, ends = 0;
     std::string body;
@@ -16,53 +17,54 @@
     void onEnd() override { ++ends; }
 };
 
-struct Read {
-    Seen seen;
+struct ParseResult {
+    RecordingHandler recorded;
     Fault fault = Fault::none;
     std::size_t used = 0;
     RequestHead head;
 };
 
-Read read(std::string_view text, std::size_t step, Parser::Kind kind = Parser::Kind::request,
-          std::size_t most = 4096) {
-    Read out;
-    Parser parser(kind, most, out.seen);
-    for (std::size_t at = 0; at < text.size() && parser.fault() == Fault::none && !parser.done();) {
-        const auto n = std::min(step, text.size() - at);
-        out.used += parser.feed(text.substr(at, n));
-        at += n;
+ParseResult parse(std::string_view text, std::size_t pieceBytes,
+                  Parser::Kind kind = Parser::Kind::request, std::size_t maxHeadBytes = 4096) {
+    ParseResult result;
+    Parser parser(kind, maxHeadBytes, result.recorded);
+    for (std::size_t offset = 0;
+         offset < text.size() && parser.fault() == Fault::none && !parser.done();) {
+        const auto size = std::min(pieceBytes, text.size() - offset);
+        result.used += parser.feed(text.substr(offset, size));
+        offset += size;
     }
-    out.fault = parser.fault(), out.head = parser.request();
-    return out;
+    result.fault = parser.fault(), result.head = parser.request();
+    return result;
 }
 
 const std::string kHost = "Host: relay\r\n";
 
-TEST(Parser, ReadsFixedAndChunkedBodiesWhateverThePieces) {
-    for (const std::size_t step : {1, 2, 3, 7, 1000}) {
+TEST(Parser, ReadsFixedAndChunkedBodiesInPiecesOfAnySize) {
+    for (const std::size_t pieceBytes : {1, 2, 3, 7, 1000}) {
         const auto fixed =
-            read("POST /a HTTP/1.1\r\n" + kHost + "Content-Length: 5\r\n\r\nhello", step);
-        EXPECT_EQ(fixed.seen.body, "hello") << step;
-        EXPECT_EQ(fixed.seen.ends, 1);
-        const auto chunks = read(
+            parse("POST /a HTTP/1.1\r\n" + kHost + "Content-Length: 5\r\n\r\nhello", pieceBytes);
+        EXPECT_EQ(fixed.recorded.body, "hello") << pieceBytes;
+        EXPECT_EQ(fixed.recorded.ends, 1);
+        const auto chunks = parse(
             "POST /a HTTP/1.1\r\n" + kHost +
                 "Transfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nT: 1\r\n\r\n",
-            step);
-        EXPECT_EQ(chunks.fault, Fault::none) << step;
-        EXPECT_EQ(chunks.seen.body, "hello");
-        EXPECT_EQ(chunks.seen.ends, 1);
+            pieceBytes);
+        EXPECT_EQ(chunks.fault, Fault::none) << pieceBytes;
+        EXPECT_EQ(chunks.recorded.body, "hello");
+        EXPECT_EQ(chunks.recorded.ends, 1);
         EXPECT_EQ(chunks.head.find("T"), nullptr) << "trailers are dropped";
     }
 }
 
 TEST(Parser, StopsAtTheEndOfAMessage) {
-    const std::string one = "GET /a HTTP/1.1\r\n" + kHost + "\r\n";
-    EXPECT_EQ(read(one + one, 1000).used, one.size());
+    const std::string message = "GET /a HTTP/1.1\r\n" + kHost + "\r\n";
+    EXPECT_EQ(parse(message + message, 1000).used, message.size());
 }
 
-TEST(Parser, RefusesWhatTwoReadersCouldTakeInTwoWays) {
+TEST(Parser, RejectsAmbiguousMessages) {
     const std::string post = "POST /a HTTP/1.1\r\n" + kHost;
-    const std::vector<std::string> bad = {
+    const std::vector<std::string> ambiguous = {
         post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         post + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello",
         post + "Content-Length: 5, 5\r\n\r\nhello",
@@ -94,73 +96,74 @@
         "GET /a HTTP/1.1\r\n" + kHost + "\x80: 1\r\n\r\n",
         post + "Transfer-Encoding: chunked\r\n\r\n0\r\n\x80: 1\r\n\r\n",
     };
-    for (const auto &text : bad)
-        for (const std::size_t step : {1, 1000})
-            EXPECT_EQ(read(text, step).fault, Fault::malformed) << text;
+    for (const auto &text : ambiguous)
+        for (const std::size_t pieceBytes : {1, 1000})
+            EXPECT_EQ(parse(text, pieceBytes).fault, Fault::malformed) << text;
 }
 
-TEST(Parser, RefusesCodingsAndExpectationsItDoesNotKnow) {
+TEST(Parser, RejectsUnknownCodingsAndExpectations) {
     EXPECT_EQ(
-        read("POST /a HTTP/1.1\r\n" + kHost + "Transfer-Encoding: gzip, chunked\r\n\r\n", 1000)
+        parse("POST /a HTTP/1.1\r\n" + kHost + "Transfer-Encoding: gzip, chunked\r\n\r\n", 1000)
             .fault,
         Fault::unsupported);
-    EXPECT_EQ(read("POST /a HTTP/1.1\r\n" + kHost + "Expect: more\r\n\r\n", 1000).fault,
+    EXPECT_EQ(parse("POST /a HTTP/1.1\r\n" + kHost + "Expect: more\r\n\r\n", 1000).fault,
               Fault::unsupported);
 }
 
-TEST(Parser, BoundsTheHeadAndTheTrailers) {
+TEST(Parser, LimitsHeadAndTrailers) {
     const std::string fill(500, 'x');
-    EXPECT_EQ(read("GET /" + fill + " HTTP/1.1\r\n" + kHost + "\r\n", 7, Parser::Kind::request, 256)
-                  .fault,
-              Fault::headTooLarge);
-    EXPECT_EQ(read("POST /a HTTP/1.1\r\n" + kHost +
-                       "Transfer-Encoding: chunked\r\n\r\n0\r\nT: " + fill + "\r\n\r\n",
-                   7, Parser::Kind::request, 256)
+    EXPECT_EQ(
+        parse("GET /" + fill + " HTTP/1.1\r\n" + kHost + "\r\n", 7, Parser::Kind::request, 256)
+            .fault,
+        Fault::headTooLarge);
+    EXPECT_EQ(parse("POST /a HTTP/1.1\r\n" + kHost +
+                        "Transfer-Encoding: chunked\r\n\r\n0\r\nT: " + fill + "\r\n\r\n",
+                    7, Parser::Kind::request, 256)
                   .fault,
               Fault::headTooLarge);
 }
 
-TEST(Parser, AnswersEndByLengthChunksCloseOrHaveNone) {
-    Seen seen;
-    Parser parser(Parser::Kind::response, 4096, seen);
+TEST(Parser, ResponseBodyEndsByLengthOrCloseOrIsAbsent) {
+    RecordingHandler recorded;
+    Parser parser(Parser::Kind::response, 4096, recorded);
     parser.feed("HTTP/1.1 200 OK\r\n\r\nuntil the end");
     EXPECT_FALSE(parser.done());
     EXPECT_TRUE(parser.finish());
-    EXPECT_EQ(seen.body, "until the end");
+    EXPECT_EQ(recorded.body, "until the end");
 
-    Seen head;
+    RecordingHandler head;
     head.wantsBody = false;
     Parser bodiless(Parser::Kind::response, 4096, head);
     bodiless.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
     EXPECT_TRUE(bodiless.done());
 
-    Seen cut;
+    RecordingHandler cut;
     Parser shortened(Parser::Kind::response, 4096, cut);
     shortened.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc");
-    EXPECT_FALSE(shortened.finish()) << "an answer cut short is not complete";
+    EXPECT_FALSE(shortened.finish()) << "a truncated response is not complete";
 }
 
-bool accepted(LineGuard guard, std::string_view lines) {
-    return std::ranges::all_of(lines, [&](char byte) { return guard.accepts(byte); }) &&
-           guard.ended();
+bool acceptsAll(LineValidator validator, std::string_view lines) {
+    return std::ranges::all_of(lines, [&](char byte) { return validator.accept(byte); }) &&
+           validator.isComplete();
 }
 
-TEST(LineGuard, TakesSoundLinesOfHeadsAndTrailers) {
-    const LineGuard head(LineGuard::First::startLine);
-    const LineGuard trailers(LineGuard::First::fieldLine);
-    EXPECT_TRUE(accepted(head, "GET /a HTTP/1.1\r\nHost: relay\r\nX:\ta b\r\n\r\n"));
-    EXPECT_FALSE(accepted(head, "\r\n")) << "a head has a start line";
-    EXPECT_TRUE(accepted(trailers, "\r\n")) << "trailers may be none";
-    EXPECT_TRUE(accepted(trailers, "T: 1\r\n\r\n"));
-    EXPECT_FALSE(accepted(trailers, "T: 1\r\n")) << "not ended yet";
+TEST(LineValidator, AcceptsValidLinesOfHeadsAndTrailers) {
+    const LineValidator head(LineValidator::FirstLine::startLine);
+    const LineValidator trailers(LineValidator::FirstLine::fieldLine);
+    EXPECT_TRUE(acceptsAll(head, "GET /a HTTP/1.1\r\nHost: relay\r\nX:\ta b\r\n\r\n"));
+    EXPECT_FALSE(acceptsAll(head, "\r\n")) << "a head must have a start line";
+    EXPECT_TRUE(acceptsAll(trailers, "\r\n")) << "there may be no trailers";
+    EXPECT_TRUE(acceptsAll(trailers, "T: 1\r\n\r\n"));
+    EXPECT_FALSE(acceptsAll(trailers, "T: 1\r\n")) << "the final empty line is missing";
 }
 
-TEST(LineGuard, RefusesBytesThatTwoReadersTakeInTwoWays) {
-    const LineGuard trailers(LineGuard::First::fieldLine);
+TEST(LineValidator, RejectsAmbiguousBytes) {
+    const LineValidator trailers(LineValidator::FirstLine::fieldLine);
     for (const std::string_view lines :
          {"T: 1\n\n", "T : 1\r\n\r\n", " T: 1\r\n\r\n", ": 1\r\n\r\n", "T: 1\rX\r\n\r\n",
           "T: \x01\r\n\r\n", "T: \x7f\r\n\r\n", "T\x80: 1\r\n\r\n", "\rX"})
-        EXPECT_FALSE(accepted(trailers, lines)) << lines;
+        EXPECT_FALSE(acceptsAll(trailers, lines)) << lines;
 }
 
 TEST(ChunkReader, EndsAtTheLastByteOfTheBody) {
@@ -177,23 +180,24 @@
     EXPECT_EQ(cut.fault(), Fault::none);
 }
 
-TEST(ChunkReader, StopsBeforeTheByteAtFault) {
-    const auto stop = [](std::string_view body, Fault expected, std::size_t maxLineBytes = 64) {
+TEST(ChunkReader, StopsBeforeTheInvalidByte) {
+    const auto consumedBytes = [](std::string_view body, Fault expected,
+                                  std::size_t maxLineBytes = 64) {
         ChunkReader reader(maxLineBytes);
         const std::size_t used = reader.feed(body);
         EXPECT_EQ(reader.fault(), expected) << body;
         return used;
     };
-    EXPECT_EQ(stop("5\nhello", Fault::malformed), 1u);
-    EXPECT_EQ(stop("\r\n", Fault::malformed), 0u);
-    EXPECT_EQ(stop("123456789\r\n", Fault::malformed), 8u);
-    EXPECT_EQ(stop("1\r\naXX", Fault::malformed), 4u);
-    EXPECT_EQ(stop("0\r\nT : 1\r\n\r\n", Fault::malformed), 4u);
-    EXPECT_EQ(stop("1;xyz\r\n", Fault::headTooLarge, 3), 5u) << "the CR counts too";
-    EXPECT_EQ(stop("0\r\nT: 1", Fault::headTooLarge, 3), 6u);
+    EXPECT_EQ(consumedBytes("5\nhello", Fault::malformed), 1u);
+    EXPECT_EQ(consumedBytes("\r\n", Fault::malformed), 0u);
+    EXPECT_EQ(consumedBytes("123456789\r\n", Fault::malformed), 8u);
+    EXPECT_EQ(consumedBytes("1\r\naXX", Fault::malformed), 4u);
+    EXPECT_EQ(consumedBytes("0\r\nT : 1\r\n\r\n", Fault::malformed), 4u);
+    EXPECT_EQ(consumedBytes("1;xyz\r\n", Fault::headTooLarge, 3), 5u) << "the CR counts too";
+    EXPECT_EQ(consumedBytes("0\r\nT: 1", Fault::headTooLarge, 3), 6u);
 }
 
-TEST(HeadChecks, EachFramingRuleAlone) {
+TEST(HeadChecks, AppliesEachFramingRule) {
     const auto check = [](std::vector<Header> headers, ProtocolVersion version = {},
                           MessageKind kind = MessageKind::request) {
         Head head;
@@ -214,10 +218,11 @@
     EXPECT_EQ(check({}, {2, 0}), Fault::malformed);
     EXPECT_EQ(check({gzip}), Fault::unsupported);
     EXPECT_EQ(check({gzip}, {1, 1}, MessageKind::response), Fault::malformed);
-    EXPECT_EQ(check({gzip, length}), Fault::malformed) << "malformed goes before unsupported";
+    EXPECT_EQ(check({gzip, length}), Fault::malformed)
+        << "malformed takes precedence over unsupported";
 }
 
-TEST(HeadChecks, RequestsNameOneHostAndKnownExpectations) {
+TEST(HeadChecks, RequiresOneHostAndKnownExpectations) {
     const auto check = [](std::vector<Header> headers, ProtocolVersion version = {}) {
         RequestHead head;
         head.headers = std::move(headers);
@@ -230,10 +235,10 @@
     EXPECT_EQ(check({host, host}), Fault::malformed);
     EXPECT_EQ(check({host, {"Expect", "100-Continue"}}), Fault::none);
     EXPECT_EQ(check({host, {"Expect", "more"}}), Fault::unsupported);
-    EXPECT_EQ(check({{"Expect", "more"}}), Fault::malformed) << "malformed goes first";
+    EXPECT_EQ(check({{"Expect", "more"}}), Fault::malformed) << "malformed takes precedence";
 }
 
-TEST(Message, FieldsOfOneConnectionDoNotTravel) {
+TEST(Message, HopByHopFieldsAreNotForwarded) {
     RequestHead head;
     head.headers = {{"Connection", "close, X-Own"}, {"X-Own", "1"}, {"X-Other", "2"}};
     EXPECT_FALSE(travels(head, "x-own"));
