--- a/fuzz/dns_reply.cpp
+++ b/fuzz/dns_reply.cpp
@@ -1,5 +1,6 @@
-// Any bytes as the reply to the questions of one lookup: read, used, turned into claims, written
-// and read again. The bounds of src/dns/lookup.hpp must hold whatever came.
+// Fuzz target: decodes arbitrary bytes as the reply to each question of a lookup, turns the result
+// into claims, and encodes and decodes the message again. The bounds of src/dns/lookup.hpp must
+// hold for any input.
 #include <cstdlib>
 
 #include "../src/dns/query_schedule.hpp"
@@ -8,47 +9,48 @@
 using namespace deckcart;
 
 namespace {
-void demand(bool so) {
-    if (!so)
+void require(bool condition) {
+    if (!condition)
         std::abort();
 }
 }  // namespace
 
-// The name is prescribed by libFuzzer. NOLINTNEXTLINE(readability-identifier-naming)
+// libFuzzer requires this name. NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *bytes, std::size_t size) {
-    const auto got = dns::decode(bytes, size);
-    demand(got.message.has_value() == got.fault.empty());
-    if (!got.message)
+    const auto decoded = dns::decode(bytes, size);
+    require(decoded.message.has_value() == decoded.fault.empty());
+    if (!decoded.message)
         return 0;
-    const auto &m = *got.message;
-    const auto written = dns::encode(m);
-    const auto again = dns::decode(written.data(), written.size());
-    demand(again.message && again.message->answers == m.answers &&
-           again.message->additional == m.additional);
+    const auto &message = *decoded.message;
+    const auto encoded = dns::encode(message);
+    const auto decodedAgain = dns::decode(encoded.data(), encoded.size());
+    require(decodedAgain.message && decodedAgain.message->answers == message.answers &&
+            decodedAgain.message->additional == message.additional);
 
     dns::QueryAttempts attempts({0, 1}, 1);
-    for (int k = 0; attempts.next(); ++k) {
-        demand(k < 9);
-        if (attempts.onReply(m) == dns::QueryAttempts::ReplyUse::answer)
+    for (int attempt = 0; attempts.next(); ++attempt) {
+        require(attempt < 9);
+        if (attempts.onReply(message) == dns::QueryAttempts::ReplyUse::answer)
             break;
-        if (k % 2)
+        if (attempt % 2)
             attempts.onFailure("none");
     }
     const dns::LookupBounds bounds{.targets = 8, .aliases = 4, .addresses = 2};
-    dns::Lookup lookup(m.question ? m.question->name : "_relay._tcp.example.org.", {}, bounds);
-    std::size_t asked = 0;
+    dns::Lookup lookup(message.question ? message.question->name : "_relay._tcp.example.org.", {},
+                       bounds);
+    std::size_t questionCount = 0;
     for (auto questions = lookup.takeQuestions(); !questions.empty();
          questions = lookup.takeQuestions())
-        for (const auto &q : questions) {
-            demand(++asked <= bounds.aliases + 1 + 2 * bounds.targets);
-            lookup.onReply(q, m);
+        for (const auto &question : questions) {
+            require(++questionCount <= bounds.aliases + 1 + 2 * bounds.targets);
+            lookup.onReply(question, message);
         }
-    demand(lookup.finished());
-    demand(lookup.result().targets.size() <= bounds.targets);
+    require(lookup.finished());
+    require(lookup.result().targets.size() <= bounds.targets);
     const auto reading =
         membership::readingOf({"n.", 1, 0, 0}, lookup.result(), Duration{1}, Duration{1}, "ns");
-    demand(reading.claims.size() <= bounds.targets * bounds.addresses);
-    for (const auto &c : reading.claims)
-        demand(c.entry.weight >= 0.001 && c.entry.weight <= 1);
+    require(reading.claims.size() <= bounds.targets * bounds.addresses);
+    for (const auto &claim : reading.claims)
+        require(claim.entry.weight >= 0.001 && claim.entry.weight <= 1);
     return 0;
 }
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,4 +1,5 @@
-// Plays a fuzz target's corpus once, in CI: files of the folders that are named.
+// Runs a fuzz target once on each file of a corpus, as a regression test in CI. The arguments are
+// the folders of the corpus.
 #include <cstdint>
 #include <filesystem>
 #include <fstream>
@@ -6,12 +7,12 @@
 #include <iterator>
 #include <vector>
 
-// The name is prescribed by libFuzzer. NOLINTNEXTLINE(readability-identifier-naming)
+// libFuzzer requires this name. NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t *bytes, std::size_t size);
 
 namespace {
 
-void play(const std::filesystem::path &path) {
+void replayFile(const std::filesystem::path &path) {
     std::ifstream file(path, std::ios::binary);
     const std::vector<char> bytes((std::istreambuf_iterator<char>(file)), {});
     LLVMFuzzerTestOneInput(reinterpret_cast<const std::uint8_t *>(bytes.data()), bytes.size());
@@ -21,13 +22,13 @@
 
 int main(int argc, char **argv) {
     const std::vector<std::filesystem::path> folders(argv + 1, argv + argc);
-    int played = 0;
+    int replayedCount = 0;
     for (const auto &folder : folders) {
         for (const auto &entry : std::filesystem::directory_iterator(folder)) {
-            play(entry.path());
-            ++played;
+            replayFile(entry.path());
+            ++replayedCount;
         }
     }
-    std::cout << played << " inputs played\n";
-    return played > 0 ? 0 : 1;
+    std::cout << replayedCount << " inputs replayed\n";
+    return replayedCount > 0 ? 0 : 1;
 }
--- a/src/resp/client.cpp
+++ b/src/resp/client.cpp
@@ -9,26 +9,26 @@
 ClientConnection::ClientConnection(asio::io_context &context, Limits limits)
     : stream(context), parser(Parser::What::reply, limits) {}
 
-void ClientConnection::call(const tcp::endpoint &to, Duration within, Bytes callBytes,
-                            Done callDone) {
-    done = std::move(callDone);
-    bytes = std::move(callBytes);
+void ClientConnection::call(const tcp::endpoint &to, Duration connectTimeout,
+                            CommandBuilder builder, ReplyCallback callback) {
+    onReply = std::move(callback);
+    buildCommand = std::move(builder);
     outgoing.clear();
     writtenBytes = 0;
     stream.beginCall();
     if (stream.isConnected())
-        return begin();
-    stream.connect(to, within, [self = shared_from_this()](bool connected) {
-        // What comes before anything was asked would be taken for the answer.
+        return buildAndSend();
+    stream.connect(to, connectTimeout, [self = shared_from_this()](bool connected) {
+        // Bytes received before the command was sent would be taken for its reply.
         if (!connected || peek(self->stream.socket) != Unread::nothing)
             return self->finish(CallEnd::connectFailed);
-        self->begin();
+        self->buildAndSend();
     });
 }
 
-void ClientConnection::begin() {
-    const Bytes build = std::exchange(bytes, nullptr);
-    outgoing = build();
+void ClientConnection::buildAndSend() {
+    const CommandBuilder builder = std::exchange(buildCommand, nullptr);
+    outgoing = builder();
     if (!outgoing.empty())
         return send();
     stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::connectFailed); });
@@ -50,9 +50,9 @@
 
 void ClientConnection::awaitWritable() {
     stream.socket.async_wait(
-        tcp::socket::wait_write,
-        [self = shared_from_this(), began = stream.callNumber()](asio::error_code fault) {
-            if (self->stream.isClosed() || self->stream.callNumber() != began)
+        tcp::socket::wait_write, [self = shared_from_this(),
+                                  initialCallNumber = stream.callNumber()](asio::error_code fault) {
+            if (self->stream.isClosed() || self->stream.callNumber() != initialCallNumber)
                 return;
             if (fault)
                 return self->finish(CallEnd::broken);
@@ -66,11 +66,11 @@
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
             return self->finish(CallEnd::broken);
-        self->readable();
+        self->onReadable();
     });
 }
 
-void ClientConnection::readable() {
+void ClientConnection::onReadable() {
     std::array<char, net::kReadAtOnce> buffer;
     asio::error_code fault;
     const auto size = stream.socket.read_some(asio::buffer(buffer), fault);
@@ -78,25 +78,25 @@
         return awaitRead();
     if (fault)
         return finish(CallEnd::broken);
-    if (!done)
-        return shut();  // an idle peer that speaks is out of step
-    const auto used = parser.feed({buffer.data(), size});
+    if (!onReply)
+        return close();  // data without a command: replies no longer match commands
+    const auto consumed = parser.feed({buffer.data(), size});
     if (parser.faulty())
         return finish(CallEnd::garbage);
     if (!parser.done())
         return awaitRead();
-    if (used < size)
-        tainted = true;  // more than belongs to the reply: the reply is good, the connection not
+    if (consumed < size)
+        mustClose = true;  // excess bytes: the reply is valid, the connection is not reusable
     const auto self = shared_from_this();
     finish(CallEnd::complete, parser.take());
     awaitRead();
 }
 
 void ClientConnection::look() {
-    if (!stream.isConnected() || stream.isClosed() || !done || !startedSending())
+    if (!stream.isConnected() || stream.isClosed() || !onReply || !startedSending())
         return;
     const auto self = shared_from_this();
-    readable();
+    onReadable();
 }
 
 bool ClientConnection::stillQuiet() {
@@ -108,22 +108,22 @@
 
 void ClientConnection::finish(CallEnd outcome, Value value) {
     const auto self = shared_from_this();
-    const Done notify = std::exchange(done, nullptr);
-    bytes = nullptr;
-    if (outcome != CallEnd::complete || tainted || !startedSending())
-        shut();
+    const ReplyCallback notify = std::exchange(onReply, nullptr);
+    buildCommand = nullptr;
+    if (outcome != CallEnd::complete || mustClose || !startedSending())
+        close();
     if (notify)
         notify(outcome, std::move(value));
 }
 
 void ClientConnection::drop() {
-    done = nullptr;
-    bytes = nullptr;
+    onReply = nullptr;
+    buildCommand = nullptr;
     onIdleClosed = nullptr;
-    shut();
+    close();
 }
 
-void ClientConnection::shut() {
+void ClientConnection::close() {
     if (stream.shut() && onIdleClosed)
         stream.post(std::exchange(onIdleClosed, nullptr));
 }
--- a/src/resp/connection_admission.cpp
+++ b/src/resp/connection_admission.cpp
@@ -4,8 +4,9 @@
 
 namespace {
 
-// What makes room first: one that is ending, one that never spoke, one that only waits for an
-// error, one that has nothing to ask. One whose bytes wait to be read is not silent.
+// The higher the value, the sooner a connection is evicted: first one that is closing, then one
+// that has never sent bytes, then one that only waits for a delayed error, last one that is idle. A
+// connection with unread bytes counts neither as silent nor as idle.
 enum EvictionPriority { kNever, kIdle, kRefused, kSilent, kLingering };
 
 }  // namespace
@@ -15,18 +16,20 @@
         return kLingering;
     if (connection.inFlight)
         return connection.refused ? kRefused : kNever;
-    if (connection.unread)
+    if (connection.hasUnreadBytes)
         return kNever;
-    if (!connection.spoke)
+    if (!connection.receivedAny)
         return kSilent;
-    const bool isIdle = !connection.begun && connection.quietFor > limits.idleForUnderPressure;
+    const bool isIdle =
+        !connection.commandStarted && connection.idleTime > limits.idleTimeoutUnderPressure;
     return isIdle ? kIdle : kNever;
 }
 
 bool endsInDrain(const ConnectionState &connection, const ListenerLimits &limits) {
-    if (connection.lingering || connection.inFlight || connection.begun || connection.writing)
+    if (connection.lingering || connection.inFlight || connection.commandStarted ||
+        connection.writing)
         return false;
-    return connection.spoke || connection.quietFor >= limits.newcomerFor;
+    return connection.receivedAny || connection.idleTime >= limits.newConnectionGrace;
 }
 
 TimeoutAction timeoutAction(const ConnectionState &connection, const ListenerLimits &limits,
@@ -34,18 +37,19 @@
     if (connection.inFlight && connection.errorDue)
         return TimeoutAction::sendError;
     if (connection.lingering)
-        return connection.quietFor >= limits.lingerFor ? TimeoutAction::close : TimeoutAction::none;
-    if (connection.writing && connection.streamStallTimeout > limits.slowPeerFor)
+        return connection.idleTime >= limits.lingerTimeout ? TimeoutAction::close
+                                                           : TimeoutAction::none;
+    if (connection.writing && connection.writeStallTime > limits.writeStallTimeout)
         return TimeoutAction::reset;
     if (connection.inFlight || connection.writing)
         return TimeoutAction::none;
-    if (connection.begun)
-        return connection.begunFor > limits.messageWithin ? TimeoutAction::failIncomplete
-                                                          : TimeoutAction::none;
-    Duration allowed = underPressure ? limits.idleForUnderPressure : limits.idleFor;
-    if (!connection.spoke)
-        allowed = limits.silentFor;
-    return connection.quietFor > allowed ? TimeoutAction::linger : TimeoutAction::none;
+    if (connection.commandStarted)
+        return connection.commandAge > limits.commandTimeout ? TimeoutAction::failIncomplete
+                                                             : TimeoutAction::none;
+    Duration allowed = underPressure ? limits.idleTimeoutUnderPressure : limits.idleFor;
+    if (!connection.receivedAny)
+        allowed = limits.firstByteTimeout;
+    return connection.idleTime > allowed ? TimeoutAction::linger : TimeoutAction::none;
 }
 
 bool isUnderPressure(std::size_t connections, const ListenerLimits &limits) {
--- a/src/resp/connection_admission.hpp
+++ b/src/resp/connection_admission.hpp
@@ -1,5 +1,5 @@
-// Which of a listener's connections is at the end of its time, and which makes room when all
-// places are taken. Called by the listener and its connections. Pure.
+// Decides which of a listener's connections have timed out, and which one is evicted for a new one
+// at the connection limit. Called by the listener and its connections. Performs no I/O.
 #pragma once
 
 #include "../base/clock.hpp"
@@ -7,65 +7,70 @@
 
 namespace deckcart::resp {
 
-/// What may come through a listener, each with what it guards against. Times are kept to the
-/// listener's sweep, a tenth of a second.
+/// Limits of a listener. Timeouts are checked by its periodic sweep, every 100 ms.
 struct ListenerLimits {
-    /// Beyond it a connection that is silent or idle makes room; else accepting waits.
+    /// At this number of open connections, one that can be spared is evicted (see
+    /// evictionPriority()); if there is none, accepting waits.
     std::size_t connections = 1024;
-    /// A message over it: an error and the connection's end.
+    /// A message over these limits gets an error, and the connection is closed.
     Limits message;
-    /// Commands of one connection in flight; the listener reads on as they end.
+    /// Commands in flight of one connection; at the limit, parsing pauses until one is answered.
     std::size_t pipelined = 64;
-    /// While no command is taken up: the peer's close is seen behind them.
+    /// Bytes read ahead while parsing is paused, so that a close by the peer is detected behind
+    /// them.
     std::size_t readAheadBytes = 16384;
-    /// Of answers for a slow reader; the listener reads on as they go.
+    /// Unsent bytes of replies; at the limit, parsing pauses until the peer reads them.
     std::size_t waitingBytes = 256 * 1024;
-    /// From connecting to the first byte.
-    Duration silentFor = std::chrono::milliseconds(1500);
-    /// From a command's first byte to its last.
-    Duration messageWithin = std::chrono::milliseconds(1500);
-    /// Between commands.
+    /// Timeout from accepting a connection to its first byte.
+    Duration firstByteTimeout = std::chrono::milliseconds(1500);
+    /// Timeout from a command's first byte to its last.
+    Duration commandTimeout = std::chrono::milliseconds(1500);
+    /// Timeout between commands.
     Duration idleFor = std::chrono::seconds(30);
-    /// The same from half of the connections on.
-    Duration idleForUnderPressure = std::chrono::seconds(2);
-    /// A reader that takes nothing for so long is cut off.
-    Duration slowPeerFor = std::chrono::seconds(5);
-    /// Before the error for what can't be served. Guards against floods that come back at once.
-    Duration refusalAfter = std::chrono::milliseconds(250);
-    /// A connection as young as this may still ask when a drain begins.
-    Duration newcomerFor = std::chrono::milliseconds(300);
-    /// For a peer to read the last answer before the end.
-    Duration lingerFor = std::chrono::milliseconds(500);
+    /// The same while more than half of `connections` are open.
+    Duration idleTimeoutUnderPressure = std::chrono::seconds(2);
+    /// A connection is reset if its peer reads nothing for this time.
+    Duration writeStallTimeout = std::chrono::seconds(5);
+    /// Delay before the error for a refused command. Without it, clients that retry at once would
+    /// flood the gateway.
+    Duration refusalDelay = std::chrono::milliseconds(250);
+    /// During a drain, a new connection stays open for this time if it has sent no command yet.
+    Duration newConnectionGrace = std::chrono::milliseconds(300);
+    /// Time for the peer to read the last reply before the connection is closed.
+    Duration lingerTimeout = std::chrono::milliseconds(500);
 };
 
-/// What is known of a connection at one moment.
+/// State of a connection at one moment.
 struct ConnectionState {
-    bool inFlight = false;          ///< it has commands that are not answered,
-    bool refused = false;           ///< and the first of them waits for its error,
-    bool errorDue = false;          ///< whose time has come
-    bool lingering = false;         ///< the last answer was written and its sending side is shut
-    bool spoke = false;             ///< bytes of it were read
-    bool unread = false;            ///< bytes of it wait to be read
-    bool begun = false;             ///< a part of a command was read
-    bool writing = false;           ///< it has not taken all that was written to it
-    Duration quietFor{};            ///< since it last asked, or was answered
-    Duration begunFor{};            ///< since the command's first byte
-    Duration streamStallTimeout{};  ///< since it last took something
+    bool inFlight = false;        ///< it has commands without a reply
+    bool refused = false;         ///< the first command in flight was refused; its error is delayed
+    bool errorDue = false;        ///< the delay of that error is over
+    bool lingering = false;       ///< the last reply was sent and the sending side is shut down
+    bool receivedAny = false;     ///< bytes were read from it
+    bool hasUnreadBytes = false;  ///< the socket holds bytes that were not read yet
+    bool commandStarted = false;  ///< a command was read in part
+    bool writing = false;         ///< the socket has not accepted all reply bytes yet
+    Duration idleTime{};          ///< since its last input or reply, or since lingering began
+    Duration commandAge{};        ///< since the current command's first byte
+    Duration writeStallTime{};    ///< since the socket last accepted bytes
 };
 
-/// In a drain: nothing of it is in flight or half read, and it is no newcomer that is about to ask.
+/// Whether the connection can be closed during a drain: no command is in flight or read in part,
+/// all replies are sent, and it is not a new connection that may be about to send its first
+/// command.
 bool endsInDrain(const ConnectionState &connection, const ListenerLimits &limits);
 
-/// The higher, the sooner it makes room; 0: it can't.
+/// Priority for eviction: connections with a higher value are evicted first, those with 0 never.
 int evictionPriority(const ConnectionState &connection, const ListenerLimits &limits);
 
-/// What a timeout that is up asks for: the error that is due, a reset, an orderly close, a close
-/// after the peer has read the last answer, or an error for a command that stays incomplete.
+/// Action for an expired timeout: send the delayed error, reset, close gracefully, close after the
+/// peer has had time to read the last reply, or send an error for an incomplete command.
 enum class TimeoutAction { none, sendError, reset, close, linger, failIncomplete };
+/// Returns the action for the connection's state, none if no timeout has expired.
 TimeoutAction timeoutAction(const ConnectionState &connection, const ListenerLimits &limits,
                             bool underPressure);
 
-/// More than half of the places are taken.
+/// Whether more than half of the allowed connections are open.
 bool isUnderPressure(std::size_t connections, const ListenerLimits &limits);
 
 }  // namespace deckcart::resp
--- a/src/resp/exchange.cpp
+++ b/src/resp/exchange.cpp
@@ -8,29 +8,29 @@
     answered = true;
     reply = std::move(bytes);
     onGone = nullptr;
-    if (const auto peer = connection.lock())
-        peer->onAnswered();
+    if (const auto server = connection.lock())
+        server->onAnswered();
 }
 
 bool Exchange::peerThere() const {
-    const auto peer = connection.lock();
-    return peer && peer->peerThere();
+    const auto server = connection.lock();
+    return server && server->isPeerConnected();
 }
 
-void Exchange::refuse(std::string_view words) {
+void Exchange::refuse(std::string_view message) {
     if (answered || refused)
         return;
     refused = true;
-    reply = error(words);
+    reply = error(message);
     onGone = nullptr;
-    if (const auto peer = connection.lock())
-        peer->onRefused();
+    if (const auto server = connection.lock())
+        server->onRefused();
 }
 
 void Exchange::abort() {
     answered = true;
-    if (const auto peer = connection.lock())
-        peer->shut(net::Closing::reset);
+    if (const auto server = connection.lock())
+        server->close(net::Closing::reset);
 }
 
 }  // namespace deckcart::resp
--- a/src/resp/listener.cpp
+++ b/src/resp/listener.cpp
@@ -7,21 +7,22 @@
 
 namespace {
 
-// How exactly timeouts are kept.
-constexpr auto kSweepEvery = std::chrono::milliseconds(100);
-// Guards against a loop on the same fault while places or descriptors are out. Harm: it runs hot.
-constexpr auto kAcceptRetry = std::chrono::milliseconds(20);
-// A turn's share: floods don't hold up who is connected.
-constexpr int kAcceptsAtOnce = 32;
+// Resolution of the timeouts.
+constexpr auto kSweepInterval = std::chrono::milliseconds(100);
+// Delay before accepting again at the connection limit or after an error. Without it, the event
+// loop would spin on the same condition.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
+// Per turn of the event loop, so that a flood of new connections does not delay the open ones.
+constexpr int kMaxAcceptsPerTurn = 32;
 
 }  // namespace
 
 Listener::Core::Core(asio::io_context &loop, const tcp::endpoint &address,
                      const ListenerLimits &listenerLimits, Handler commandHandler)
     : context(loop), acceptor(loop), limits(listenerLimits), handler(std::move(commandHandler)),
-      retry(loop), sweeper(loop) {
+      acceptRetryTimer(loop), sweepTimer(loop) {
     listenAt(acceptor, address);
-    local = acceptor.local_endpoint();
+    localAddress = acceptor.local_endpoint();
 }
 
 void Listener::Core::accept() {
@@ -31,13 +32,13 @@
                         [self = shared_from_this()](asio::error_code fault) {
                             if (fault || self->closed || self->draining)
                                 return;
-                            self->acceptWaiting();
+                            self->acceptBacklog();
                         });
 }
 
-void Listener::Core::acceptWaiting() {
-    for (int accepted = 0; accepted < kAcceptsAtOnce; ++accepted) {
-        if (open.size() >= limits.connections && !makeRoom())
+void Listener::Core::acceptBacklog() {
+    for (int accepted = 0; accepted < kMaxAcceptsPerTurn; ++accepted) {
+        if (openConnections.size() >= limits.connections && !evictOne())
             return retryLater();
         asio::error_code fault;
         tcp::socket socket(context);
@@ -45,43 +46,43 @@
         if (fault == asio::error::would_block) {
             if (!draining)
                 return accept();
-            // To its end: whom the kernel has accepted may have asked already.
+            // Drained: the acceptor closes only when the backlog is empty, since connections in it
+            // may have sent commands already.
             acceptor.close(fault);
             return onClosed();
         }
-        if (fault)  // out of descriptors
+        if (fault)  // out of file descriptors
             return retryLater();
         const auto connection =
             std::make_shared<ServerConnection>(shared_from_this(), std::move(socket));
-        open.insert(connection);
+        openConnections.insert(connection);
         connection->read();
     }
     if (!draining)
         return accept();
     asio::post(context, [self = shared_from_this()] {
         if (!self->closed && self->acceptor.is_open())
-            self->acceptWaiting();
+            self->acceptBacklog();
     });
 }
 
 void Listener::Core::retryLater() {
-    retry.expires_after(kAcceptRetry);
-    retry.async_wait([self = shared_from_this()](asio::error_code stopped) {
+    acceptRetryTimer.expires_after(kAcceptRetryDelay);
+    acceptRetryTimer.async_wait([self = shared_from_this()](asio::error_code stopped) {
         if (!stopped && !self->closed)
-            self->acceptWaiting();
+            self->acceptBacklog();
     });
 }
 
 void Listener::Core::onClosed() {
-    if (draining && !acceptor.is_open() && open.empty() && onEmpty)
+    if (draining && !acceptor.is_open() && openConnections.empty() && onEmpty)
         asio::post(context, std::exchange(onEmpty, nullptr));
 }
 
-// Among equals who has been quiet for the longest.
-std::shared_ptr<ServerConnection> Listener::Core::leastNeeded(SteadyTime now) const {
+std::shared_ptr<ServerConnection> Listener::Core::evictionCandidate(SteadyTime now) const {
     std::shared_ptr<ServerConnection> chosen;
     int highest = 0;
-    for (const auto &connection : open) {
+    for (const auto &connection : openConnections) {
         const int priority = evictionPriority(connection->state(now), limits);
         if (priority > highest || (priority == highest && priority > 0 &&
                                    connection->lastActive() < chosen->lastActive())) {
@@ -92,12 +93,12 @@
     return chosen;
 }
 
-bool Listener::Core::makeRoom() {
+bool Listener::Core::evictOne() {
     const SteadyTime now = std::chrono::steady_clock::now();
-    while (const auto connection = leastNeeded(now)) {
-        if (connection->hasUnread())
+    while (const auto connection = evictionCandidate(now)) {
+        if (connection->checkUnreadBytes())
             continue;
-        connection->shut(net::Closing::orderly);
+        connection->close(net::Closing::orderly);
         return true;
     }
     return false;
@@ -107,14 +108,14 @@
     if (closed)
         return;
     const SteadyTime now = std::chrono::steady_clock::now();
-    const bool underPressure = isUnderPressure(open.size(), limits);
+    const bool underPressure = isUnderPressure(openConnections.size(), limits);
     forEachConnection([&](ServerConnection &connection) {
         connection.sweep(now, underPressure);
         if (draining)
             connection.drain();
     });
-    sweeper.expires_after(kSweepEvery);
-    sweeper.async_wait([weak = weak_from_this()](asio::error_code fault) {
+    sweepTimer.expires_after(kSweepInterval);
+    sweepTimer.async_wait([weak = weak_from_this()](asio::error_code fault) {
         if (const auto self = weak.lock(); self && !fault)
             self->sweep();
     });
@@ -130,34 +131,34 @@
     core->accept();
 }
 
-// NOLINTNEXTLINE(bugprone-exception-escape): lack of memory ends the program wherever it shows
+// NOLINTNEXTLINE(bugprone-exception-escape): running out of memory ends the program anyway
 Listener::~Listener() {
     core->closed = true;
     core->onEmpty = nullptr;
     core->handler = [](const std::shared_ptr<Exchange> &) {};
     asio::error_code ignored;
     core->acceptor.close(ignored);
-    core->retry.cancel();
-    core->sweeper.cancel();
+    core->acceptRetryTimer.cancel();
+    core->sweepTimer.cancel();
     core->forEachConnection(
-        [](ServerConnection &connection) { connection.shut(net::Closing::orderly); });
+        [](ServerConnection &connection) { connection.close(net::Closing::orderly); });
 }
 
 tcp::endpoint Listener::address() const {
-    return core->local;
+    return core->localAddress;
 }
 
 std::size_t Listener::connections() const {
-    return core->open.size();
+    return core->openConnections.size();
 }
 
-void Listener::drain(std::function<void()> empty) {
+void Listener::drain(std::function<void()> onEmpty) {
     core->draining = true;
-    core->onEmpty = std::move(empty);
+    core->onEmpty = std::move(onEmpty);
     asio::error_code ignored;
     core->acceptor.cancel(ignored);
-    core->retry.cancel();
-    core->acceptWaiting();
+    core->acceptRetryTimer.cancel();
+    core->acceptBacklog();
     core->forEachConnection([](ServerConnection &connection) { connection.drain(); });
     core->onClosed();
 }
--- a/src/resp/listener_core.hpp
+++ b/src/resp/listener_core.hpp
@@ -1,5 +1,5 @@
-// What a Listener and its connections share. Kept alive by the connections, so that the Listener
-// may go before them.
+// State shared by a Listener and its connections. The connections keep it alive, so that the
+// Listener may be destroyed before them.
 #pragma once
 
 #include <array>
@@ -12,38 +12,44 @@
 using SteadyTime = std::chrono::steady_clock::time_point;
 
 struct Listener::Core : std::enable_shared_from_this<Listener::Core> {
-    /// Opens, binds and listens. Throws std::system_error.
+    /// Opens the acceptor, binds it and listens. Throws std::system_error.
     Core(asio::io_context &loop, const asio::ip::tcp::endpoint &address,
          const ListenerLimits &listenerLimits, Handler commandHandler);
 
+    /// Waits for connections, then accepts them.
     void accept();
-    void acceptWaiting();
+    /// Accepts the connections in the backlog, a limited number per turn of the event loop.
+    void acceptBacklog();
+    /// Accepts again after a delay.
     void retryLater();
+    /// Applies the timeouts of all connections, now and then periodically.
     void sweep();
-    /// Closes the connection that can best be spared; false if none can.
-    bool makeRoom();
-    std::shared_ptr<ServerConnection> leastNeeded(SteadyTime now) const;
-    /// A connection or the acceptor has closed.
+    /// Closes the connection with the highest eviction priority; false if none can be evicted.
+    bool evictOne();
+    /// The connection to evict, or nullptr. Among equal priorities, the one idle for the longest.
+    std::shared_ptr<ServerConnection> evictionCandidate(SteadyTime now) const;
+    /// Called after a connection or the acceptor was closed; ends the drain when all are closed.
     void onClosed();
-    /// Also where connections close meanwhile.
+    /// Calls `action` for each connection. The action may close connections.
     void forEachConnection(auto action) {
-        const std::vector<std::shared_ptr<ServerConnection>> all(open.begin(), open.end());
+        const std::vector<std::shared_ptr<ServerConnection>> all(openConnections.begin(),
+                                                                 openConnections.end());
         for (const auto &connection : all)
             action(*connection);
     }
 
     asio::io_context &context;
     asio::ip::tcp::acceptor acceptor;
-    asio::ip::tcp::endpoint local;
+    asio::ip::tcp::endpoint localAddress;
     ListenerLimits limits;
     Handler handler;
-    asio::steady_timer retry;
-    asio::steady_timer sweeper;
-    std::set<std::shared_ptr<ServerConnection>> open;
+    asio::steady_timer acceptRetryTimer;
+    asio::steady_timer sweepTimer;
+    std::set<std::shared_ptr<ServerConnection>> openConnections;
     bool draining = false;
     bool closed = false;
     std::function<void()> onEmpty;
-    std::array<char, 16 * 1024> buffer{};  // shared: an idle connection holds none of its own
+    std::array<char, 16 * 1024> readBuffer{};  // shared by all connections to save memory
 };
 
 }  // namespace deckcart::resp
--- a/src/resp/message.cpp
+++ b/src/resp/message.cpp
@@ -14,7 +14,7 @@
 constexpr char kIntegerType = ':';
 constexpr char kArrayType = '*';
 constexpr unsigned char kFirstPrintable = 0x20;
-// More than the type and the digits of any 64-bit number.
+// Enough for the type byte and the digits of any 64-bit number.
 constexpr std::size_t kMaxNumberLineBytes = 24;
 constexpr std::int64_t kNullLength = -1;
 
@@ -27,24 +27,24 @@
 }  // namespace
 
 std::size_t Parser::feed(std::string_view bytes) {
-    std::size_t used = 0;
-    while (used < bytes.size() && !done() && !faulty()) {
+    std::size_t consumed = 0;
+    while (consumed < bytes.size() && !done() && !faulty()) {
         if (state == State::bulk)
-            used += readBulk(bytes.substr(used));
+            consumed += readBulk(bytes.substr(consumed));
         else if (state == State::bulkEnd)
-            readBulkEndByte(bytes[used++]);
+            readBulkEndByte(bytes[consumed++]);
         else
-            readLineByte(bytes[used++]);
+            readLineByte(bytes[consumed++]);
     }
-    return used;
+    return consumed;
 }
 
 std::size_t Parser::readBulk(std::string_view bytes) {
-    const auto part = std::min(bulkLeft, bytes.size());
+    const auto part = std::min(bulkBytesLeft, bytes.size());
     bulk.append(bytes.substr(0, part));
-    bulkLeft -= part;
-    heldBytes += part;
-    if (bulkLeft == 0)
+    bulkBytesLeft -= part;
+    bufferedByteCount += part;
+    if (bulkBytesLeft == 0)
         beginBulkEnd();
     return part;
 }
@@ -91,15 +91,15 @@
     return kind == What::command ? "*" : "+-:$*";
 }
 
-std::optional<std::int64_t> Parser::length(bool mayBeNull) const {
+std::optional<std::int64_t> Parser::parseLength(bool allowNull) const {
     const std::string_view digits = std::string_view(line).substr(1);
-    if (digits == "-1" && mayBeNull)
+    if (digits == "-1" && allowNull)
         return kNullLength;
     std::int64_t number = 0;
     const char *const end = digits.data() + digits.size();
     const auto [stop, fault] = std::from_chars(digits.data(), end, number);
-    const bool isPlain = !digits.empty() && digits[0] != '-' && stop == end;
-    if (fault != std::errc{} || !isPlain)
+    const bool isValid = !digits.empty() && digits[0] != '-' && stop == end;
+    if (fault != std::errc{} || !isValid)
         return std::nullopt;
     return number;
 }
@@ -110,14 +110,14 @@
     const char type = line[0];
     if (type == kSimpleType || type == kErrorType || type == kIntegerType)
         return completeScalar(type);
-    const auto stated = length(kind == What::reply);
-    if (!stated)
+    const auto declaredLength = parseLength(kind == What::reply);
+    if (!declaredLength)
         return fail("a length that is none");
     line.clear();
     if (type == kArrayType)
-        beginArray(*stated);
+        beginArray(*declaredLength);
     else
-        beginBulk(*stated);
+        beginBulk(*declaredLength);
 }
 
 void Parser::completeScalar(char type) {
@@ -134,27 +134,27 @@
     state = State::done;
 }
 
-void Parser::beginArray(std::int64_t stated) {
-    if (stated == kNullLength) {
+void Parser::beginArray(std::int64_t declaredLength) {
+    if (declaredLength == kNullLength) {
         state = State::done;
         return;
     }
-    if (stated == 0 || std::size_t(stated) > limits.items)
+    if (declaredLength == 0 || std::size_t(declaredLength) > limits.items)
         return fail("an array of too few or too many");
     inArray = true;
-    itemsLeft = std::size_t(stated);
+    itemsLeft = std::size_t(declaredLength);
     value.kind = Value::Kind::array;
     state = State::type;
 }
 
-void Parser::beginBulk(std::int64_t stated) {
-    if (stated == kNullLength)
+void Parser::beginBulk(std::int64_t declaredLength) {
+    if (declaredLength == kNullLength)
         return add(std::nullopt);
-    const auto size = std::size_t(stated);
-    if (size > limits.bulkBytes || heldBytes + size > limits.totalBytes)
+    const auto size = std::size_t(declaredLength);
+    if (size > limits.bulkBytes || bufferedByteCount + size > limits.totalBytes)
         return fail("a value is too long");
-    bulkLeft = size;
-    if (bulkLeft > 0)
+    bulkBytesLeft = size;
+    if (bulkBytesLeft > 0)
         state = State::bulk;
     else
         beginBulkEnd();
@@ -174,21 +174,21 @@
 }
 
 Value Parser::take() {
-    Value taken = std::move(value);
+    Value result = std::move(value);
     value = {};
     line.clear();
     bulk.clear();
     state = State::type;
     inArray = false;
     crSeen = false;
-    heldBytes = 0;
-    return taken;
+    bufferedByteCount = 0;
+    return result;
 }
 
 std::string bulk(std::string_view text) {
-    std::string written = "$" + std::to_string(text.size()) + "\r\n";
-    written.append(text).append(kLineEnd);
-    return written;
+    std::string encoded = "$" + std::to_string(text.size()) + "\r\n";
+    encoded.append(text).append(kLineEnd);
+    return encoded;
 }
 
 std::string error(std::string_view text) {
@@ -196,10 +196,10 @@
 }
 
 std::string command(const std::vector<std::string> &args) {
-    std::string written = "*" + std::to_string(args.size()) + "\r\n";
+    std::string encoded = "*" + std::to_string(args.size()) + "\r\n";
     for (const auto &arg : args)
-        written += bulk(arg);
-    return written;
+        encoded += bulk(arg);
+    return encoded;
 }
 
 }  // namespace deckcart::resp
--- a/src/resp/server.hpp
+++ b/src/resp/server.hpp
@@ -1,6 +1,6 @@
-// The listening side of RESP2 on Asio: accepts, reads commands within stated limits, answers each
-// connection's in the order of its commands. Used by the platform's downstream side; what a command
-// means is its owner's business.
+// RESP2 server on Asio: accepts connections, reads commands within configured limits and sends the
+// replies of each connection in the order of its commands. Used by the platform's downstream side,
+// which handles the commands.
 #pragma once
 
 #include <asio.hpp>
@@ -13,22 +13,24 @@
 
 class ServerConnection;
 
-/// One command. Answered once; what is written after the peer has gone goes nowhere. One thread,
-/// the loop's.
+/// One received command and its reply, which is sent once. A reply after the peer has disconnected
+/// is ignored. Runs on the event loop's thread only.
 class Exchange {
   public:
     std::vector<std::string> args;
-    std::function<void()> onGone;  ///< the peer has left before the answer
+    std::function<void()> onGone;  ///< the connection closed before the reply
 
+    /// Whether the peer is connected and no reply was given.
     bool open() const { return !answered && !connection.expired(); }
-    /// Looks at the socket: false once the peer has ended its sending, though nobody has read that
-    /// yet; then onGone follows on a turn of its own.
+    /// Checks the socket for a close by the peer that was not read yet. Returns false if there is
+    /// one; onGone is then called from the event loop.
     bool peerThere() const;
+    /// Sends a serialized reply.
     void answer(std::string bytes);
-    /// It can't be served: an error after limits.refusalAfter, and nothing is read from this peer
-    /// until then.
-    void refuse(std::string_view words);
-    /// Cuts the connection with a reset.
+    /// Refuses the command: sends an error after `refusalDelay` of the limits. No further command
+    /// of this connection is processed until then.
+    void refuse(std::string_view message);
+    /// Resets the connection.
     void abort();
 
   private:
@@ -39,23 +41,26 @@
     bool refused = false;
 };
 
-/// Listens from its construction until it is destroyed. One thread, the loop's.
+/// Listens from construction to destruction. Runs on the event loop's thread only.
 class Listener {
   public:
     using Handler = std::function<void(std::shared_ptr<Exchange>)>;
-    /// Listens at once; accepts from open() on. Throws std::system_error where it can't listen.
+    /// Listens at once, but accepts only after open(). Throws std::system_error if it can't listen
+    /// on the address.
     Listener(asio::io_context &context, const asio::ip::tcp::endpoint &address,
              const ListenerLimits &limits, Handler handler);
-    /// Once.
+    /// Starts accepting. May be called once.
     void open();
-    ~Listener();  // NOLINT(bugprone-exception-escape): as at its definition
+    ~Listener();  // NOLINT(bugprone-exception-escape): see the definition
     Listener(const Listener &) = delete;
     Listener &operator=(const Listener &) = delete;
 
     asio::ip::tcp::endpoint address() const;
-    /// Takes what has connected already, and no more. Each connection ends once nothing of it is in
-    /// flight, half read or unread; `empty` is called, on a turn of its own, when all have ended.
-    void drain(std::function<void()> empty);
+    /// Accepts the connections in the backlog, and no more. Closes each connection when no command
+    /// of it is in flight, read in part or unread. When all are closed, calls `onEmpty` from the
+    /// event loop.
+    void drain(std::function<void()> onEmpty);
+    /// Number of open connections.
     std::size_t connections() const;
 
     struct Core;
--- a/src/resp/server_connection.cpp
+++ b/src/resp/server_connection.cpp
@@ -11,10 +11,12 @@
 
 namespace {
 
-// Of a refused peer's bytes: then its connection is cut. Guards against one that never stops. Harm:
-// its bytes cost time without end.
+// Limit of bytes that are read and discarded from a peer after invalid input or while its
+// connection closes; beyond it nothing more is read, and a lingering connection is closed. Without
+// it, a peer that never stops sending would take up CPU time forever.
 constexpr std::size_t kMaxDiscardedBytes = 256 * 1024;
-// Guards against one long answer that keeps its buffer. Harm: idle connections hold memory.
+// A write buffer over this size is freed when it is empty, so that idle connections do not keep the
+// memory of one long reply.
 constexpr std::size_t kKeptBufferBytes = 4096;
 
 SteadyTime steadyNow() {
@@ -25,50 +27,51 @@
 
 ServerConnection::ServerConnection(std::shared_ptr<Listener::Core> owner, tcp::socket accepted)
     : listener(std::move(owner)), stream(std::move(accepted)),
-      parser(Parser::What::command, listener->limits.message), activeSince(steadyNow()) {
+      parser(Parser::What::command, listener->limits.message), lastActiveTime(steadyNow()) {
     settle(stream.socket);
 }
 
 void ServerConnection::read() {
-    // Also where nothing more is taken up yet: a close shows itself behind what has been read.
-    if (stream.isClosed() || stream.isAwaitingRead() || peerEnded ||
+    // Reads also while no command can be accepted, since a close is visible only behind the bytes
+    // before it.
+    if (stream.isClosed() || stream.isAwaitingRead() || peerClosedSending ||
         readAhead.size() >= listener->limits.readAheadBytes || discardedBytes > kMaxDiscardedBytes)
         return;
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
-            return self->shut(Closing::orderly);
-        self->readable();
+            return self->close(Closing::orderly);
+        self->onReadable();
     });
 }
 
 ConnectionState ServerConnection::state(SteadyTime now) const {
-    const auto lengthSince = [now](SteadyTime from) {
+    const auto elapsedSince = [now](SteadyTime from) {
         return std::chrono::duration_cast<Duration>(now - from);
     };
-    ConnectionState current;
-    current.inFlight = !pipeline.empty();
-    current.refused = current.inFlight && pipeline.front()->refused;
-    current.errorDue = errorDueAt != SteadyTime{} && now >= errorDueAt;
-    current.lingering = lingering;
-    current.spoke = spoke;
-    current.unread = unread;
-    current.begun = parser.begun();
-    current.writing = !outgoing.empty();
-    current.quietFor = lengthSince(activeSince);
-    current.begunFor = lengthSince(commandSince);
-    current.streamStallTimeout = lengthSince(writeProgress);
-    return current;
+    ConnectionState result;
+    result.inFlight = !pipeline.empty();
+    result.refused = result.inFlight && pipeline.front()->refused;
+    result.errorDue = errorDueAt != SteadyTime{} && now >= errorDueAt;
+    result.lingering = lingering;
+    result.receivedAny = receivedAny;
+    result.hasUnreadBytes = hasUnreadBytes;
+    result.commandStarted = parser.started();
+    result.writing = !outgoing.empty();
+    result.idleTime = elapsedSince(lastActiveTime);
+    result.commandAge = elapsedSince(commandStartTime);
+    result.writeStallTime = elapsedSince(lastWriteProgress);
+    return result;
 }
 
-bool ServerConnection::hasUnread() {
-    unread = pipeline.empty() && !lingering && peek(stream.socket) == Unread::bytes;
-    return unread;
+bool ServerConnection::checkUnreadBytes() {
+    hasUnreadBytes = pipeline.empty() && !lingering && peek(stream.socket) == Unread::bytes;
+    return hasUnreadBytes;
 }
 
-bool ServerConnection::peerThere() {
+bool ServerConnection::isPeerConnected() {
     if (stream.isClosed() || peek(stream.socket) != Unread::end)
         return !stream.isClosed();
-    shutLater();
+    closeLater();
     return false;
 }
 
@@ -88,10 +91,10 @@
     case TimeoutAction::sendError:
         return sendDueError();
     case TimeoutAction::reset:
-        return shut(Closing::reset);
+        return close(Closing::reset);
     case TimeoutAction::close:
-        return shut(Closing::orderly);
-    // What has come meanwhile crosses the time that is up, and is served.
+        return close(Closing::orderly);
+    // Bytes that arrived before the timeout was handled are still processed.
     case TimeoutAction::linger:
         if (peek(stream.socket) != Unread::bytes)
             linger();
@@ -103,11 +106,11 @@
     }
 }
 
-void ServerConnection::shut(Closing how) {
+void ServerConnection::close(Closing how) {
     if (!stream.close(how))
         return;
     const auto self = shared_from_this();
-    listener->open.erase(self);
+    listener->openConnections.erase(self);
     listener->onClosed();
     for (const auto &exchange : std::exchange(pipeline, {})) {
         exchange->connection.reset();
@@ -117,9 +120,10 @@
     }
 }
 
-// Not from within the writer's own call: it would be notified before its call returns.
-void ServerConnection::shutLater() {
-    stream.post([self = shared_from_this()] { self->shut(Closing::orderly); });
+// Deferred, since close() calls onGone, which must not run before the writer's own call has
+// returned.
+void ServerConnection::closeLater() {
+    stream.post([self = shared_from_this()] { self->close(Closing::orderly); });
 }
 
 void ServerConnection::onAnswered() {
@@ -135,54 +139,54 @@
     }
     if (!anyAnswered)
         return;
-    activeSince = steadyNow();
+    lastActiveTime = steadyNow();
     write();
 }
 
 void ServerConnection::onRefused() {
-    errorDueAt = steadyNow() + listener->limits.refusalAfter;
+    errorDueAt = steadyNow() + listener->limits.refusalDelay;
 }
 
-bool ServerConnection::mayTakeUp() const {
+bool ServerConnection::canAcceptCommand() const {
     return errorDueAt == SteadyTime{} && pipeline.size() < listener->limits.pipelined &&
            outgoing.size() - writtenBytes < listener->limits.waitingBytes;
 }
 
-void ServerConnection::readable() {
+void ServerConnection::onReadable() {
     asio::error_code fault;
-    const auto size = stream.socket.read_some(asio::buffer(listener->buffer), fault);
-    unread = false;
+    const auto size = stream.socket.read_some(asio::buffer(listener->readBuffer), fault);
+    hasUnreadBytes = false;
     if (fault == asio::error::would_block)
         return read();
     if (fault)
-        return onReadFault(fault);
-    if (lingering || faulty) {
+        return onReadError(fault);
+    if (lingering || inputFaulty) {
         discardedBytes += size;
         if (discardedBytes > kMaxDiscardedBytes && lingering)
-            return shut(Closing::orderly);
+            return close(Closing::orderly);
         return read();
     }
-    if (!readAhead.empty() || !mayTakeUp()) {
-        readAhead.append(listener->buffer.data(), size);
-        resumeReadAhead();
+    if (!readAhead.empty() || !canAcceptCommand()) {
+        readAhead.append(listener->readBuffer.data(), size);
+        scheduleReadAhead();
         return read();
     }
-    if (!spoke || pipeline.empty())
-        activeSince = steadyNow();
-    spoke = true;
+    if (!receivedAny || pipeline.empty())
+        lastActiveTime = steadyNow();
+    receivedAny = true;
     const auto self = shared_from_this();
-    feed({listener->buffer.data(), size});
+    processInput({listener->readBuffer.data(), size});
     read();
 }
 
-// A peer that ends its sending is gone, but for the error that is due to it, when its time comes.
-void ServerConnection::onReadFault(asio::error_code fault) {
-    const bool errorWaits =
+// A peer that has closed its sending side is treated as gone, unless it still gets a delayed error.
+void ServerConnection::onReadError(asio::error_code fault) {
+    const bool errorPending =
         !pipeline.empty() && pipeline.front()->refused && !pipeline.front()->answered;
-    if (fault == asio::error::eof && errorWaits)
-        peerEnded = true;
+    if (fault == asio::error::eof && errorPending)
+        peerClosedSending = true;
     else
-        shut(Closing::orderly);
+        close(Closing::orderly);
 }
 
 std::shared_ptr<Exchange> ServerConnection::addExchange() {
@@ -191,14 +195,14 @@
     return pipeline.back();
 }
 
-void ServerConnection::feed(std::string_view bytes) {
-    while (!bytes.empty() && !stream.isClosed() && !faulty) {
-        if (!mayTakeUp()) {
+void ServerConnection::processInput(std::string_view bytes) {
+    while (!bytes.empty() && !stream.isClosed() && !inputFaulty) {
+        if (!canAcceptCommand()) {
             readAhead.append(bytes);
             return;
         }
-        if (!parser.begun())
-            commandSince = steadyNow();
+        if (!parser.started())
+            commandStartTime = steadyNow();
         bytes.remove_prefix(parser.feed(bytes));
         if (parser.faulty())
             return fail(parser.fault());
@@ -207,34 +211,38 @@
         const auto exchange = addExchange();
         for (auto &item : parser.take().items)
             exchange->args.push_back(std::move(*item));
-        // The buffer is shared: what is left of it must not be lost if the handler comes back here.
+        // Copies the rest of the input, because the shared read buffer may be overwritten if the
+        // handler reenters this connection.
         const std::string rest(bytes);
         listener->handler(exchange);
-        if (rest.empty() || stream.isClosed() || faulty)
+        if (rest.empty() || stream.isClosed() || inputFaulty)
             return;
         readAhead.insert(0, rest);
-        return resumeReadAhead();
+        return scheduleReadAhead();
     }
 }
 
-// On a turn of its own, so that a long pipeline neither nests nor holds up others.
-void ServerConnection::resumeReadAhead() {
-    if (resumePosted || readAhead.empty() || stream.isClosed() || faulty || !mayTakeUp())
+// Posted to the event loop, so that many pipelined commands neither recurse nor delay other
+// connections.
+void ServerConnection::scheduleReadAhead() {
+    if (readAheadScheduled || readAhead.empty() || stream.isClosed() || inputFaulty ||
+        !canAcceptCommand())
         return;
-    resumePosted = true;
+    readAheadScheduled = true;
     stream.post([self = shared_from_this()] {
-        self->resumePosted = false;
-        if (self->stream.isClosed() || self->faulty || !self->mayTakeUp())
+        self->readAheadScheduled = false;
+        if (self->stream.isClosed() || self->inputFaulty || !self->canAcceptCommand())
             return;
         const std::string bytes = std::exchange(self->readAhead, {});
-        self->feed(bytes);
+        self->processInput(bytes);
         self->read();
     });
 }
 
-// What can't be read: what was taken before is still answered, then the message, then the end.
+// Handles invalid input: earlier commands are still answered, then the error is sent and the
+// connection closed.
 void ServerConnection::fail(const std::string &message) {
-    faulty = true;
+    inputFaulty = true;
     readAhead.clear();
     addExchange()->refuse("ERR " + message);
 }
@@ -249,7 +257,7 @@
     onAnswered();
     if (!pipeline.empty() && errorDueAt == SteadyTime{}) {
         read();
-        resumeReadAhead();
+        scheduleReadAhead();
     }
 }
 
@@ -262,14 +270,14 @@
         writtenBytes += stream.socket.write_some(
             asio::buffer(outgoing.data() + writtenBytes, outgoing.size() - writtenBytes), fault);
     if (fault && fault != asio::error::would_block)
-        return shutLater();
+        return closeLater();
     if (writtenBytes > before || before == 0)
-        writeProgress = steadyNow();
+        lastWriteProgress = steadyNow();
     if (writtenBytes == outgoing.size())
         return onAllWritten();
     awaitWritable();
     read();
-    resumeReadAhead();
+    scheduleReadAhead();
 }
 
 void ServerConnection::onAllWritten() {
@@ -277,12 +285,12 @@
     writtenBytes = 0;
     if (outgoing.capacity() > kKeptBufferBytes)
         outgoing.shrink_to_fit();
-    if (pipeline.empty() && peerEnded)
-        return shut(Closing::orderly);
-    if (pipeline.empty() && faulty)
+    if (pipeline.empty() && peerClosedSending)
+        return close(Closing::orderly);
+    if (pipeline.empty() && inputFaulty)
         return linger();
     read();
-    resumeReadAhead();
+    scheduleReadAhead();
     if (listener->draining)
         drain();
 }
@@ -295,20 +303,20 @@
                                  if (self->stream.isClosed())
                                      return;
                                  if (fault)
-                                     return self->shut(Closing::orderly);
+                                     return self->close(Closing::orderly);
                                  self->write();
                              });
 }
 
-// Lets the peer read the last answer before the connection goes: unread bytes would turn it into a
-// reset.
+// Shuts down the sending side and discards input until the peer closes or `lingerTimeout` expires.
+// Closing with unread input would send a reset, which can destroy the last reply.
 void ServerConnection::linger() {
     if (stream.isClosed() || lingering)
         return;
     lingering = true;
-    faulty = false;
+    inputFaulty = false;
     discardedBytes = 0;
-    activeSince = steadyNow();
+    lastActiveTime = steadyNow();
     errorDueAt = {};
     asio::error_code ignored;
     stream.socket.shutdown(tcp::socket::shutdown_send, ignored);
--- a/src/resp/server_connection.hpp
+++ b/src/resp/server_connection.hpp
@@ -1,6 +1,6 @@
-// One accepted connection: reads commands, hands each to the listener's handler as an Exchange and
-// writes the answers in the commands' order. Made by Listener::Core, which also sweeps it for
-// timeouts; connection_admission decides on those.
+// Server side of one accepted connection: reads commands, passes each to the listener's handler as
+// an Exchange and writes the replies in the order of the commands. Created by Listener::Core, which
+// also calls sweep() periodically; connection_admission decides on timeouts.
 #pragma once
 
 #include <deque>
@@ -10,64 +10,69 @@
 
 namespace deckcart::resp {
 
+/// Owned by shared pointers; pending operations keep it alive. Single-threaded.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
   public:
     ServerConnection(std::shared_ptr<Listener::Core> owner, asio::ip::tcp::socket accepted);
 
+    /// Waits for input, unless a limit is reached.
     void read();
 
-    // For its Exchanges.
-    /// One of the commands in flight has been answered.
+    // Called by its Exchanges.
+    /// Sends the replies at the front of the pipeline, after a command was answered.
     void onAnswered();
-    /// The first command that waits for its error gets it after the stated time.
+    /// Schedules the delayed error of a refused command.
     void onRefused();
-    bool peerThere();
-    void shut(net::Closing how);
+    /// Returns false if the connection is closed, or if the peer has closed its side; in that case
+    /// the connection is closed later, from the event loop.
+    bool isPeerConnected();
+    void close(net::Closing how);
 
-    // For the listener.
+    // Called by the listener.
     ConnectionState state(SteadyTime now) const;
-    SteadyTime lastActive() const { return activeSince; }
-    /// Bytes have come that this process has not read yet: that is not being silent.
-    bool hasUnread();
-    /// Ends it unless something of it is in flight, half read or unread: that is answered first.
+    SteadyTime lastActive() const { return lastActiveTime; }
+    /// Whether the socket holds unread bytes. Such a connection is not evicted as silent or idle.
+    bool checkUnreadBytes();
+    /// Closes the connection unless a command is in flight, read in part or unread; such commands
+    /// are answered first.
     void drain();
-    /// Does what a timeout that is up asks for.
+    /// Performs the action for an expired timeout, if any.
     void sweep(SteadyTime now, bool underPressure);
 
   private:
-    bool mayTakeUp() const;
-    void readable();
-    void onReadFault(asio::error_code fault);
-    void feed(std::string_view bytes);
+    bool canAcceptCommand() const;
+    void onReadable();
+    void onReadError(asio::error_code fault);
+    void processInput(std::string_view bytes);
     std::shared_ptr<Exchange> addExchange();
-    void resumeReadAhead();
+    void scheduleReadAhead();
     void fail(const std::string &message);
     void sendDueError();
     void write();
     void onAllWritten();
     void awaitWritable();
-    void shutLater();
+    void closeLater();
     void linger();
 
     std::shared_ptr<Listener::Core> listener;
     net::StreamSocket stream;
     Parser parser;
     std::deque<std::shared_ptr<Exchange>> pipeline;  // commands in flight, in order
-    std::string readAhead;
+    std::string readAhead;                           // received while no command could be accepted
     std::string outgoing;
     std::size_t writtenBytes = 0;    // of outgoing
-    std::size_t discardedBytes = 0;  // of a peer's that was refused or is to close
-    SteadyTime activeSince;
-    SteadyTime commandSince{};   // the present command's first byte
-    SteadyTime writeProgress{};  // when the peer last took something
-    SteadyTime errorDueAt{};     // of the command that waits for its error; none: not set
-    bool writing = false;
-    bool faulty = false;  // what the peer sends can't be read any more
-    bool lingering = false;
-    bool spoke = false;
-    bool unread = false;
-    bool resumePosted = false;
-    bool peerEnded = false;  // its sending, while an error was due to it
+    std::size_t discardedBytes = 0;  // of the peer, after invalid input or while closing
+    SteadyTime lastActiveTime;
+    SteadyTime commandStartTime{};   // when the current command's first byte was read
+    SteadyTime lastWriteProgress{};  // when the socket last accepted bytes
+    SteadyTime errorDueAt{};         // of the refused command whose error is pending
+    bool writing = false;            // waits until the socket is writable
+    bool inputFaulty = false;        // invalid input was received; further input is discarded
+    bool lingering = false;          // sending side shut down, waiting for the peer to close
+    bool receivedAny = false;        // bytes were read
+    bool hasUnreadBytes = false;     // the socket holds bytes that were not read yet
+    bool readAheadScheduled = false;
+    bool peerClosedSending = false;  // while a delayed error was pending
 };
 
 }  // namespace deckcart::resp
