--- a/src/http/fetch.hpp
+++ b/src/http/fetch.hpp
@@ -57,7 +57,7 @@
     DataCallback onData;
     Cut cut = Cut::atLines;
     std::string partialLine;
-    std::shared_ptr<Fetch> self;  // reset when the call ends
+    std::shared_ptr<Fetch> self;  // keeps the call alive; reset when it ends
 };
 
 /// Calls in flight that are stopped when their owner is destroyed.
--- a/src/resp/listener.cpp
+++ b/src/resp/listener.cpp
@@ -46,8 +46,8 @@
         if (fault == asio::error::would_block) {
             if (!draining)
                 return accept();
-            // Drained: the acceptor closes only when the backlog is empty, since connections in it
-            // may have sent commands already.
+            // During a drain, the acceptor is closed only when the backlog is empty, since
+            // connections in it may have sent commands already.
             acceptor.close(fault);
             return onClosed();
         }
--- a/src/resp/server_connection.hpp
+++ b/src/resp/server_connection.hpp
@@ -72,7 +72,7 @@
     bool receivedAny = false;        // bytes were read
     bool hasUnreadBytes = false;     // the socket holds bytes that were not read yet
     bool readAheadScheduled = false;
-    bool peerClosedSending = false;  // while a delayed error was pending
+    bool peerClosedSending = false;  // closed its side while a delayed error was pending
 };
 
 }  // namespace deckcart::resp
