--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -13,116 +13,123 @@
 namespace {
 
 constexpr BuildNumber kFirstBuild = 1;
-constexpr auto kStartTakes = std::chrono::milliseconds(300),
-               kLeaveTakes = std::chrono::milliseconds(1500);
-constexpr auto kKeepOld = std::chrono::seconds(6);  // earlier machines stay so long after a release
-
-std::string query(const std::string &target, const std::string &name) {
-    const auto at = target.find(name + "=");
-    if (at == std::string::npos)
+constexpr auto kStartupTime = std::chrono::milliseconds(300),
+               kDrainTime = std::chrono::milliseconds(1500);
+constexpr auto kBaselineRetention =
+    std::chrono::seconds(6);  // baseline endpoints keep running this long after a release
+
+std::string queryParameter(const std::string &target, const std::string &name) {
+    const auto position = target.find(name + "=");
+    if (position == std::string::npos)
         return {};
-    const auto from = at + name.size() + 1;
-    return target.substr(from, target.find('&', from) - from);
+    const auto valueStart = position + name.size() + 1;
+    return target.substr(valueStart, target.find('&', valueStart) - valueStart);
 }
 
-void answer(http::Exchange &to, int status, const json &body) {
+void respond(http::Exchange &exchange, int status, const json &body) {
     http::ResponseHead head;
     head.status = status, head.headers = {{"Content-Type", "application/json"}};
-    to.answer(std::move(head), body.dump() + "\n");
+    exchange.answer(std::move(head), body.dump() + "\n");
 }
 
 }  // namespace
 
-FakeControlPlane::FakeControlPlane(asio::io_context &io, FakeEnvironment &in, std::uint64_t seed)
-    : context(io), world(in), chance(seed),
+FakeControlPlane::FakeControlPlane(asio::io_context &io, FakeEnvironment &shared,
+                                   std::uint64_t seed)
+    : context(io), environment(shared), rng(seed),
       listener(io, *parseAddress("127.0.0.1:0"), {},
                [this](const std::shared_ptr<http::Exchange> &exchange) { serve(exchange); }) {
-    now = {kFirstBuild, int(in.day.shares.size()) - 1, RolloutPhase::released, 1, Duration{0}};
-    nowSince = in.clock.now() - std::chrono::hours(1);
+    current = {kFirstBuild, int(shared.scenario.stageShares.size()) - 1, RolloutPhase::released, 1,
+               Duration{0}};
+    stageSince = shared.clock.now() - std::chrono::hours(1);
 }
 
 void FakeControlPlane::start() {
-    startInstances(kFirstBuild, world.day.instances, true);
-    publishedStage = toJson(toldStage()), publishedSince = nowSince;
-    began = true;
+    startEndpoints(kFirstBuild, environment.scenario.endpointCount, true);
+    publishedStage = toJson(stageWithAge()), publishedSince = stageSince;
+    started = true;
 }
 
-RolloutStage FakeControlPlane::toldStage() const {
-    RolloutStage s = now;
-    s.age = world.clock.now() - nowSince;
-    return s;
+RolloutStage FakeControlPlane::stageWithAge() const {
+    RolloutStage stage = current;
+    stage.age = environment.clock.now() - stageSince;
+    return stage;
 }
 
-Duration FakeControlPlane::newsDelay() {
-    const double span = double((world.day.mostNewsDelay - world.day.leastNewsDelay).count());
-    return world.day.leastNewsDelay +
-           Duration{std::llround(span * std::generate_canonical<double, 32>(chance))};
+Duration FakeControlPlane::notificationDelay() {
+    const double span = double(
+        (environment.scenario.maxNotificationDelay - environment.scenario.minNotificationDelay)
+            .count());
+    return environment.scenario.minNotificationDelay +
+           Duration{std::llround(span * std::generate_canonical<double, 32>(rng))};
 }
 
-int FakeControlPlane::stageCount(int step) const {
-    const auto share = world.day.shares[std::size_t(step)];
-    return std::max(1, int(std::lround(share * world.day.instances)));
+int FakeControlPlane::canariesAtStage(int step) const {
+    const auto share = environment.scenario.stageShares[std::size_t(step)];
+    return std::max(1, int(std::lround(share * environment.scenario.endpointCount)));
 }
 
-std::vector<FakeEndpoint *> FakeControlPlane::instances(const std::string &where) const {
-    std::vector<FakeEndpoint *> out;
-    for (const auto &m : members) {
-        if (m.instance->down() || !m.listed || m.state != EndpointState::active)
+std::vector<FakeEndpoint *> FakeControlPlane::runningEndpoints(const std::string &target) const {
+    std::vector<FakeEndpoint *> matching;
+    for (const auto &entry : managed) {
+        if (entry.endpoint->isDown() || !entry.running || entry.state != EndpointState::active)
             continue;
-        const bool trial = m.instance->build() == world.trial;
-        if (where == "any" || (where == "trial") == trial)
-            out.push_back(m.instance.get());
+        const bool isCanary = entry.endpoint->build() == environment.canaryBuild;
+        if (target == "any" || (target == "trial") == isCanary)
+            matching.push_back(entry.endpoint.get());
     }
-    return out;
+    return matching;
 }
 
-int FakeControlPlane::running(BuildNumber build) const {
-    return int(std::ranges::count_if(members, [&](const Member &m) {
-        return m.instance->build() == build && m.listed && m.state == EndpointState::active &&
-               !m.instance->down();
+int FakeControlPlane::countRunning(BuildNumber build) const {
+    return int(std::ranges::count_if(managed, [&](const ManagedEndpoint &m) {
+        return m.endpoint->build() == build && m.running && m.state == EndpointState::active &&
+               !m.endpoint->isDown();
     }));
 }
 
-void FakeControlPlane::startInstances(BuildNumber build, int wanted, bool warm) {
-    int have = int(std::ranges::count_if(members, [&](const Member &m) {
-        return m.instance->build() == build && m.state == EndpointState::active &&
-               !m.instance->down();
+void FakeControlPlane::startEndpoints(BuildNumber build, int wanted, bool warm) {
+    int running = int(std::ranges::count_if(managed, [&](const ManagedEndpoint &entry) {
+        return entry.endpoint->build() == build && entry.state == EndpointState::active &&
+               !entry.endpoint->isDown();
     }));
-    for (; have < wanted; ++have) {
-        Member m;
-        const int zone = starts % int(world.day.zones.size());
-        m.instance = std::make_unique<FakeEndpoint>(context, world, build, zone,
-                                                    chance() + std::uint64_t(++starts));
-        m.listedAt = world.clock.now() + (warm ? Duration{0} : Duration{kStartTakes});
+    for (; running < wanted; ++running) {
+        ManagedEndpoint entry;
+        const int zone = startCount % int(environment.scenario.zones.size());
+        entry.endpoint = std::make_unique<FakeEndpoint>(context, environment, build, zone,
+                                                        rng() + std::uint64_t(++startCount));
+        entry.runsAt = environment.clock.now() + (warm ? Duration{0} : Duration{kStartupTime});
         if (warm)
-            m.instance->startLongAgo();
-        members.push_back(std::move(m));
+            entry.endpoint->makeWarm();
+        managed.push_back(std::move(entry));
         if (!warm)
             continue;
-        members.back().listed = true;
-        changed(members.back());  // at once: the day has not begun
+        managed.back().running = true;
+        publishEndpoint(managed.back());  // without delay, as the scenario has not started
     }
 }
 
-void FakeControlPlane::changed(const Member &m) {
-    ListedEndpoint s;
-    s.id = m.instance->id(), s.zone = world.day.zones[std::size_t(m.instance->zone())],
-    s.build = m.instance->build();
-    s.state = m.state, s.incarnation = std::to_string(m.instance->startedAt().count());
-    json entry = toJson(s);
-    // When it started is told by its age at the time of telling: written then, see tell().
-    entry["startedUs"] = m.instance->startedAt().count();
-    publish({{"kind", "instances"}, {"instances", json::array({std::move(entry)})}},
-            began ? newsDelay() + listLate : Duration{0});
+void FakeControlPlane::publishEndpoint(const ManagedEndpoint &entry) {
+    ListedEndpoint listed;
+    listed.id = entry.endpoint->id(),
+    listed.zone = environment.scenario.zones[std::size_t(entry.endpoint->zone())],
+    listed.build = entry.endpoint->build();
+    listed.state = entry.state,
+    listed.incarnation = std::to_string(entry.endpoint->startedAt().count());
+    json document = toJson(listed);
+    // sendEvents() replaces it with the age at the time of sending.
+    document["startedUs"] = entry.endpoint->startedAt().count();
+    publish({{"kind", "instances"}, {"instances", json::array({std::move(document)})}},
+            started ? notificationDelay() + listDelay : Duration{0});
 }
 
-void FakeControlPlane::publish(json event, Duration after) {
-    // News of one kind never overtakes older news of it.
+void FakeControlPlane::publish(json event, Duration delay) {
+    // Events of one kind are delivered in order.
     Duration &due = event["kind"] == "instances" ? listDue : stageDue;
-    const Duration at = world.clock.now();
-    if (after > Duration{0})
-        due = std::max(due, at + after), after = due - at;
-    auto doIt = [this, event = std::move(event)]() mutable {
+    const Duration at = environment.clock.now();
+    if (delay > Duration{0})
+        due = std::max(due, at + delay), delay = due - at;
+    auto deliver = [this, event = std::move(event)]() mutable {
         if (event["kind"] == "instances")
             for (const auto &entry : event["instances"]) {
                 if (entry["readiness"] == "gone")
@@ -130,8 +137,8 @@
                 else
                     published[entry["id"].get<std::string>()] = entry;
             }
-        if (event["kind"] == "instances" && names) {
-            serveNames();
+        if (event["kind"] == "instances" && nameServers) {
+            updateNameServers();
             event = {{"kind", "bookmark"}};
         }
         if (event["kind"] == "stage")
@@ -139,60 +146,62 @@
             publishedSince = Duration{event["sinceUs"].get<std::int64_t>()};
         event["version"] = events.size() + 1;
         events.push_back(std::move(event));
-        for (const auto &w : std::vector(watchers))
-            tell(*w);
+        for (const auto &watcher : std::vector(watchers))
+            sendEvents(*watcher);
     };
-    if (after <= Duration{0})
-        return doIt();
-    const auto timer = std::make_shared<asio::steady_timer>(context, after);
-    timer->async_wait([doIt = std::move(doIt), timer](asio::error_code fault) mutable {
+    if (delay <= Duration{0})
+        return deliver();
+    const auto timer = std::make_shared<asio::steady_timer>(context, delay);
+    timer->async_wait([deliver = std::move(deliver), timer](asio::error_code fault) mutable {
         if (!fault)
-            doIt();
+            deliver();
     });
 }
 
-// A drain is a record taken out: DNS has no word for it.
-void FakeControlPlane::serveNames() {
-    std::vector<FleetNames::Listed> fleet;
+// DNS cannot express draining: the record of a draining endpoint is removed.
+void FakeControlPlane::updateNameServers() {
+    std::vector<FleetNames::ListedEndpointRecord> fleet;
     for (const auto &[id, entry] : published)
         if (entry["readiness"] == "live")
             fleet.push_back(
                 {id, entry["build"].get<BuildNumber>(), entry["zone"].get<std::string>()});
-    names->serve(std::move(fleet));
+    nameServers->serve(std::move(fleet));
 }
 
-// Writes ages as they are at this moment, and keeps what was told when.
-void FakeControlPlane::noteTold(int gateway, const json &event) {
-    const Duration at = world.clock.now();
+// Records what the gateway is being told.
+void FakeControlPlane::recordNotifications(int gateway, const json &event) {
+    const Duration at = environment.clock.now();
     if (event.contains("instances"))
         for (const auto &entry : event["instances"]) {
-            const ListedEndpoint s = readListedEndpoint(entry);
-            world.records.endpoints.push_back(
-                {gateway, at, s.id, s.build, s.state, s.age && *s.age < world.day.warmUpTime});
+            const ListedEndpoint listed = readListedEndpoint(entry);
+            environment.records.endpoints.push_back(
+                {gateway, at, listed.id, listed.build, listed.state,
+                 listed.age && *listed.age < environment.scenario.warmUpTime});
         }
     if (event.contains("stage")) {
-        const RolloutStage s = readStage(event["stage"]);
-        world.records.releases.push_back({gateway, at, s.build, s.step, s.phase, s.exposureLimit});
+        const RolloutStage stage = readStage(event["stage"]);
+        environment.records.releases.push_back(
+            {gateway, at, stage.build, stage.step, stage.phase, stage.exposureLimit});
     }
 }
 
-void FakeControlPlane::tell(Watcher &w) {
+void FakeControlPlane::sendEvents(Watcher &watcher) {
     if (listFails)
-        return w.exchange->abort();
-    while (w.next < events.size() && w.exchange->open()) {
-        json event = events[w.next++];
+        return watcher.exchange->abort();
+    while (watcher.next < events.size() && watcher.exchange->open()) {
+        json event = events[watcher.next++];
         if (event.contains("instances"))
             for (auto &entry : event["instances"])
-                entry["ageMs"] = milliseconds(world.clock.now() -
+                entry["ageMs"] = milliseconds(environment.clock.now() -
                                               Duration{entry["startedUs"].get<std::int64_t>()});
         if (event.contains("stage")) {
-            // What changed is news; how long ago is told as of now.
-            const Duration since =
-                world.clock.now() - Duration{event["sinceUs"].get<std::int64_t>()};
-            event["stage"]["sinceMs"] = milliseconds(since);
+            // The age is that at the time of sending.
+            const Duration age =
+                environment.clock.now() - Duration{event["sinceUs"].get<std::int64_t>()};
+            event["stage"]["sinceMs"] = milliseconds(age);
         }
-        noteTold(w.gateway, event);
-        w.exchange->write(event.dump() + "\n");
+        recordNotifications(watcher.gateway, event);
+        watcher.exchange->write(event.dump() + "\n");
     }
 }
 
@@ -201,215 +210,222 @@
     if (target.starts_with("/v1/votes"))
         return vote(exchange);
     if (listFails)
-        return answer(*exchange, 503, json::object());
-    const std::string gateway = query(target, "gateway");
-    const int no = gateway.size() > 1 ? std::atoi(gateway.c_str() + 1) : 0;
-    const std::string from = query(target, "watch");
+        return respond(*exchange, 503, json::object());
+    const std::string gateway = queryParameter(target, "gateway");
+    const int gatewayIndex = gateway.size() > 1 ? std::atoi(gateway.c_str() + 1) : 0;
+    const std::string from = queryParameter(target, "watch");
     if (from.empty())
-        return list(*exchange, no);
-    watch(exchange, no, std::size_t(std::strtoull(from.c_str(), nullptr, 10)));
+        return list(*exchange, gatewayIndex);
+    watch(exchange, gatewayIndex, std::size_t(std::strtoull(from.c_str(), nullptr, 10)));
 }
 
 void FakeControlPlane::list(http::Exchange &exchange, int gateway) {
     json entries = json::array();
     for (auto &[id, entry] : published) {
-        if (names)
+        if (nameServers)
             break;
         json one = entry;
         one["ageMs"] =
-            milliseconds(world.clock.now() - Duration{one["startedUs"].get<std::int64_t>()});
+            milliseconds(environment.clock.now() - Duration{one["startedUs"].get<std::int64_t>()});
         entries.push_back(std::move(one));
     }
     json body{
         {"version", events.size()}, {"instances", std::move(entries)}, {"stage", publishedStage}};
-    body["stage"]["sinceMs"] = milliseconds(world.clock.now() - publishedSince);
-    noteTold(gateway, body);
-    answer(exchange, 200, body);
+    body["stage"]["sinceMs"] = milliseconds(environment.clock.now() - publishedSince);
+    recordNotifications(gateway, body);
+    respond(exchange, 200, body);
 }
 
 void FakeControlPlane::watch(const std::shared_ptr<http::Exchange> &exchange, int gateway,
-                             std::size_t from) {
-    if (from > events.size())
-        return answer(*exchange, 410, json::object());
-    const auto w = std::make_shared<Watcher>(Watcher{exchange, gateway, from});
-    watchers.push_back(w);
-    exchange->onGone = [this, raw = w.get()] {
-        std::erase_if(watchers, [&](const auto &one) { return one.get() == raw; });
+                             std::size_t fromVersion) {
+    if (fromVersion > events.size())
+        return respond(*exchange, 410, json::object());
+    const auto watcher = std::make_shared<Watcher>(Watcher{exchange, gateway, fromVersion});
+    watchers.push_back(watcher);
+    exchange->onGone = [this, closed = watcher.get()] {
+        std::erase_if(watchers, [&](const auto &one) { return one.get() == closed; });
     };
     http::ResponseHead head;
     head.status = 200, head.chunked = true,
     head.headers = {{"Content-Type", "application/x-ndjson"}};
     exchange->begin(std::move(head));
-    tell(*w);
+    sendEvents(*watcher);
 }
 
 void FakeControlPlane::vote(const std::shared_ptr<http::Exchange> &exchange) {
-    const json said = json::parse(exchange->body, nullptr, false);
+    const json document = json::parse(exchange->body, nullptr, false);
     const std::string *key = exchange->head.find("Idempotency-Key");
-    if (!said.is_object() || !key)
-        return answer(*exchange, 400, json::object());
-    if (const auto before = answered.find(*key); before != answered.end())
-        return answer(*exchange, 200, before->second);
-    const auto verdict = verdictNamed(said.value("verdict", ""));
+    if (!document.is_object() || !key)
+        return respond(*exchange, 400, json::object());
+    if (const auto earlierReply = voteReplies.find(*key); earlierReply != voteReplies.end())
+        return respond(*exchange, 200, earlierReply->second);
+    const auto verdict = verdictNamed(document.value("verdict", ""));
     if (!verdict)
-        return answer(*exchange, 400, json::object());
-    if (still && !stillCounts)
-        return;  // no answer, and it does not count
-    const bool present =
-        said.value("build", 0) == now.build &&
+        return respond(*exchange, 400, json::object());
+    if (votesUnanswered && !countsUnansweredVotes)
+        return;  // no response, and the vote does not count
+    const bool isCurrent =
+        document.value("build", 0) == current.build &&
         (*verdict == Verdict::rollBack || *verdict == Verdict::none ||
-         (now.phase == RolloutPhase::canary && said.value("step", -1) == now.step));
-    if (present) {
-        ++votesTaken[*verdict];
-        votes[said.value("gateway", "")] = {now.step, *verdict,
-                                            world.clock.now() + world.day.voteLifetime};
+         (current.phase == RolloutPhase::canary && document.value("step", -1) == current.step));
+    if (isCurrent) {
+        ++voteCounts[*verdict];
+        votes[document.value("gateway", "")] = {
+            current.step, *verdict, environment.clock.now() + environment.scenario.voteLifetime};
     }
-    if (still)
+    if (votesUnanswered)
         return;
-    if (!present)
-        return answer(*exchange, 409, json::object());
-    const std::string gateway = said.value("gateway", "g0");
-    const json stage = toJson(toldStage());
-    noteTold(std::atoi(gateway.c_str() + 1), {{"stage", stage}});
-    answered[*key] = stage;
-    answer(*exchange, 200, stage);
+    if (!isCurrent)
+        return respond(*exchange, 409, json::object());
+    const std::string gateway = document.value("gateway", "g0");
+    const json stage = toJson(stageWithAge());
+    recordNotifications(std::atoi(gateway.c_str() + 1), {{"stage", stage}});
+    voteReplies[*key] = stage;
+    respond(*exchange, 200, stage);
 }
 
-int FakeControlPlane::standing(BuildNumber build, Verdict verdict) const {
-    if (build != now.build)
+int FakeControlPlane::countVotes(BuildNumber build, Verdict verdict) const {
+    if (build != current.build)
         return 0;
     return int(std::ranges::count_if(votes, [&](const auto &v) {
-        const bool step = verdict == Verdict::rollBack || v.second.step == now.step;
-        return v.second.verdict == verdict && step && v.second.until > world.clock.now();
+        const bool step = verdict == Verdict::rollBack || v.second.step == current.step;
+        return v.second.verdict == verdict && step && v.second.until > environment.clock.now();
     }));
 }
 
-void FakeControlPlane::enter(int step, RolloutPhase phase) {
-    now.step = step, now.phase = phase;
-    now.exposureLimit = phase == RolloutPhase::canary     ? world.day.caps[std::size_t(step)]
-                        : phase == RolloutPhase::released ? 1
-                                                          : 0;
-    nowSince = world.clock.now(), allRunningSince = Duration{0};
+void FakeControlPlane::enterStage(int step, RolloutPhase phase) {
+    current.step = step, current.phase = phase;
+    current.exposureLimit = phase == RolloutPhase::canary
+                                ? environment.scenario.exposureLimits[std::size_t(step)]
+                            : phase == RolloutPhase::released ? 1
+                                                              : 0;
+    stageSince = environment.clock.now(), canariesRunningSince = Duration{0};
     if (phase == RolloutPhase::canary)
         std::erase_if(votes, [](const auto &v) { return v.second.verdict == Verdict::promote; });
-    stages.push_back({nowSince, now});
-    json event{{"kind", "stage"}, {"stage", toJson(toldStage())}, {"sinceUs", nowSince.count()}};
-    publish(std::move(event), newsDelay());
+    stageChanges.push_back({stageSince, current});
+    json event{
+        {"kind", "stage"}, {"stage", toJson(stageWithAge())}, {"sinceUs", stageSince.count()}};
+    publish(std::move(event), notificationDelay());
 }
 
-void FakeControlPlane::drain(Member &m) {
-    if (m.state != EndpointState::active)
+void FakeControlPlane::drain(ManagedEndpoint &entry) {
+    if (entry.state != EndpointState::active)
         return;
-    m.state = EndpointState::draining;
-    m.leavesAt =
-        world.clock.now() + world.day.mostNewsDelay + world.day.drainGrace + Duration{kLeaveTakes};
-    // Who takes a record out has to wait for its lifetime, twice where a reply is lost, and for a
-    // confirmation.
-    if (names)
-        m.leavesAt += 2 * world.day.recordLifetime + world.day.confirmAfter;
-    changed(m);
+    entry.state = EndpointState::draining;
+    entry.endsAt = environment.clock.now() + environment.scenario.maxNotificationDelay +
+                   environment.scenario.drainGrace + Duration{kDrainTime};
+    // A removed record is still in use for its lifetime, for twice that where a reply is lost, and
+    // until the gateway has confirmed the removal.
+    if (nameServers)
+        entry.endsAt += 2 * environment.scenario.recordLifetime + environment.scenario.confirmAfter;
+    publishEndpoint(entry);
 }
 
-void FakeControlPlane::staffDrains(FakeEndpoint &which) {
-    for (auto &m : members)
-        if (m.instance.get() == &which)
+void FakeControlPlane::drainEndpoint(FakeEndpoint &endpoint) {
+    for (auto &m : managed)
+        if (m.endpoint.get() == &endpoint)
             drain(m);
 }
 
-void FakeControlPlane::crash(FakeEndpoint &which) {
-    which.die();
-    for (auto &m : members)
-        if (m.instance.get() == &which && m.state == EndpointState::active)
-            m.state = EndpointState::removed, changed(m);
+void FakeControlPlane::crash(FakeEndpoint &endpoint) {
+    endpoint.shutDown();
+    for (auto &m : managed)
+        if (m.endpoint.get() == &endpoint && m.state == EndpointState::active)
+            m.state = EndpointState::removed, publishEndpoint(m);
 }
 
 void FakeControlPlane::tick() {
-    const Duration at = world.clock.now();
-    const auto &day = world.day;
-    for (auto &m : members) {
-        if (!m.listed && at >= m.listedAt)
-            m.listed = true, changed(m);
-        if (m.instance->down() && m.state == EndpointState::active)
-            m.state = EndpointState::removed, changed(m);
-        if (m.state == EndpointState::draining && at >= m.leavesAt) {
-            m.state = EndpointState::removed, changed(m);
-            m.instance->die();
+    const Duration now = environment.clock.now();
+    const auto &scenario = environment.scenario;
+    for (auto &m : managed) {
+        if (!m.running && now >= m.runsAt)
+            m.running = true, publishEndpoint(m);
+        if (m.endpoint->isDown() && m.state == EndpointState::active)
+            m.state = EndpointState::removed, publishEndpoint(m);
+        if (m.state == EndpointState::draining && now >= m.endsAt) {
+            m.state = EndpointState::removed, publishEndpoint(m);
+            m.endpoint->shutDown();
         }
     }
-    if (at >= bookmarkAt) {
-        bookmarkAt = at + std::chrono::seconds(1);
+    if (now >= bookmarkAt) {
+        bookmarkAt = now + std::chrono::seconds(1);
         publish({{"kind", "bookmark"}}, Duration{0});
     }
-    if (day.tallies && at >= tallyAt)
-        tally();
+    if (scenario.usageReports && now >= usageReportAt)
+        publishUsageReport();
 
-    const auto first = [&](BuildNumber build) {
-        return std::ranges::find_if(members, [&](const Member &m) {
-            return m.instance->build() == build && m.state == EndpointState::active && m.listed;
+    const auto firstRunning = [&](BuildNumber build) {
+        return std::ranges::find_if(managed, [&](const ManagedEndpoint &m) {
+            return m.endpoint->build() == build && m.state == EndpointState::active && m.running;
         });
     };
-    if (now.build == kFirstBuild) {
-        startInstances(kFirstBuild, day.instances, false);  // crashed ones are replaced
-        if (day.releaseAt && at >= dayBegan + *day.releaseAt) {
-            now.build = world.trial;
-            enter(0, RolloutPhase::canary);
+    if (current.build == kFirstBuild) {
+        startEndpoints(kFirstBuild, scenario.endpointCount, false);  // replaces crashed ones
+        if (scenario.rolloutAt && now >= startedAt + *scenario.rolloutAt) {
+            current.build = environment.canaryBuild;
+            enterStage(0, RolloutPhase::canary);
         }
         return;
     }
-    const int last = int(day.shares.size()) - 1;
-    if (now.phase == RolloutPhase::canary ||
-        (now.phase == RolloutPhase::released && oldLeaveAt > at)) {
-        const int wanted = stageCount(now.step);
-        startInstances(world.trial, wanted, false);
-        startInstances(kFirstBuild, day.inPlace ? day.instances - wanted : day.instances, false);
-        while (day.inPlace && running(world.trial) + running(kFirstBuild) > day.instances &&
-               first(kFirstBuild) != members.end())
-            drain(*first(kFirstBuild));
-        if (running(world.trial) >= wanted && allRunningSince == Duration{0})
-            allRunningSince = at;
-        if (standing(world.trial, Verdict::rollBack) >= day.votesToRollBack)
-            return enter(now.step, RolloutPhase::rollingBack);
+    const int lastStage = int(scenario.stageShares.size()) - 1;
+    if (current.phase == RolloutPhase::canary ||
+        (current.phase == RolloutPhase::released && baselineDrainAt > now)) {
+        const int wanted = canariesAtStage(current.step);
+        startEndpoints(environment.canaryBuild, wanted, false);
+        startEndpoints(kFirstBuild,
+                       scenario.inPlace ? scenario.endpointCount - wanted : scenario.endpointCount,
+                       false);
+        while (scenario.inPlace &&
+               countRunning(environment.canaryBuild) + countRunning(kFirstBuild) >
+                   scenario.endpointCount &&
+               firstRunning(kFirstBuild) != managed.end())
+            drain(*firstRunning(kFirstBuild));
+        if (countRunning(environment.canaryBuild) >= wanted && canariesRunningSince == Duration{0})
+            canariesRunningSince = now;
+        if (countVotes(environment.canaryBuild, Verdict::rollBack) >= scenario.votesToRollBack)
+            return enterStage(current.step, RolloutPhase::rollingBack);
     }
-    if (now.phase == RolloutPhase::canary && allRunningSince != Duration{0} &&
-        at - allRunningSince >= day.minStageDuration &&
-        standing(world.trial, Verdict::promote) >= day.toAdvance) {
-        if (now.step < last)
-            return enter(now.step + 1, RolloutPhase::canary);
-        oldLeaveAt = at + kKeepOld;
-        return enter(now.step, RolloutPhase::released);
+    if (current.phase == RolloutPhase::canary && canariesRunningSince != Duration{0} &&
+        now - canariesRunningSince >= scenario.minStageDuration &&
+        countVotes(environment.canaryBuild, Verdict::promote) >= scenario.votesToPromote) {
+        if (current.step < lastStage)
+            return enterStage(current.step + 1, RolloutPhase::canary);
+        baselineDrainAt = now + kBaselineRetention;
+        return enterStage(current.step, RolloutPhase::released);
     }
-    if (now.phase == RolloutPhase::released && at >= oldLeaveAt) {
-        while (first(kFirstBuild) != members.end())
-            drain(*first(kFirstBuild));
-        startInstances(world.trial, day.instances, false);
+    if (current.phase == RolloutPhase::released && now >= baselineDrainAt) {
+        while (firstRunning(kFirstBuild) != managed.end())
+            drain(*firstRunning(kFirstBuild));
+        startEndpoints(environment.canaryBuild, scenario.endpointCount, false);
     }
-    if (now.phase == RolloutPhase::rollingBack || now.phase == RolloutPhase::rolledBack) {
-        startInstances(kFirstBuild, day.instances, false);
-        while (first(world.trial) != members.end())
-            drain(*first(world.trial));
-        const bool left = std::ranges::any_of(members, [&](const Member &m) {
-            return m.instance->build() == world.trial && m.state != EndpointState::removed;
+    if (current.phase == RolloutPhase::rollingBack || current.phase == RolloutPhase::rolledBack) {
+        startEndpoints(kFirstBuild, scenario.endpointCount, false);
+        while (firstRunning(environment.canaryBuild) != managed.end())
+            drain(*firstRunning(environment.canaryBuild));
+        const bool canariesLeft = std::ranges::any_of(managed, [&](const ManagedEndpoint &m) {
+            return m.endpoint->build() == environment.canaryBuild &&
+                   m.state != EndpointState::removed;
         });
-        if (!left && now.phase == RolloutPhase::rollingBack)
-            enter(now.step, RolloutPhase::rolledBack);
+        if (!canariesLeft && current.phase == RolloutPhase::rollingBack)
+            enterStage(current.step, RolloutPhase::rolledBack);
     }
 }
 
-// What the platform counts: attempts of a second, by build and route, told a little later.
-void FakeControlPlane::tally() {
-    const Duration at = world.clock.now();
-    tallyAt = at + std::chrono::seconds(1);
+// Reports the attempts of the last second by build and route, half a second late.
+void FakeControlPlane::publishUsageReport() {
+    const Duration now = environment.clock.now();
+    usageReportAt = now + std::chrono::seconds(1);
     std::map<std::pair<BuildNumber, int>, std::array<double, 2>> sums;
-    for (const auto &done : std::exchange(world.finished, {})) {
-        auto &s = sums[{done.build, done.route}];
-        s[0] += 1, s[1] += done.lost;
+    for (const auto &attempt : std::exchange(environment.finished, {})) {
+        auto &counts = sums[{attempt.build, attempt.route}];
+        counts[0] += 1, counts[1] += attempt.failed;
     }
     json rows = json::array();
-    for (const auto &[who, s] : sums)
+    for (const auto &[who, counts] : sums)
         rows.push_back({{"build", who.first},
                         {"route", who.second},
-                        {"counted", int(s[0])},
-                        {"lost", int(s[1])},
+                        {"counted", int(counts[0])},
+                        {"lost", int(counts[1])},
                         {"sinceMs", 500}});
     publish({{"kind", "tally"}, {"tally", std::move(rows)}}, std::chrono::milliseconds(500));
 }
--- a/src/fakes/endpoint.hpp
+++ b/src/fakes/endpoint.hpp
@@ -1,6 +1,6 @@
-// A stand-in for a relay node: cores and a queue in front of them, cold at its start, falls over
-// when it is pushed while cold, forgets no mark within the window, and fails as its build or its
-// trouble tells it to.
+// A fake endpoint: a number of cores with a queue in front of them. It needs a warm-up, crashes
+// when it is overloaded during the warm-up, deduplicates requests by their idempotency keys within
+// the deduplication window, and misbehaves as the faults of its build or of the scenario say.
 #pragma once
 
 #include <asio.hpp>
@@ -15,80 +15,91 @@
 
 namespace deckcart::fakes {
 
-// What all instances of a day share: who is slow, how the build on trial is faulty, what was seen.
+/// State that all fakes of a scenario run share: the scenario, slowdown, what was seen.
 struct FakeEnvironment {
-    FakeEnvironment(const scenarios::Scenario &of, const Clock &time, scenarios::Records &into)
-        : day(of), clock(time), records(into) {}
+    FakeEnvironment(const scenarios::Scenario &given, const Clock &runClock,
+                    scenarios::Records &recordsOut)
+        : scenario(given), clock(runClock), records(recordsOut) {}
 
-    const scenarios::Scenario &day;
+    const scenarios::Scenario &scenario;
     const Clock &clock;
     scenarios::Records &records;
-    BuildNumber trial = 2;
-    double fleetSlow = 1;
-    std::deque<Duration> trialWork;  // attempts at the trial build of late, for one that slows all
-    std::deque<Duration> allWork;
-    struct Done {
+    BuildNumber canaryBuild = 2;
+    double fleetSlowdown = 1;  ///< factor of the processing time of all endpoints
+    std::deque<Duration>
+        canaryArrivals;  ///< recent attempts at the canary, for a build that slows all
+    std::deque<Duration> allArrivals;  ///< recent attempts at all builds
+    /// An attempt that was processed.
+    struct FinishedAttempt {
         BuildNumber build = 0;
         int route = 0;
-        bool lost = false;
+        bool failed = false;
     };
-    std::vector<Done> finished;             // since the platform counted last
-    std::map<std::string, Duration> marks;  // of deduped requests: when each was taken up
-    std::map<std::string, int> effects;  // how often each mark of a request with an effect has run
+    std::vector<FinishedAttempt> finished;  ///< since the last usage report
+    std::map<std::string, Duration>
+        keyFirstSeen;                         ///< by idempotency key: start of its first processing
+    std::map<std::string, int> effectCounts;  ///< by idempotency key: effective executions
 };
 
+/// Listens on a free loopback port until shutDown().
 class FakeEndpoint {
   public:
-    FakeEndpoint(asio::io_context &context, FakeEnvironment &world, BuildNumber build, int zone,
-                 std::uint64_t seed);
+    FakeEndpoint(asio::io_context &context, FakeEnvironment &environment, BuildNumber build,
+                 int zone, std::uint64_t seed);
 
-    EndpointId id() const { return name; }
-    Duration startedAt() const { return started; }
-    BuildNumber build() const { return runs; }
-    int zone() const { return where; }
-    bool down() const { return !listener; }
-    void startLongAgo() { started -= std::chrono::hours(1); }
-    void die();  // at once, with its connections
-    void hang(bool on);
-    void pause(Duration lasts);
-    void slowConnects(bool on);
-    double slow = 1;  // a neighbour takes of its machine
-    double answersLost = 0;
-    bool lowReports = false, probesFail = false;
-    std::function<void(const FakeEndpoint &)> onFell;
+    EndpointId id() const { return endpointId; }
+    Duration startedAt() const { return startTime; }
+    BuildNumber build() const { return buildNumber; }
+    int zone() const { return zoneIndex; }
+    bool isDown() const { return !listener; }
+    /// Makes it fully warm.
+    void makeWarm() { startTime -= std::chrono::hours(1); }
+    /// Ends at once and closes its connections.
+    void shutDown();
+    /// While set, requests are accepted and nothing is processed.
+    void setHanging(bool on);
+    /// Starts no processing for the given time.
+    void pause(Duration length);
+    void setSlowConnects(bool on);
+    double slowdown = 1;          ///< factor of the processing time, as on a shared machine
+    double responseLossRate = 0;  ///< fraction of responses that are lost after processing
+    /// Reports a quarter of its load; responds to probes with 500.
+    bool underreportsLoad = false, probesFail = false;
+    /// Called after it crashed from overload.
+    std::function<void(const FakeEndpoint &)> onOverload;
 
   private:
     struct Job {
         std::shared_ptr<http::Exchange> exchange;
         int route = 0;
         double workMs = 0;
-        Duration came{};
-        bool repeat = false;
+        Duration receivedAt{};
+        bool duplicate = false;
     };
     void serve(const std::shared_ptr<http::Exchange> &exchange);
     void probe(http::Exchange &exchange);
-    void begin();
-    void finish(const Job &job);
-    double warmth() const;
-    bool pushedOver(double workMs);
-    bool faulty(const Job &job, scenarios::BuildFault kind);
-    double buildTimes();
-    void blinkConnects();
+    void startJobs();
+    void finishJob(const Job &job);
+    double warmUpFraction() const;
+    bool isOverloadedBy(double workMs);
+    bool drawFault(const Job &job, scenarios::BuildFault kind);
+    double buildSlowdown();
+    void alternateAccepting();
 
     asio::io_context &context;
-    FakeEnvironment &world;
-    BuildNumber runs;
-    int where;
-    std::mt19937_64 chance;
-    Duration started;
+    FakeEnvironment &environment;
+    BuildNumber buildNumber;
+    int zoneIndex;
+    std::mt19937_64 rng;
+    Duration startTime;
     std::unique_ptr<http::Listener> listener;
-    EndpointId name;
-    std::deque<Job> waiting;
-    int busy = 0;
-    bool hung = false, connectsSlow = false;
+    EndpointId endpointId;
+    std::deque<Job> queue;
+    int busyCores = 0;
+    bool hanging = false, acceptsSlowly = false;
     Duration pausedUntil{};
-    std::deque<std::pair<Duration, double>> sentCold;  // work in ms
-    double meanMs = 1;
+    std::deque<std::pair<Duration, double>> warmUpWork;  // work in ms, during the warm-up
+    double meanLatencyMs = 1;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/fakes/name_server.cpp
+++ b/src/fakes/name_server.cpp
@@ -10,41 +10,41 @@
 using asio::ip::udp;
 using nlohmann::json;
 
-dns::Type typeOf(const dns::Record &r) {
-    if (std::holds_alternative<dns::Srv>(r.data))
+dns::Type typeOf(const dns::Record &record) {
+    if (std::holds_alternative<dns::Srv>(record.data))
         return dns::Type::srv;
-    if (std::holds_alternative<dns::Alias>(r.data))
+    if (std::holds_alternative<dns::Alias>(record.data))
         return dns::Type::cname;
-    if (std::holds_alternative<dns::Soa>(r.data))
+    if (std::holds_alternative<dns::Soa>(record.data))
         return dns::Type::soa;
-    return std::get<asio::ip::address>(r.data).is_v4() ? dns::Type::a : dns::Type::aaaa;
+    return std::get<asio::ip::address>(record.data).is_v4() ? dns::Type::a : dns::Type::aaaa;
 }
 
-dns::Record recordIn(const json &from) {
+dns::Record parseRecord(const json &object) {
     const auto name = [&](const char *field) {
-        auto canonical = dns::canonicalName(from.at(field).get<std::string>());
+        auto canonical = dns::canonicalName(object.at(field).get<std::string>());
         if (canonical.empty())
-            throw std::invalid_argument(std::string(field) + " is no DNS name");
+            throw std::invalid_argument(std::string(field) + " is not a DNS name");
         return canonical;
     };
-    dns::Record r{name("name"), from.value("seconds", 30u), {}};
-    const auto type = from.at("type").get<std::string>();
+    dns::Record record{name("name"), object.value("seconds", 30u), {}};
+    const auto type = object.at("type").get<std::string>();
     if (type == "SRV")
-        r.data = dns::Srv{from.value<std::uint16_t>("priority", 0),
-                          from.value<std::uint16_t>("weight", 0),
-                          from.at("port").get<std::uint16_t>(), name("target")};
+        record.data = dns::Srv{object.value<std::uint16_t>("priority", 0),
+                               object.value<std::uint16_t>("weight", 0),
+                               object.at("port").get<std::uint16_t>(), name("target")};
     else if (type == "CNAME")
-        r.data = dns::Alias{name("target")};
+        record.data = dns::Alias{name("target")};
     else if (type == "SOA")
-        r.data = dns::Soa{from.value("negativeSeconds", 5u)};
+        record.data = dns::Soa{object.value("negativeSeconds", 5u)};
     else {
         asio::error_code fault;
-        const auto address = asio::ip::make_address(from.at("address").get<std::string>(), fault);
+        const auto address = asio::ip::make_address(object.at("address").get<std::string>(), fault);
         if (fault || address.is_v4() != (type == "A"))
-            throw std::invalid_argument("address is not of the type");
-        r.data = address;
+            throw std::invalid_argument("address does not match the record type");
+        record.data = address;
     }
-    return r;
+    return record;
 }
 
 }  // namespace
@@ -52,7 +52,7 @@
 const json &nameScriptSchema() {
     static const json schema = json::parse(R"json({
   "$schema": "http://json-schema.org/draft-07/schema#",
-  "title": "What stand-in name servers answer and how they misbehave; times in whole milliseconds",
+  "title": "Records and faults of fake name servers over time; times in whole milliseconds",
   "type": "object", "additionalProperties": false, "required": ["steps"],
   "properties": {
     "servers": {"type": "integer", "minimum": 1, "maximum": 8},
@@ -85,75 +85,81 @@
 }
 
 NameScriptRead readNameScript(const json &document) {
-    NameScriptRead read;
-    read.refused = checkSchema(nameScriptSchema(), document);
-    if (!read.refused.empty())
-        return read;
+    NameScriptRead result;
+    result.refused = checkSchema(nameScriptSchema(), document);
+    if (!result.refused.empty())
+        return result;
     NameScript script;
     script.servers = document.value("servers", 1);
-    Duration last{};
+    Duration previousAt{};
     const auto &steps = document.at("steps");
-    for (std::size_t k = 0; k < steps.size(); ++k) {
-        const json &from = steps[k];
-        const std::string at = "/steps/" + std::to_string(k);
+    for (std::size_t index = 0; index < steps.size(); ++index) {
+        const json &object = steps[index];
+        const std::string path = "/steps/" + std::to_string(index);
         const auto ms = [&](const char *name) {
-            return std::chrono::milliseconds(from.value(name, 0));
+            return std::chrono::milliseconds(object.value(name, 0));
         };
         NameStep step;
         step.at = ms("atMs");
-        if (step.at < last)
-            read.refused.push_back({at + "/atMs", "is before the step ahead of it"});
-        last = step.at;
-        step.servers = from.value("servers", std::vector<int>{});
-        for (const int s : step.servers)
-            if (s >= script.servers)
-                read.refused.push_back({at + "/servers", "names a server that is not there"});
-        if (from.contains("records")) {
+        if (step.at < previousAt)
+            result.refused.push_back({path + "/atMs", "is earlier than that of the previous step"});
+        previousAt = step.at;
+        step.servers = object.value("servers", std::vector<int>{});
+        for (const int server : step.servers)
+            if (server >= script.servers)
+                result.refused.push_back({path + "/servers", "names a server that does not exist"});
+        if (object.contains("records")) {
             step.records.emplace();
-            for (std::size_t r = 0; r < from["records"].size(); ++r)
+            for (std::size_t recordIndex = 0; recordIndex < object["records"].size(); ++recordIndex)
                 try {
-                    step.records->push_back(recordIn(from["records"][r]));
+                    step.records->push_back(parseRecord(object["records"][recordIndex]));
                 } catch (const std::exception &fault) {
-                    read.refused.push_back({at + "/records/" + std::to_string(r), fault.what()});
+                    result.refused.push_back(
+                        {path + "/records/" + std::to_string(recordIndex), fault.what()});
                 }
         }
-        auto &f = step.faults;
-        f.silent = from.value("silent", false), f.lost = from.value("lost", 0.0),
-        f.delay = ms("delayMs");
-        f.twice = from.value("twice", false), f.reordered = from.value("reordered", false);
-        f.wrongId = from.value("wrongId", false),
-        f.wrongQuestion = from.value("wrongQuestion", false);
-        f.fromElsewhere = from.value("fromElsewhere", false), f.code = from.value("code", -1);
-        f.empty = from.value("empty", false), f.truncated = from.value("truncated", false);
-        f.cutInside = from.value("cutInside", false), f.loops = from.value("loops", false);
-        f.lies = from.value("lies", false), f.tcpCutAt = from.value("tcpCutAt", -1);
-        f.noTcp = from.value("noTcp", false), f.noAdditional = from.value("noAdditional", false);
-        if (from.contains("seconds"))
-            f.seconds = from["seconds"].get<std::uint32_t>();
-        f.shrinksFor = ms("shrinksForMs");
+        auto &faults = step.faults;
+        faults.silent = object.value("silent", false), faults.lost = object.value("lost", 0.0),
+        faults.delay = ms("delayMs");
+        faults.twice = object.value("twice", false),
+        faults.reordered = object.value("reordered", false);
+        faults.wrongId = object.value("wrongId", false),
+        faults.wrongQuestion = object.value("wrongQuestion", false);
+        faults.fromElsewhere = object.value("fromElsewhere", false),
+        faults.code = object.value("code", -1);
+        faults.empty = object.value("empty", false),
+        faults.truncated = object.value("truncated", false);
+        faults.cutInside = object.value("cutInside", false),
+        faults.loops = object.value("loops", false);
+        faults.lies = object.value("lies", false), faults.tcpCutAt = object.value("tcpCutAt", -1);
+        faults.noTcp = object.value("noTcp", false),
+        faults.noAdditional = object.value("noAdditional", false);
+        if (object.contains("seconds"))
+            faults.seconds = object["seconds"].get<std::uint32_t>();
+        faults.shrinksFor = ms("shrinksForMs");
         script.steps.push_back(std::move(step));
     }
-    if (read.refused.empty())
-        read.script = std::move(script);
-    return read;
+    if (result.refused.empty())
+        result.script = std::move(script);
+    return result;
 }
 
 // ---- one server ----
 
 NameServer::NameServer(asio::io_context &io, const udp::endpoint &listen, std::uint32_t seed)
-    : context(io), datagrams(io), elsewhere(io, udp::endpoint(listen.address(), 0)), acceptor(io),
-      chance(seed) {
-    // Both take the same port: one that is free for streams may be taken for datagrams, then
-    // another is tried.
+    : context(io), udpSocket(io), otherPortSocket(io, udp::endpoint(listen.address(), 0)),
+      acceptor(io), rng(seed) {
+    // TCP and UDP use the same port. A free TCP port may be in use for UDP; then another one is
+    // tried.
     constexpr int kAttempts = 50;
-    for (int k = 1;; ++k)
+    for (int attempt = 1;; ++attempt)
         try {
             acceptor = tcp::acceptor(io, tcp::endpoint(listen.address(), listen.port()));
-            datagrams =
+            udpSocket =
                 udp::socket(io, udp::endpoint(listen.address(), acceptor.local_endpoint().port()));
             break;
         } catch (const std::system_error &) {
-            if (listen.port() != 0 || k == kAttempts)
+            if (listen.port() != 0 || attempt == kAttempts)
                 throw;
         }
     receive();
@@ -165,63 +171,67 @@
 }
 
 std::vector<std::uint8_t> NameServer::reply(const dns::Message &question, bool overTcp) const {
-    dns::Message m;
-    m.id = question.id, m.reply = true, m.authoritative = true, m.question = question.question;
-    m.recursionDesired = question.recursionDesired;
-    const auto lifetime = [&](dns::Record r) {
+    dns::Message response;
+    response.id = question.id, response.reply = true, response.authoritative = true,
+    response.question = question.question;
+    response.recursionDesired = question.recursionDesired;
+    const auto withLifetime = [&](dns::Record record) {
         if (faults.seconds)
-            r.seconds = *faults.seconds;
+            record.seconds = *faults.seconds;
         if (faults.shrinksFor > Duration{0}) {
-            const Duration left = faults.shrinksFor - (clock.now() - setAt) % faults.shrinksFor;
-            r.seconds =
-                std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(left).count());
+            const Duration remaining =
+                faults.shrinksFor - (clock.now() - recordsSetAt) % faults.shrinksFor;
+            record.seconds =
+                std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(remaining).count());
         }
-        return r;
+        return record;
     };
     if (faults.code >= 0)
-        m.code = std::uint8_t(faults.code);
+        response.code = std::uint8_t(faults.code);
     else if (!faults.empty && question.question) {
-        std::string at = question.question->name;
-        bool moved = true;
-        for (int hops = 0; moved && hops < 32; ++hops) {
-            moved = false;
-            for (const auto &r : records)
-                if (r.owner == at && typeOf(r) == question.question->type)
-                    m.answers.push_back(lifetime(r));
-            if (!m.answers.empty() && typeOf(m.answers.back()) != dns::Type::cname)
+        std::string owner = question.question->name;
+        bool followedAlias = true;
+        for (int hops = 0; followedAlias && hops < 32; ++hops) {
+            followedAlias = false;
+            for (const auto &record : records)
+                if (record.owner == owner && typeOf(record) == question.question->type)
+                    response.answers.push_back(withLifetime(record));
+            if (!response.answers.empty() && typeOf(response.answers.back()) != dns::Type::cname)
                 break;
-            for (const auto &r : records)
-                if (r.owner == at && typeOf(r) == dns::Type::cname) {
-                    m.answers.push_back(lifetime(r));
-                    at = std::get<dns::Alias>(r.data).target, moved = true;
+            for (const auto &record : records)
+                if (record.owner == owner && typeOf(record) == dns::Type::cname) {
+                    response.answers.push_back(withLifetime(record));
+                    owner = std::get<dns::Alias>(record.data).target, followedAlias = true;
                     break;
                 }
         }
         if (!faults.noAdditional)
-            for (const auto &r : records)
-                if (std::holds_alternative<asio::ip::address>(r.data) &&
-                    std::ranges::any_of(m.answers, [&](const auto &a) {
-                        const auto *srv = std::get_if<dns::Srv>(&a.data);
-                        return srv && srv->target == r.owner;
+            for (const auto &record : records)
+                if (std::holds_alternative<asio::ip::address>(record.data) &&
+                    std::ranges::any_of(response.answers, [&](const auto &answer) {
+                        const auto *srv = std::get_if<dns::Srv>(&answer.data);
+                        return srv && srv->target == record.owner;
                     }))
-                    m.additional.push_back(lifetime(r));
-        if (m.answers.empty() &&
-            std::ranges::none_of(records, [&](const auto &r) { return r.owner == at; }))
-            m.code = std::uint8_t(dns::Code::nxDomain);
+                    response.additional.push_back(withLifetime(record));
+        if (response.answers.empty() && std::ranges::none_of(records, [&](const auto &record) {
+                return record.owner == owner;
+            }))
+            response.code = std::uint8_t(dns::Code::nxDomain);
     }
-    if (m.answers.empty())
-        for (const auto &r : records)
-            if (typeOf(r) == dns::Type::soa)
-                m.authority.push_back(lifetime(r));
-    auto bytes = dns::encode(m);
-    const auto cut = [&] {
-        m.truncated = true, m.answers.clear(), m.authority.clear(), m.additional.clear();
-        bytes = dns::encode(m);
+    if (response.answers.empty())
+        for (const auto &record : records)
+            if (typeOf(record) == dns::Type::soa)
+                response.authority.push_back(withLifetime(record));
+    auto bytes = dns::encode(response);
+    const auto truncate = [&] {
+        response.truncated = true, response.answers.clear(), response.authority.clear(),
+        response.additional.clear();
+        bytes = dns::encode(response);
     };
     if (!overTcp && faults.cutInside)
         bytes[2] |= 0x02, bytes.resize(bytes.size() * 2 / 3);
     else if (!overTcp && (faults.truncated || bytes.size() > dns::kUdpBytes))
-        cut();
+        truncate();
     if (faults.loops && bytes.size() > 14)
         bytes[12] = 0xc0, bytes[13] = 12;
     if (faults.lies)
@@ -230,52 +240,52 @@
 }
 
 void NameServer::receive() {
-    datagrams.async_receive_from(
-        asio::buffer(in), from, [this, here = alive](asio::error_code fault, std::size_t n) {
-            if (!*here || fault == asio::error::operation_aborted)
+    udpSocket.async_receive_from(
+        asio::buffer(receiveBuffer), sender,
+        [this, serverAlive = alive](asio::error_code fault, std::size_t size) {
+            if (!*serverAlive || fault == asio::error::operation_aborted)
                 return;
-            const auto got = dns::decode(in.data(), fault ? 0 : n);
-            if (got.message && !got.message->reply && got.message->question) {
-                ++questions;
+            const auto decoded = dns::decode(receiveBuffer.data(), fault ? 0 : size);
+            if (decoded.message && !decoded.message->reply && decoded.message->question) {
+                ++queries;
                 if (onAsked)
-                    onAsked(*got.message->question);
-                const bool drop =
-                    faults.silent ||
-                    (faults.lost > 0 &&
-                     double(chance()) < faults.lost * double(std::minstd_rand::max()));
+                    onAsked(*decoded.message->question);
+                const bool drop = faults.silent ||
+                                  (faults.lost > 0 &&
+                                   double(rng()) < faults.lost * double(std::minstd_rand::max()));
                 if (!drop) {
-                    auto bytes = reply(*got.message, false);
-                    tell(bytes);
-                    sendLater(std::move(bytes), from);
+                    auto bytes = reply(*decoded.message, false);
+                    notifyReply(bytes);
+                    sendWithFaults(std::move(bytes), sender);
                 }
             }
             receive();
         });
 }
 
-void NameServer::tell(const std::vector<std::uint8_t> &bytes) const {
-    if (!onTold)
+void NameServer::notifyReply(const std::vector<std::uint8_t> &bytes) const {
+    if (!onReply)
         return;
-    const auto got = dns::decode(bytes.data(), bytes.size());
-    if (got.message && !got.message->truncated &&
-        got.message->code != std::uint8_t(dns::Code::servFail))
-        onTold(*got.message);
+    const auto decoded = dns::decode(bytes.data(), bytes.size());
+    if (decoded.message && !decoded.message->truncated &&
+        decoded.message->code != std::uint8_t(dns::Code::servFail))
+        onReply(*decoded.message);
 }
 
-void NameServer::sendLater(std::vector<std::uint8_t> bytes, const udp::endpoint &to) {
+void NameServer::sendWithFaults(std::vector<std::uint8_t> bytes, const udp::endpoint &to) {
     if (faults.wrongId) {
-        auto other = bytes;
-        other[1] = std::uint8_t(other[1] + 1);
-        send(other, to);
+        auto forged = bytes;
+        forged[1] = std::uint8_t(forged[1] + 1);
+        send(forged, to);
     }
     if (faults.wrongQuestion) {
-        auto other = bytes;
-        other[13] = 'x';
-        send(other, to);
+        auto forged = bytes;
+        forged[13] = 'x';
+        send(forged, to);
     }
     if (faults.fromElsewhere) {
         asio::error_code ignored;
-        elsewhere.send_to(asio::buffer(bytes), to, 0, ignored);
+        otherPortSocket.send_to(asio::buffer(bytes), to, 0, ignored);
     }
     if (faults.reordered && !heldBack) {
         heldBack.emplace(std::move(bytes), to);
@@ -283,115 +293,120 @@
     }
     if (faults.delay > Duration{0}) {
         auto timer = std::make_shared<asio::steady_timer>(context, faults.delay);
-        timer->async_wait(
-            [this, timer, bytes = std::move(bytes), to, here = alive](asio::error_code fault) {
-                if (!fault && *here)
-                    send(bytes, to);
-            });
+        timer->async_wait([this, timer, bytes = std::move(bytes), to,
+                           serverAlive = alive](asio::error_code fault) {
+            if (!fault && *serverAlive)
+                send(bytes, to);
+        });
         return;
     }
     send(bytes, to);
     if (faults.twice)
         send(bytes, to);
     if (heldBack) {
-        const auto late = std::exchange(heldBack, std::nullopt);
-        send(late->first, late->second);
+        const auto delayed = std::exchange(heldBack, std::nullopt);
+        send(delayed->first, delayed->second);
     }
 }
 
 void NameServer::send(const std::vector<std::uint8_t> &bytes, const udp::endpoint &to) {
     asio::error_code ignored;  // a datagram may be lost
-    datagrams.send_to(asio::buffer(bytes), to, 0, ignored);
+    udpSocket.send_to(asio::buffer(bytes), to, 0, ignored);
 }
 
-struct NameServer::Stream {
-    explicit Stream(tcp::socket s) : socket(std::move(s)) {}
+struct NameServer::TcpConnection {
+    explicit TcpConnection(tcp::socket accepted) : socket(std::move(accepted)) {}
     tcp::socket socket;
     std::array<std::uint8_t, 2> length{};
     std::vector<std::uint8_t> bytes;
 };
 
 void NameServer::accept() {
-    acceptor.async_accept([this, here = alive](asio::error_code fault, tcp::socket socket) {
-        if (!*here || fault == asio::error::operation_aborted)
-            return;
-        if (!fault && !faults.noTcp)
-            read(std::make_shared<Stream>(std::move(socket)));
-        accept();
-    });
+    acceptor.async_accept(
+        [this, serverAlive = alive](asio::error_code acceptError, tcp::socket socket) {
+            if (!*serverAlive || acceptError == asio::error::operation_aborted)
+                return;
+            if (!acceptError && !faults.noTcp)
+                read(std::make_shared<TcpConnection>(std::move(socket)));
+            accept();
+        });
 }
 
-void NameServer::read(const std::shared_ptr<Stream> &stream) {
+void NameServer::read(const std::shared_ptr<TcpConnection> &connection) {
     asio::async_read(
-        stream->socket, asio::buffer(stream->length),
-        [=, this, here = alive](asio::error_code fault, std::size_t) {
-            if (fault || !*here)
+        connection->socket, asio::buffer(connection->length),
+        [=, this, serverAlive = alive](asio::error_code lengthError, std::size_t) {
+            if (lengthError || !*serverAlive)
                 return;
-            stream->bytes.resize(std::size_t(stream->length[0]) << 8 | stream->length[1]);
+            connection->bytes.resize(std::size_t(connection->length[0]) << 8 |
+                                     connection->length[1]);
             asio::async_read(
-                stream->socket, asio::buffer(stream->bytes),
-                [=, this](asio::error_code cut, std::size_t) {
-                    if (cut || !*here)
+                connection->socket, asio::buffer(connection->bytes),
+                [=, this](asio::error_code readError, std::size_t) {
+                    if (readError || !*serverAlive)
                         return;
-                    const auto got = dns::decode(stream->bytes.data(), stream->bytes.size());
-                    if (!got.message || !got.message->question || faults.silent)
+                    const auto decoded =
+                        dns::decode(connection->bytes.data(), connection->bytes.size());
+                    if (!decoded.message || !decoded.message->question || faults.silent)
                         return;
-                    ++questions, ++streams;
+                    ++queries, ++tcpQueries;
                     if (onAsked)
-                        onAsked(*got.message->question);
-                    auto bytes = reply(*got.message, true);
-                    tell(bytes);
+                        onAsked(*decoded.message->question);
+                    auto bytes = reply(*decoded.message, true);
+                    notifyReply(bytes);
                     const auto size = bytes.size();
                     bytes.insert(bytes.begin(), {std::uint8_t(size >> 8), std::uint8_t(size)});
-                    const bool ends = faults.tcpCutAt >= 0;
-                    if (ends)
+                    const bool cutsReply = faults.tcpCutAt >= 0;
+                    if (cutsReply)
                         bytes.resize(std::min(bytes.size(), std::size_t(faults.tcpCutAt)));
-                    stream->bytes = std::move(bytes);
-                    asio::async_write(stream->socket, asio::buffer(stream->bytes),
-                                      [=, this](asio::error_code failed, std::size_t) {
-                                          if (!failed && *here && !ends)
-                                              read(stream);
+                    connection->bytes = std::move(bytes);
+                    asio::async_write(connection->socket, asio::buffer(connection->bytes),
+                                      [=, this](asio::error_code writeError, std::size_t) {
+                                          if (!writeError && *serverAlive && !cutsReply)
+                                              read(connection);
                                       });
                 });
         });
 }
 
-// ---- a script's ----
+// ---- servers that follow a script ----
 
-NameServers::NameServers(asio::io_context &io, NameScript with, std::uint32_t seed)
-    : script(std::move(with)), timer(io) {
-    for (int k = 0; k < script.servers; ++k)
-        servers.push_back(std::make_unique<NameServer>(
-            io, udp::endpoint(asio::ip::address_v4::loopback(), 0), seed + std::uint32_t(k) + 1));
+NameServers::NameServers(asio::io_context &io, NameScript given, std::uint32_t seed)
+    : script(std::move(given)), timer(io) {
+    for (int index = 0; index < script.servers; ++index)
+        servers.push_back(
+            std::make_unique<NameServer>(io, udp::endpoint(asio::ip::address_v4::loopback(), 0),
+                                         seed + std::uint32_t(index) + 1));
 }
 std::vector<udp::endpoint> NameServers::addresses() const {
-    std::vector<udp::endpoint> out;
-    for (const auto &s : servers)
-        out.push_back(s->address());
-    return out;
+    std::vector<udp::endpoint> endpoints;
+    for (const auto &server : servers)
+        endpoints.push_back(server->address());
+    return endpoints;
 }
 void NameServers::start() {
     startedAt = clock.now();
-    step();
+    runDueSteps();
 }
-void NameServers::step() {
+void NameServers::runDueSteps() {
     for (; next < script.steps.size(); ++next) {
-        const auto &s = script.steps[next];
-        const Duration in = startedAt + s.at - clock.now();
-        if (in > Duration{0}) {
-            timer.expires_after(in);
+        const auto &due = script.steps[next];
+        const Duration wait = startedAt + due.at - clock.now();
+        if (wait > Duration{0}) {
+            timer.expires_after(wait);
             timer.async_wait([this](asio::error_code fault) {
                 if (!fault)
-                    step();
+                    runDueSteps();
             });
             return;
         }
-        for (std::size_t k = 0; k < servers.size(); ++k) {
-            if (!s.servers.empty() && std::ranges::find(s.servers, int(k)) == s.servers.end())
+        for (std::size_t index = 0; index < servers.size(); ++index) {
+            if (!due.servers.empty() &&
+                std::ranges::find(due.servers, int(index)) == due.servers.end())
                 continue;
-            if (s.records)
-                servers[k]->serve(*s.records);
-            servers[k]->misbehave(s.faults);
+            if (due.records)
+                servers[index]->serve(*due.records);
+            servers[index]->misbehave(due.faults);
         }
     }
 }
--- a/src/scenarios/invariant_checker.cpp
+++ b/src/scenarios/invariant_checker.cpp
@@ -8,312 +8,346 @@
 namespace deckcart::scenarios {
 namespace {
 
-std::string at(Duration time) {
+std::string formatSeconds(Duration time) {
     const auto wholeMilliseconds =
         double(std::chrono::duration_cast<std::chrono::milliseconds>(time).count());
     return std::to_string(wholeMilliseconds / 1000) + " s";
 }
 
-struct Auditor {
-    const Records &r;
-    const RuleParameters &f;
-    std::vector<Violation> found;
-    std::unordered_map<std::string, const ClientRecord *> client;
+struct InvariantChecker {
+    const Records &records;
+    const RuleParameters &parameters;
+    std::vector<Violation> violations;
+    std::unordered_map<std::string, const ClientRecord *> clientById;
     std::unordered_map<std::string, std::vector<const EndpointRecord *>>
-        attempts;  // of a request, by time
+        attemptsById;  // by request, ordered by time
 
-    void breach(Rule rule, std::string request, Duration when, std::string words) {
-        found.push_back({rule, std::move(request), when, std::move(words)});
+    void addViolation(Rule rule, std::string requestId, Duration time, std::string description) {
+        violations.push_back({rule, std::move(requestId), time, std::move(description)});
+    }
+    const Route &route(const ClientRecord &client) const {
+        return parameters.routes.at(std::size_t(client.route));
     }
-    const Route &route(const ClientRecord &c) const { return f.routes.at(std::size_t(c.route)); }
 
-    void index() {
-        for (const auto &c : r.clients)
-            if (!client.emplace(c.requestId, &c).second)
-                throw std::invalid_argument("two clients' tries are called " + c.requestId);
-        for (const auto &t : r.instances)
-            attempts[t.requestId].push_back(&t);
-        for (auto &[request, list] : attempts)
-            std::ranges::stable_sort(list, {}, [](const EndpointRecord *t) { return t->received; });
+    void indexRecords() {
+        for (const auto &client : records.clients)
+            if (!clientById.emplace(client.requestId, &client).second)
+                throw std::invalid_argument("duplicate client request id: " + client.requestId);
+        for (const auto &attempt : records.instances)
+            attemptsById[attempt.requestId].push_back(&attempt);
+        for (auto &[requestId, requestAttempts] : attemptsById)
+            std::ranges::stable_sort(requestAttempts, {}, [](const EndpointRecord *attempt) {
+                return attempt->received;
+            });
     }
 
-    // Whether the gateway could not answer: killed meanwhile, or standing still when the client's
-    // time ran out.
-    bool excused(const ClientRecord &c) const {
-        return std::ranges::any_of(r.halts, [&](const GatewayHalt &h) {
-            if (h.gateway != c.gateway)
+    // Whether the gateway was unable to respond: it was killed while the client waited, or stopped
+    // when the client gave up.
+    bool gatewayWasUnavailable(const ClientRecord &client) const {
+        return std::ranges::any_of(records.halts, [&](const GatewayHalt &h) {
+            if (h.gateway != client.gateway)
                 return false;
             if (h.kind == HaltKind::killed)
-                return h.from <= c.givesUp && h.until >= c.sent;
-            return h.from <= c.givesUp && h.until + f.slack >= c.givesUp;
+                return h.from <= client.givesUp && h.until >= client.sent;
+            return h.from <= client.givesUp && h.until + parameters.slack >= client.givesUp;
         });
     }
 
-    void oneAnswer() {
-        for (const auto &c : r.clients) {
-            if (c.sent == Duration{0} || c.end == ClientEnd::unreached)
+    void checkOneAnswer() {
+        for (const auto &client : records.clients) {
+            if (client.sent == Duration{0} || client.end == ClientEnd::unreached)
                 continue;
-            if (c.answers > 1)
-                breach(Rule::oneAnswer, c.requestId, c.answered,
-                       std::to_string(c.answers) + " answers came");
-            if (c.answers == 0 && !excused(c))
-                breach(Rule::oneAnswer, c.requestId, c.givesUp,
-                       c.end == ClientEnd::cut
-                           ? "its connection was cut without an answer"
-                           : "sent at " + at(c.sent) + ", no answer until the client gave up");
-            if (c.answers > 0 && c.answered > c.givesUp + f.slack && !excused(c))
-                breach(Rule::oneAnswer, c.requestId, c.answered,
-                       "answered after the client gave up at " + at(c.givesUp));
-            const auto mine = attempts.find(c.requestId);
-            if (mine == attempts.end() || c.answered == Duration{0})
+            if (client.answers > 1)
+                addViolation(Rule::oneAnswer, client.requestId, client.answered,
+                             std::to_string(client.answers) + " responses received");
+            if (client.answers == 0 && !gatewayWasUnavailable(client))
+                addViolation(Rule::oneAnswer, client.requestId, client.givesUp,
+                             client.end == ClientEnd::cut
+                                 ? "its connection was closed without a response"
+                                 : "sent at " + formatSeconds(client.sent) +
+                                       ", no response until the client gave up");
+            if (client.answers > 0 && client.answered > client.givesUp + parameters.slack &&
+                !gatewayWasUnavailable(client))
+                addViolation(Rule::oneAnswer, client.requestId, client.answered,
+                             "response received after the client gave up at " +
+                                 formatSeconds(client.givesUp));
+            const auto requestAttempts = attemptsById.find(client.requestId);
+            if (requestAttempts == attemptsById.end() || client.answered == Duration{0})
                 continue;
-            for (const auto *t : mine->second)
-                if (t->received > c.answered + f.slack &&
-                    !halted(c.gateway, c.answered, t->received))
-                    breach(Rule::oneAnswer, c.requestId, t->received,
-                           "sent to " + t->endpoint + " after its final answer at " +
-                               at(c.answered));
+            for (const auto *attempt : requestAttempts->second)
+                if (attempt->received > client.answered + parameters.slack &&
+                    !haltedDuring(client.gateway, client.answered, attempt->received))
+                    addViolation(Rule::oneAnswer, client.requestId, attempt->received,
+                                 "sent to " + attempt->endpoint + " after its final response at " +
+                                     formatSeconds(client.answered));
         }
     }
-    // What a stopped gateway had handed to its sockets, an instance may read late.
-    bool halted(int gateway, Duration from, Duration until) const {
-        return std::ranges::any_of(r.halts, [&](const GatewayHalt &h) {
+    // A halt within the interval excuses a late arrival: an endpoint may read late what a stopped
+    // gateway had already written to its sockets.
+    bool haltedDuring(int gateway, Duration from, Duration until) const {
+        return std::ranges::any_of(records.halts, [&](const GatewayHalt &h) {
             return h.gateway == gateway && h.from <= until && h.until >= from;
         });
     }
 
-    void noEffectTwice() {
-        for (const auto &[request, list] : attempts) {
-            const auto c = client.find(request);
-            if (c == client.end())
+    void checkNoEffectTwice() {
+        for (const auto &[requestId, requestAttempts] : attemptsById) {
+            const auto client = clientById.find(requestId);
+            if (client == clientById.end())
                 continue;
-            const Route &rt = route(*c->second);
-            if (rt.idempotency == Idempotency::idempotent)
+            const Route &requestRoute = route(*client->second);
+            if (requestRoute.idempotency == Idempotency::idempotent)
                 continue;
-            const EndpointRecord *ran = nullptr;
-            for (const auto *t : list) {
-                if (ran && rt.idempotency == Idempotency::nonIdempotent)
-                    breach(Rule::noEffectTwice, request, t->received,
-                           "non-retriable, sent to " + t->endpoint + " though it may have run on " +
-                               ran->endpoint + " at " + at(ran->received));
-                if (ran && rt.idempotency == Idempotency::withKey) {
-                    if (t->received > ran->received + rt.deduplicationWindow + f.slack)
-                        breach(Rule::noEffectTwice, request, t->received,
-                               "deduped, sent again to " + t->endpoint + " after the memory of " +
-                                   at(ran->received));
-                    const bool inGroup = rt.deduplicationScope == DeduplicationScope::all ||
-                                         (t->zone == ran->zone &&
-                                          (rt.deduplicationScope == DeduplicationScope::zone ||
-                                           t->cell == ran->cell));
+            const EndpointRecord *firstRun = nullptr;
+            for (const auto *attempt : requestAttempts) {
+                if (firstRun && requestRoute.idempotency == Idempotency::nonIdempotent)
+                    addViolation(Rule::noEffectTwice, requestId, attempt->received,
+                                 "non-idempotent, sent to " + attempt->endpoint +
+                                     " although it may have run on " + firstRun->endpoint + " at " +
+                                     formatSeconds(firstRun->received));
+                if (firstRun && requestRoute.idempotency == Idempotency::withKey) {
+                    if (attempt->received >
+                        firstRun->received + requestRoute.deduplicationWindow + parameters.slack)
+                        addViolation(Rule::noEffectTwice, requestId, attempt->received,
+                                     "idempotent with a key, sent again to " + attempt->endpoint +
+                                         " after the deduplication window from " +
+                                         formatSeconds(firstRun->received));
+                    const bool inGroup =
+                        requestRoute.deduplicationScope == DeduplicationScope::all ||
+                        (attempt->zone == firstRun->zone &&
+                         (requestRoute.deduplicationScope == DeduplicationScope::zone ||
+                          attempt->cell == firstRun->cell));
                     if (!inGroup)
-                        breach(Rule::noEffectTwice, request, t->received,
-                               "deduped, sent again to " + t->endpoint + " outside the group of " +
-                                   ran->endpoint);
+                        addViolation(Rule::noEffectTwice, requestId, attempt->received,
+                                     "idempotent with a key, sent again to " + attempt->endpoint +
+                                         " outside the deduplication scope of " +
+                                         firstRun->endpoint);
                 }
-                if (t->mayHaveRun && !ran)
-                    ran = t;
+                if (attempt->mayHaveRun && !firstRun)
+                    firstRun = attempt;
             }
-            const bool sheddable = rt.idempotency == Idempotency::withKey &&
-                                   rt.deduplicationScope == DeduplicationScope::all;
-            if (ran && c->second->end == ClientEnd::shed && !sheddable &&
-                ran->received < c->second->answered)
-                breach(Rule::noEffectTwice, request, c->second->answered,
-                       "shed though it may have run on " + ran->endpoint);
+            const bool sheddable = requestRoute.idempotency == Idempotency::withKey &&
+                                   requestRoute.deduplicationScope == DeduplicationScope::all;
+            if (firstRun && client->second->end == ClientEnd::shed && !sheddable &&
+                firstRun->received < client->second->answered)
+                addViolation(Rule::noEffectTwice, requestId, client->second->answered,
+                             "shed although it may have run on " + firstRun->endpoint);
         }
     }
 
-    // Whether the gateway runs without a kill from one moment to the other: a killed one has
-    // forgotten.
-    bool sameLife(int gateway, Duration from, Duration until) const {
-        return std::ranges::none_of(r.halts, [&](const GatewayHalt &h) {
+    // Whether the gateway was not killed in the interval. A killed gateway loses what it was told
+    // before.
+    bool notKilledDuring(int gateway, Duration from, Duration until) const {
+        return std::ranges::none_of(records.halts, [&](const GatewayHalt &h) {
             return h.gateway == gateway && h.kind == HaltKind::killed && h.from <= until &&
                    h.until >= from;
         });
     }
 
-    void drains() {
-        std::map<std::pair<int, EndpointId>, std::vector<const EndpointNotification *>> told;
-        for (const auto &t : r.endpoints)
-            told[{t.gateway, t.endpoint}].push_back(&t);
-        for (const auto &t : r.instances) {
-            const auto c = client.find(t.requestId);
-            if (c == client.end())
+    void checkDrains() {
+        std::map<std::pair<int, EndpointId>, std::vector<const EndpointNotification *>>
+            notifications;
+        for (const auto &notification : records.endpoints)
+            notifications[{notification.gateway, notification.endpoint}].push_back(&notification);
+        for (const auto &attempt : records.instances) {
+            const auto client = clientById.find(attempt.requestId);
+            if (client == clientById.end())
                 continue;
-            const int gateway = c->second->gateway;
-            const auto list = told.find({gateway, t.endpoint});
-            if (list == told.end())
+            const int gateway = client->second->gateway;
+            const auto ofEndpoint = notifications.find({gateway, attempt.endpoint});
+            if (ofEndpoint == notifications.end())
                 continue;
-            const EndpointNotification *last =
-                nullptr;  // the first that told it is not live, since it was told live last
-            for (const auto *news : list->second) {
-                if (news->at > t.received)
+            const EndpointNotification *drainStart =
+                nullptr;  // first "not active" notification since the last "active" one
+            for (const auto *notification : ofEndpoint->second) {
+                if (notification->at > attempt.received)
                     break;
-                if (news->state == EndpointState::active)
-                    last = nullptr;
-                else if (!last)
-                    last = news;
+                if (notification->state == EndpointState::active)
+                    drainStart = nullptr;
+                else if (!drainStart)
+                    drainStart = notification;
             }
-            if (last && t.received > last->at + f.drainGrace + f.slack &&
-                sameLife(gateway, last->at, t.received) && !halted(gateway, last->at, t.received))
-                breach(Rule::drains, t.requestId, t.received,
-                       "sent to " + t.endpoint + ", which gateway " + std::to_string(gateway) +
-                           " was told at " + at(last->at) + " to leave");
+            if (drainStart &&
+                attempt.received > drainStart->at + parameters.drainGrace + parameters.slack &&
+                notKilledDuring(gateway, drainStart->at, attempt.received) &&
+                !haltedDuring(gateway, drainStart->at, attempt.received))
+                addViolation(Rule::drains, attempt.requestId, attempt.received,
+                             "sent to " + attempt.endpoint + ", which gateway " +
+                                 std::to_string(gateway) + " was told at " +
+                                 formatSeconds(drainStart->at) + " to drain");
         }
     }
 
-    void slowStart() {
-        for (const auto &fall : r.overloadedEndpoints) {
-            std::size_t all = 0, informed = 0;
-            for (const auto &t : r.instances) {
-                if (t.endpoint != fall.endpoint || t.received < fall.from ||
-                    t.received > fall.until)
+    void checkSlowStart() {
+        for (const auto &overload : records.overloadedEndpoints) {
+            std::size_t total = 0, informed = 0;
+            for (const auto &attempt : records.instances) {
+                if (attempt.endpoint != overload.endpoint || attempt.received < overload.from ||
+                    attempt.received > overload.until)
                     continue;
-                ++all;
-                const auto c = client.find(t.requestId);
-                if (c == client.end())
+                ++total;
+                const auto client = clientById.find(attempt.requestId);
+                if (client == clientById.end())
                     continue;
-                informed += std::ranges::any_of(r.endpoints, [&](const EndpointNotification &news) {
-                    return news.gateway == c->second->gateway && news.endpoint == t.endpoint &&
-                           news.startedNow && news.at <= t.received;
-                });
+                informed += std::ranges::any_of(
+                    records.endpoints, [&](const EndpointNotification &notification) {
+                        return notification.gateway == client->second->gateway &&
+                               notification.endpoint == attempt.endpoint &&
+                               notification.startedNow && notification.at <= attempt.received;
+                    });
             }
-            if (3 * informed >= 2 * all)
-                breach(Rule::slowStart, fall.endpoint, fall.until,
-                       "fell over while cold: " + std::to_string(all) + " tries from " +
-                           at(fall.from) + " on, " + std::to_string(informed) +
-                           " of gateways that knew of its start");
+            if (3 * informed >= 2 * total)
+                addViolation(Rule::slowStart, overload.endpoint, overload.until,
+                             "overloaded during warm-up: " + std::to_string(total) +
+                                 " attempts since " + formatSeconds(overload.from) + ", " +
+                                 std::to_string(informed) +
+                                 " from gateways that knew of its start");
         }
     }
 
-    bool onTrial(const RolloutNotification *k, BuildNumber build) const {
-        if (!k)
-            return build > f.firstBuild;
-        return build > k->build || (build == k->build && k->phase != RolloutPhase::released);
+    bool isCanary(const RolloutNotification *rollout, BuildNumber build) const {
+        if (!rollout)
+            return build > parameters.firstBuild;
+        return build > rollout->build ||
+               (build == rollout->build && rollout->phase != RolloutPhase::released);
     }
-    double exposureLimit(const RolloutNotification *k, BuildNumber build) const {
-        if (!onTrial(k, build))
+    double exposureLimit(const RolloutNotification *rollout, BuildNumber build) const {
+        if (!isCanary(rollout, build))
             return 1e9;
-        return k && k->build == build ? k->exposureLimit : f.firstExposureLimit;
+        return rollout && rollout->build == build ? rollout->exposureLimit
+                                                  : parameters.firstExposureLimit;
     }
 
-    void exposure() {
-        std::map<int, std::vector<RolloutNotification>> news;
-        for (const auto &t : r.releases)
-            news[t.gateway].push_back(t);
-        struct Sent {
+    void checkExposure() {
+        std::map<int, std::vector<RolloutNotification>> notificationsOf;
+        for (const auto &notification : records.releases)
+            notificationsOf[notification.gateway].push_back(notification);
+        struct Send {
             Duration at;
-            const EndpointRecord *t;
-            const ClientRecord *c;
+            const EndpointRecord *attempt;
+            const ClientRecord *client;
         };
-        std::map<std::tuple<int, BuildNumber, int>, std::vector<Sent>>
-            sent;                                                    // gateway, build, route or -1
-        std::map<std::pair<int, int>, std::vector<Duration>> taken;  // gateway, route or -1
-        const auto counted = [&](int route) { return f.exposurePerRoute ? route : -1; };
-        for (const auto &c : r.clients)
-            if (c.sent != Duration{0} && c.end != ClientEnd::unreached)
-                taken[{c.gateway, counted(c.route)}].push_back(c.sent);
-        for (auto &[who, times] : taken)
+        std::map<std::tuple<int, BuildNumber, int>, std::vector<Send>>
+            sends;  // by gateway, build and route, -1: all routes
+        std::map<std::pair<int, int>, std::vector<Duration>>
+            acceptedTimes;  // by gateway and route, -1: all
+        const auto routeOrAll = [&](int route) { return parameters.exposurePerRoute ? route : -1; };
+        for (const auto &client : records.clients)
+            if (client.sent != Duration{0} && client.end != ClientEnd::unreached)
+                acceptedTimes[{client.gateway, routeOrAll(client.route)}].push_back(client.sent);
+        for (auto &[key, times] : acceptedTimes)
             std::ranges::sort(times);
-        for (const auto &t : r.instances) {
-            const auto c = client.find(t.requestId);
-            if (c != client.end())
-                sent[{c->second->gateway, t.build, counted(c->second->route)}].push_back(
-                    {t.received, &t, c->second});
+        for (const auto &attempt : records.instances) {
+            const auto client = clientById.find(attempt.requestId);
+            if (client != clientById.end())
+                sends[{client->second->gateway, attempt.build, routeOrAll(client->second->route)}]
+                    .push_back({attempt.received, &attempt, client->second});
         }
-        for (auto &[where, list] : sent) {
-            const auto &[gateway, build, routeNo] = where;
-            std::ranges::sort(list, {}, &Sent::at);
-            const auto &told = news[gateway];
-            const auto &requests = taken[{gateway, routeNo}];
-            for (std::size_t k = 0; k < list.size(); ++k) {
-                const Duration now = list[k].at;
-                // The loosest of what it may go by: what it knew a grace ago, and all that it was
-                // told since.
-                const RolloutNotification *before = nullptr;
-                std::vector<const RolloutNotification *> valid;
-                for (const auto &n : told) {
-                    if (n.at <= now - f.drainGrace - f.slack)
-                        before = &n;
-                    else if (n.at <= now)
-                        valid.push_back(&n);
+        for (auto &[key, group] : sends) {
+            const auto &[gateway, build, routeIndex] = key;
+            std::ranges::sort(group, {}, &Send::at);
+            const auto &notifications = notificationsOf[gateway];
+            const auto &requestTimes = acceptedTimes[{gateway, routeIndex}];
+            for (std::size_t index = 0; index < group.size(); ++index) {
+                const Duration now = group[index].at;
+                // A gateway may apply the notification that was in force one drain grace ago or any
+                // later one; the loosest of them sets the limit.
+                const RolloutNotification *beforeGrace = nullptr;
+                std::vector<const RolloutNotification *> applicable;
+                for (const auto &notification : notifications) {
+                    if (notification.at <= now - parameters.drainGrace - parameters.slack)
+                        beforeGrace = &notification;
+                    else if (notification.at <= now)
+                        applicable.push_back(&notification);
                 }
-                if (!before || !sameLife(gateway, before->at, now))
-                    valid.push_back(nullptr);
-                if (before)
-                    valid.push_back(before);
-                double most = 0;
-                bool trial = true, guarded = true;
-                for (const auto *n : valid) {
-                    most = std::max(most, exposureLimit(n, build));
-                    trial = trial && onTrial(n, build);
-                    guarded =
-                        guarded && (n && n->build == build ? n->step : 0) < f.idempotentOnlyStages;
+                if (!beforeGrace || !notKilledDuring(gateway, beforeGrace->at, now))
+                    applicable.push_back(nullptr);
+                if (beforeGrace)
+                    applicable.push_back(beforeGrace);
+                double limit = 0;
+                bool canary = true, idempotentOnly = true;
+                for (const auto *notification : applicable) {
+                    limit = std::max(limit, exposureLimit(notification, build));
+                    canary = canary && isCanary(notification, build);
+                    idempotentOnly = idempotentOnly && (notification && notification->build == build
+                                                            ? notification->step
+                                                            : 0) < parameters.idempotentOnlyStages;
                 }
-                if (!trial)
+                if (!canary)
                     continue;
-                if (guarded && route(*list[k].c).idempotency != Idempotency::idempotent)
-                    breach(Rule::exposure, list[k].t->requestId, now,
-                           "not retriable, sent to build " + std::to_string(build) +
-                               " in a guarded stage");
-                // Counted afresh from where a lower cap came to bind, or the build was not on trial
-                // before.
-                Duration from = now - f.exposureWindow;
-                for (std::size_t n = 0; n < told.size(); ++n) {
-                    const RolloutNotification *prior = n ? &told[n - 1] : nullptr;
-                    if (told[n].at <= now &&
-                        exposureLimit(&told[n], build) < exposureLimit(prior, build))
-                        from = std::max(from, told[n].at + f.drainGrace);
+                if (idempotentOnly &&
+                    route(*group[index].client).idempotency != Idempotency::idempotent)
+                    addViolation(Rule::exposure, group[index].attempt->requestId, now,
+                                 "not idempotent, sent to build " + std::to_string(build) +
+                                     " in a stage for idempotent requests only");
+                // Counting restarts where a lower exposure limit took effect or the build became a
+                // canary.
+                Duration from = now - parameters.exposureWindow;
+                for (std::size_t position = 0; position < notifications.size(); ++position) {
+                    const RolloutNotification *prior =
+                        position ? &notifications[position - 1] : nullptr;
+                    if (notifications[position].at <= now &&
+                        exposureLimit(&notifications[position], build) <
+                            exposureLimit(prior, build))
+                        from = std::max(from, notifications[position].at + parameters.drainGrace);
                 }
-                const auto sentThere = std::ranges::count_if(
-                    list, [&](const Sent &s) { return s.at > from && s.at <= now; });
+                const auto sentSince = std::ranges::count_if(
+                    group, [&](const Send &s) { return s.at > from && s.at <= now; });
                 const auto accepted =
-                    std::ranges::upper_bound(requests, now + f.slack) -
-                    std::ranges::lower_bound(requests, now - f.exposureWindow - f.slack);
-                if (double(sentThere) > f.exposureAllowance + most * double(accepted) + 1e-9 &&
-                    !halted(gateway, from, now))
-                    breach(Rule::exposure, list[k].t->requestId, now,
-                           "gateway " + std::to_string(gateway) + " sent " +
-                               std::to_string(sentThere) + " tries to build " +
-                               std::to_string(build) + " since " + at(from) + "; " +
-                               std::to_string(accepted) + " reqs at a cap of " +
-                               std::to_string(most) + " allow fewer");
+                    std::ranges::upper_bound(requestTimes, now + parameters.slack) -
+                    std::ranges::lower_bound(requestTimes,
+                                             now - parameters.exposureWindow - parameters.slack);
+                if (double(sentSince) >
+                        parameters.exposureAllowance + limit * double(accepted) + 1e-9 &&
+                    !haltedDuring(gateway, from, now))
+                    addViolation(Rule::exposure, group[index].attempt->requestId, now,
+                                 "gateway " + std::to_string(gateway) + " sent " +
+                                     std::to_string(sentSince) + " attempts to build " +
+                                     std::to_string(build) + " since " + formatSeconds(from) +
+                                     "; " + std::to_string(accepted) +
+                                     " requests at an exposure limit of " + std::to_string(limit) +
+                                     " allow fewer");
             }
         }
     }
 
-    void stickyKeys() {
-        if (!f.stickyKeys)
+    void checkStickyKeys() {
+        if (!parameters.stickyKeys)
             return;
-        std::map<std::pair<int, std::string>, std::vector<const ClientRecord *>> answered;
-        for (const auto &c : r.clients)
-            if (c.end == ClientEnd::completed && !c.key.empty())
-                answered[{c.gateway, c.key}].push_back(&c);
-        for (const auto &t : r.instances) {
-            const auto c = client.find(t.requestId);
-            if (c == client.end())
+        std::map<std::pair<int, std::string>, std::vector<const ClientRecord *>> completedByKey;
+        for (const auto &client : records.clients)
+            if (client.end == ClientEnd::completed && !client.key.empty())
+                completedByKey[{client.gateway, client.key}].push_back(&client);
+        for (const auto &attempt : records.instances) {
+            const auto client = clientById.find(attempt.requestId);
+            if (client == clientById.end())
                 continue;
-            const int gateway = c->second->gateway;
-            const auto list = answered.find({gateway, c->second->key});
-            if (list == answered.end())
+            const int gateway = client->second->gateway;
+            const auto completed = completedByKey.find({gateway, client->second->key});
+            if (completed == completedByKey.end())
                 continue;
-            for (const auto *a : list->second) {
-                if (a->build <= t.build || a->answered + f.slack >= t.received)
+            for (const auto *earlier : completed->second) {
+                if (earlier->build <= attempt.build ||
+                    earlier->answered + parameters.slack >= attempt.received)
                     continue;
-                if (!sameLife(gateway, a->answered, t.received))
+                if (!notKilledDuring(gateway, earlier->answered, attempt.received))
                     continue;
-                const bool sentBack =
-                    std::ranges::any_of(r.releases, [&](const RolloutNotification &n) {
-                        return n.gateway == gateway && n.at <= t.received && n.build >= a->build &&
-                               n.at >= a->answered - f.slack &&
-                               (n.phase == RolloutPhase::rollingBack ||
-                                n.phase == RolloutPhase::rolledBack);
+                const bool rolledBack = std::ranges::any_of(
+                    records.releases, [&](const RolloutNotification &notification) {
+                        return notification.gateway == gateway &&
+                               notification.at <= attempt.received &&
+                               notification.build >= earlier->build &&
+                               notification.at >= earlier->answered - parameters.slack &&
+                               (notification.phase == RolloutPhase::rollingBack ||
+                                notification.phase == RolloutPhase::rolledBack);
                     });
-                if (sentBack)
+                if (rolledBack)
                     continue;
-                breach(Rule::exposure, t.requestId, t.received,
-                       "key " + c->second->key + " sent to build " + std::to_string(t.build) +
-                           " after build " + std::to_string(a->build) + " answered it at " +
-                           at(a->answered));
+                addViolation(Rule::exposure, attempt.requestId, attempt.received,
+                             "key " + client->second->key + " sent to build " +
+                                 std::to_string(attempt.build) + " after build " +
+                                 std::to_string(earlier->build) + " answered it at " +
+                                 formatSeconds(earlier->answered));
                 break;
             }
         }
@@ -325,30 +359,30 @@
 const char *nameOf(Rule rule) {
     switch (rule) {
     case Rule::oneAnswer:
-        return "no req is lost";
+        return "no request is lost";
     case Rule::noEffectTwice:
         return "no effect happens twice";
     case Rule::drains:
-        return "drains are kept";
+        return "drains are respected";
     case Rule::slowStart:
-        return "a cold instance is not pushed over";
+        return "a cold endpoint is not overloaded";
     case Rule::exposure:
-        return "exposure stays within the cap";
+        return "exposure stays within its limit";
     }
     return "";
 }
 
 std::vector<Violation> audit(const Records &records, const RuleParameters &parameters) {
-    Auditor auditor{records, parameters, {}, {}, {}};
-    auditor.index();
-    auditor.oneAnswer();
-    auditor.noEffectTwice();
-    auditor.drains();
-    auditor.slowStart();
-    auditor.exposure();
-    auditor.stickyKeys();
-    std::ranges::stable_sort(auditor.found, {}, &Violation::at);
-    return std::move(auditor.found);
+    InvariantChecker checker{records, parameters, {}, {}, {}};
+    checker.indexRecords();
+    checker.checkOneAnswer();
+    checker.checkNoEffectTwice();
+    checker.checkDrains();
+    checker.checkSlowStart();
+    checker.checkExposure();
+    checker.checkStickyKeys();
+    std::ranges::stable_sort(checker.violations, {}, &Violation::at);
+    return std::move(checker.violations);
 }
 
 }  // namespace deckcart::scenarios
--- a/src/scenarios/records.cpp
+++ b/src/scenarios/records.cpp
@@ -1,4 +1,4 @@
-// Records as JSON and back, so that a day can be judged again later or by hand.
+// Records as JSON and back, so that the rules can be checked again for a finished scenario run.
 #include <stdexcept>
 
 #include "invariant_checker.hpp"
@@ -8,94 +8,103 @@
 
 using nlohmann::json;
 
-std::int64_t us(Duration s) {
-    return s.count();
+std::int64_t microseconds(Duration duration) {
+    return duration.count();
 }
-Duration span(const json &from, const char *name) {
-    return Duration{from.at(name).get<std::int64_t>()};
+Duration readDuration(const json &object, const char *name) {
+    return Duration{object.at(name).get<std::int64_t>()};
 }
-template <class E>
-E within(const json &from, const char *name, E most) {
-    const int n = from.at(name).get<int>();
-    if (n < 0 || n > int(most))
+template <class Enum>
+Enum readEnum(const json &object, const char *name, Enum last) {
+    const int value = object.at(name).get<int>();
+    if (value < 0 || value > int(last))
         throw std::invalid_argument(std::string("field ") + name + " is out of range");
-    return static_cast<E>(n);
+    return static_cast<Enum>(value);
 }
 
 }  // namespace
 
-json toJson(const Records &r) {
-    json out{{"format", 1}};
+json toJson(const Records &records) {
+    json document{{"format", 1}};
     for (const char *name : {"clients", "instances", "servers", "releases", "fallen", "halts"})
-        out[name] = json::array();
-    for (const auto &c : r.clients)
-        out["clients"].push_back({{"req", c.requestId},
-                                  {"route", c.route},
-                                  {"gateway", c.gateway},
-                                  {"key", c.key},
-                                  {"sent", us(c.sent)},
-                                  {"givesUp", us(c.givesUp)},
-                                  {"answered", us(c.answered)},
-                                  {"end", int(c.end)},
-                                  {"answers", c.answers},
-                                  {"build", c.build}});
-    for (const auto &t : r.instances)
-        out["instances"].push_back({{"req", t.requestId},
-                                    {"server", t.endpoint},
-                                    {"zone", t.zone},
-                                    {"cell", t.cell},
-                                    {"build", t.build},
-                                    {"received", us(t.received)},
-                                    {"mayHaveRun", t.mayHaveRun}});
-    for (const auto &t : r.endpoints)
-        out["servers"].push_back({{"gateway", t.gateway},
-                                  {"at", us(t.at)},
-                                  {"server", t.endpoint},
-                                  {"build", t.build},
-                                  {"readiness", int(t.state)},
-                                  {"startedNow", t.startedNow}});
-    for (const auto &t : r.releases)
-        out["releases"].push_back({{"gateway", t.gateway},
-                                   {"at", us(t.at)},
-                                   {"build", t.build},
-                                   {"step", t.step},
-                                   {"phase", int(t.phase)},
-                                   {"cap", t.exposureLimit}});
-    for (const auto &f : r.overloadedEndpoints)
-        out["fallen"].push_back(
-            {{"server", f.endpoint}, {"from", us(f.from)}, {"until", us(f.until)}});
-    for (const auto &h : r.halts)
-        out["halts"].push_back({{"gateway", h.gateway},
-                                {"how", int(h.kind)},
-                                {"from", us(h.from)},
-                                {"until", us(h.until)}});
-    return out;
+        document[name] = json::array();
+    for (const auto &client : records.clients)
+        document["clients"].push_back({{"req", client.requestId},
+                                       {"route", client.route},
+                                       {"gateway", client.gateway},
+                                       {"key", client.key},
+                                       {"sent", microseconds(client.sent)},
+                                       {"givesUp", microseconds(client.givesUp)},
+                                       {"answered", microseconds(client.answered)},
+                                       {"end", int(client.end)},
+                                       {"answers", client.answers},
+                                       {"build", client.build}});
+    for (const auto &record : records.instances)
+        document["instances"].push_back({{"req", record.requestId},
+                                         {"server", record.endpoint},
+                                         {"zone", record.zone},
+                                         {"cell", record.cell},
+                                         {"build", record.build},
+                                         {"received", microseconds(record.received)},
+                                         {"mayHaveRun", record.mayHaveRun}});
+    for (const auto &record : records.endpoints)
+        document["servers"].push_back({{"gateway", record.gateway},
+                                       {"at", microseconds(record.at)},
+                                       {"server", record.endpoint},
+                                       {"build", record.build},
+                                       {"readiness", int(record.state)},
+                                       {"startedNow", record.startedNow}});
+    for (const auto &record : records.releases)
+        document["releases"].push_back({{"gateway", record.gateway},
+                                        {"at", microseconds(record.at)},
+                                        {"build", record.build},
+                                        {"step", record.step},
+                                        {"phase", int(record.phase)},
+                                        {"cap", record.exposureLimit}});
+    for (const auto &overload : records.overloadedEndpoints)
+        document["fallen"].push_back({{"server", overload.endpoint},
+                                      {"from", microseconds(overload.from)},
+                                      {"until", microseconds(overload.until)}});
+    for (const auto &halt : records.halts)
+        document["halts"].push_back({{"gateway", halt.gateway},
+                                     {"how", int(halt.kind)},
+                                     {"from", microseconds(halt.from)},
+                                     {"until", microseconds(halt.until)}});
+    return document;
 }
 
-Records readRecords(const json &from) {
-    if (from.at("format") != 1)
+Records readRecords(const json &document) {
+    if (document.at("format") != 1)
         throw std::invalid_argument("field format is not 1");
-    Records r;
-    for (const auto &c : from.at("clients"))
-        r.clients.push_back({c.at("req"), c.at("route"), c.at("gateway"), c.at("key"),
-                             span(c, "sent"), span(c, "givesUp"), span(c, "answered"),
-                             within(c, "end", ClientEnd::unreached), c.at("answers"),
-                             c.at("build")});
-    for (const auto &t : from.at("instances"))
-        r.instances.push_back({t.at("req"), t.at("server"), t.at("zone"), t.at("cell"),
-                               t.at("build"), span(t, "received"), t.at("mayHaveRun")});
-    for (const auto &t : from.at("servers"))
-        r.endpoints.push_back({t.at("gateway"), span(t, "at"), t.at("server"), t.at("build"),
-                               within(t, "readiness", EndpointState::removed), t.at("startedNow")});
-    for (const auto &t : from.at("releases"))
-        r.releases.push_back({t.at("gateway"), span(t, "at"), t.at("build"), t.at("step"),
-                              within(t, "phase", RolloutPhase::rolledBack), t.at("cap")});
-    for (const auto &f : from.at("fallen"))
-        r.overloadedEndpoints.push_back({f.at("server"), span(f, "from"), span(f, "until")});
-    for (const auto &h : from.at("halts"))
-        r.halts.push_back({h.at("gateway"), within(h, "how", HaltKind::stopped), span(h, "from"),
-                           span(h, "until")});
-    return r;
+    Records records;
+    for (const auto &client : document.at("clients"))
+        records.clients.push_back(
+            {client.at("req"), client.at("route"), client.at("gateway"), client.at("key"),
+             readDuration(client, "sent"), readDuration(client, "givesUp"),
+             readDuration(client, "answered"), readEnum(client, "end", ClientEnd::unreached),
+             client.at("answers"), client.at("build")});
+    for (const auto &record : document.at("instances"))
+        records.instances.push_back({record.at("req"), record.at("server"), record.at("zone"),
+                                     record.at("cell"), record.at("build"),
+                                     readDuration(record, "received"), record.at("mayHaveRun")});
+    for (const auto &record : document.at("servers"))
+        records.endpoints.push_back({record.at("gateway"), readDuration(record, "at"),
+                                     record.at("server"), record.at("build"),
+                                     readEnum(record, "readiness", EndpointState::removed),
+                                     record.at("startedNow")});
+    for (const auto &record : document.at("releases"))
+        records.releases.push_back({record.at("gateway"), readDuration(record, "at"),
+                                    record.at("build"), record.at("step"),
+                                    readEnum(record, "phase", RolloutPhase::rolledBack),
+                                    record.at("cap")});
+    for (const auto &overload : document.at("fallen"))
+        records.overloadedEndpoints.push_back({overload.at("server"),
+                                               readDuration(overload, "from"),
+                                               readDuration(overload, "until")});
+    for (const auto &halt : document.at("halts"))
+        records.halts.push_back({halt.at("gateway"), readEnum(halt, "how", HaltKind::stopped),
+                                 readDuration(halt, "from"), readDuration(halt, "until")});
+    return records;
 }
 
 }  // namespace deckcart::scenarios
--- a/src/scenarios/runner.cpp
+++ b/src/scenarios/runner.cpp
@@ -22,65 +22,67 @@
 using nlohmann::json;
 namespace fs = std::filesystem;
 
-constexpr Duration kReadyWithin = std::chrono::seconds(20),
-                   kLookEvery = std::chrono::milliseconds(5),
-                   kBeforeDay = std::chrono::milliseconds(700),
-                   kEndWithin = std::chrono::seconds(20);
+constexpr Duration kReadyTimeout = std::chrono::seconds(20),
+                   kTickInterval = std::chrono::milliseconds(5),
+                   kStartDelay = std::chrono::milliseconds(700),
+                   kExitTimeout = std::chrono::seconds(20);
 
-// A gateway's process.
+// The process of a gateway.
 struct Process {
-    int no = 0;
+    int index = 0;
     fs::path folder;
     pid_t pid = -1;
     std::string listen = "127.0.0.1:0", api = "127.0.0.1:0";
     bool ready = false;
-    std::optional<int> status;  // of its end
+    std::optional<int> status;  // exit status, 128 + signal number where a signal ended it
 
-    bool spawn(const ScenarioRunOptions &start) {
+    bool spawn(const ScenarioRunOptions &options) {
         std::error_code ignored;
         fs::remove(folder / "ready.json", ignored);
         ready = false, status.reset();
-        std::vector<std::string> words{start.program.string(),
-                                       "gateway",
-                                       "--listen",
-                                       listen,
-                                       "--api",
-                                       api,
-                                       "--state",
-                                       folder.string(),
-                                       "--ready-file",
-                                       (folder / "ready.json").string(),
-                                       "--logs",
-                                       "json"};
-        for (const auto &fault : start.shellFaults)
-            words.insert(words.end(), {"--shell-fault", fault});
+        std::vector<std::string> arguments{options.program.string(),
+                                           "gateway",
+                                           "--listen",
+                                           listen,
+                                           "--api",
+                                           api,
+                                           "--state",
+                                           folder.string(),
+                                           "--ready-file",
+                                           (folder / "ready.json").string(),
+                                           "--logs",
+                                           "json"};
+        for (const auto &fault : options.shellFaults)
+            arguments.insert(arguments.end(), {"--shell-fault", fault});
         std::vector<char *> argv;
-        argv.reserve(words.size());
-        for (auto &word : words)
+        argv.reserve(arguments.size());
+        for (auto &word : arguments)
             argv.push_back(word.data());
         argv.push_back(nullptr);
-        posix_spawn_file_actions_t files;
-        posix_spawn_file_actions_init(&files);
+        posix_spawn_file_actions_t fileActions;
+        posix_spawn_file_actions_init(&fileActions);
         const std::string log = (folder / "log.jsonl").string();
-        posix_spawn_file_actions_addopen(&files, 2, log.c_str(), O_WRONLY | O_CREAT | O_APPEND,
-                                         0600);
-        const int failed = ::posix_spawn(&pid, argv[0], &files, nullptr, argv.data(), environ);
-        posix_spawn_file_actions_destroy(&files);
-        if (failed)
+        posix_spawn_file_actions_addopen(&fileActions, 2, log.c_str(),
+                                         O_WRONLY | O_CREAT | O_APPEND, 0600);
+        const int error = ::posix_spawn(&pid, argv[0], &fileActions, nullptr, argv.data(), environ);
+        posix_spawn_file_actions_destroy(&fileActions);
+        if (error)
             pid = -1;
-        return !failed;
+        return !error;
     }
-    bool look() {  // whether it is ready
+    // Whether the gateway has written its ready file.
+    bool checkReady() {
         if (ready)
             return true;
         std::ifstream file(folder / "ready.json");
-        const json said = file ? json::parse(file, nullptr, false) : json{};
-        if (!said.is_object())
+        const json document = file ? json::parse(file, nullptr, false) : json{};
+        if (!document.is_object())
             return false;
-        listen = said.at("listen"), api = said.at("api");
+        listen = document.at("listen"), api = document.at("api");
         return ready = true;
     }
-    bool over() {
+    // Reaps the process; true when there is none.
+    bool checkExited() {
         int waitStatus = 0;
         if (pid <= 0)
             return true;
@@ -90,9 +92,9 @@
         pid = -1;
         return true;
     }
-    void signal(int number) const {
+    void signal(int signalNumber) const {
         if (pid > 0)
-            ::kill(pid, number);
+            ::kill(pid, signalNumber);
     }
     ~Process() {
         if (pid <= 0)
@@ -102,40 +104,41 @@
     }
 };
 
-class Stage {
+// One run of a scenario, driven by a timer.
+class ScenarioRunner {
   public:
-    Stage(const Scenario &what, const ScenarioRunOptions &with)
-        : day(what), start(with), world(what, clock, out.records),
-          controlPlane(context, world, what.seed * 7 + 1), chance(what.seed * 7 + 2),
-          looking(context), processes(what.gatewayWeights.size()) {}
+    ScenarioRunner(const Scenario &given, const ScenarioRunOptions &runOptions)
+        : scenario(given), options(runOptions), environment(given, clock, out.records),
+          controlPlane(context, environment, given.seed * 7 + 1), rng(given.seed * 7 + 2),
+          tickTimer(context), processes(given.gatewayWeights.size()) {}
 
-    ScenarioRun play() {
+    ScenarioRun run() {
         std::signal(SIGPIPE, SIG_IGN);
-        const bool temporary = start.keep.empty();
+        const bool temporary = options.keep.empty();
         folder = temporary
                      ? fs::temp_directory_path() / fmt::format("deckcart-rehearsal-{}", ::getpid())
-                     : start.keep;
-        if (day.nameServers > 0) {
-            names = std::make_unique<fakes::FleetNames>(context, day, clock, out.records,
-                                                        std::uint32_t(day.seed * 7 + 4));
-            controlPlane.names = names.get();
+                     : options.keep;
+        if (scenario.nameServers > 0) {
+            nameServers = std::make_unique<fakes::FleetNames>(context, scenario, clock, out.records,
+                                                              std::uint32_t(scenario.seed * 7 + 4));
+            controlPlane.nameServers = nameServers.get();
         }
         controlPlane.start();
         for (std::size_t k = 0; k < processes.size(); ++k) {
             auto &p = processes[k];
-            p.no = int(k), p.folder = folder / ("g" + std::to_string(k));
+            p.index = int(k), p.folder = folder / ("g" + std::to_string(k));
             fs::remove_all(p.folder);
             fs::create_directories(p.folder);
-            if (!p.spawn(start))
-                return fail("gateway can't be started: " + start.program.string());
+            if (!p.spawn(options))
+                return failedStart("cannot start the gateway: " + options.program.string());
         }
-        deadline = clock.now() + kReadyWithin;
-        look();
+        deadline = clock.now() + kReadyTimeout;
+        scheduleTick();
         context.run();
         if (!clients && out.fault.empty())
-            out.fault = "no gateway got ready";
+            out.fault = "no gateway became ready";
         if (out.fault.empty())
-            judge();
+            buildReport();
         clients.reset();
         processes.clear();
         std::error_code ignored;
@@ -145,23 +148,23 @@
     }
 
   private:
-    ScenarioRun fail(std::string why) {
+    ScenarioRun failedStart(std::string why) {
         out.fault = std::move(why);
         processes.clear();
         return std::move(out);
     }
-    void stop(std::string why) {
+    void stopWithFault(std::string why) {
         out.fault = std::move(why);
         context.stop();
     }
 
-    // ---- from the first process to the last ----
-    void look() {
+    // ---- phases of the run ----
+    void scheduleTick() {
         tick();
-        looking.expires_after(kLookEvery);
-        looking.async_wait([this](asio::error_code fault) {
+        tickTimer.expires_after(kTickInterval);
+        tickTimer.async_wait([this](asio::error_code fault) {
             if (!fault)
-                look();
+                scheduleTick();
         });
     }
 
@@ -171,440 +174,468 @@
         case RunPhase::starting: {
             bool all = true;
             for (auto &p : processes) {
-                if (p.over())
-                    return stop("a gateway ended at its start; its log is in " + p.folder.string());
-                all = p.look() && all;
+                if (p.checkExited())
+                    return stopWithFault("a gateway exited during startup; its log is in " +
+                                         p.folder.string());
+                all = p.checkReady() && all;
             }
             if (!all) {
                 if (now > deadline)
-                    stop("the gateways did not get ready in time");
+                    stopWithFault("the gateways did not become ready in time");
                 return;
             }
             phase = RunPhase::settings;
             for (auto &p : processes) {
                 http::RequestHead head;
                 head.method = "PUT", head.target = "/v1/settings";
-                const json settings =
-                    settingsOf(day, p.no, controlPlane.address(),
-                               names ? names->addresses(p.no) : std::vector<std::string>{});
+                const json settings = settingsOf(scenario, p.index, controlPlane.address(),
+                                                 nameServers ? nameServers->addresses(p.index)
+                                                             : std::vector<std::string>{});
                 http::Fetch::start(context, *parseAddress(p.api), head, settings.dump(),
                                    std::chrono::seconds(10), [this](const http::Fetched &got) {
                                        if (!got.ok())
-                                           return stop("settings refused: " + got.body);
-                                       ++settled;
+                                           return stopWithFault(
+                                               "a gateway rejected its settings: " + got.body);
+                                       ++configured;
                                    });
             }
             return;
         }
         case RunPhase::settings:
-            if (settled < processes.size())
+            if (configured < processes.size())
                 return;
-            began = now + kBeforeDay, phase = RunPhase::waiting;
+            startedAt = now + kStartDelay, phase = RunPhase::waiting;
             return;
         case RunPhase::waiting: {
-            if (now < began)
+            if (now < startedAt)
                 return;
-            phase = RunPhase::day, began = now;
-            open();
-            std::vector<fakes::Clients::Place> places;
+            phase = RunPhase::running, startedAt = now;
+            resetFaults();
+            std::vector<fakes::Clients::Gateway> gateways;
             for (const auto &p : processes)
-                places.push_back({*parseAddress(p.listen), *parseAddress(p.api),
-                                  day.gatewayWeights[std::size_t(p.no)]});
-            clients = std::make_unique<fakes::Clients>(context, world, std::move(places),
-                                                       day.seed * 7 + 3);
-            clients->start(began + day.lasts);
+                gateways.push_back({*parseAddress(p.listen), *parseAddress(p.api),
+                                    scenario.gatewayWeights[std::size_t(p.index)]});
+            clients = std::make_unique<fakes::Clients>(context, environment, std::move(gateways),
+                                                       scenario.seed * 7 + 3);
+            clients->start(startedAt + scenario.duration);
             return;
         }
-        case RunPhase::day:
+        case RunPhase::running:
             controlPlane.tick();
-            injectedFaults(now - began);
-            revive(now);
-            if (now >= began + day.lasts && clients->idle()) {
+            runFaults(now - startedAt);
+            restartGateways(now);
+            if (now >= startedAt + scenario.duration && clients->idle()) {
                 for (auto &p : processes)
                     p.signal(SIGCONT), p.signal(SIGTERM);
-                phase = RunPhase::ending, deadline = now + kEndWithin;
+                phase = RunPhase::ending, deadline = now + kExitTimeout;
             }
             return;
         case RunPhase::ending: {
             bool all = true;
             for (auto &p : processes)
-                all = p.over() && all;
+                all = p.checkExited() && all;
             if (!all && now > deadline)
-                return stop("a gateway did not end after SIGTERM");
+                return stopWithFault("a gateway did not exit after SIGTERM");
             if (!all)
                 return;
             for (const auto &p : processes)
                 if (p.status && *p.status != 0)
-                    return stop(fmt::format("gateway g{} ended with status {}; see its log", p.no,
-                                            *p.status));
+                    return stopWithFault(fmt::format(
+                        "gateway g{} exited with status {}; see its log", p.index, *p.status));
             context.stop();
         }
         }
     }
 
-    // What the document calls 0.
-    void open() {
-        controlPlane.dayBegins(began);
-        pending = day.injectedFaults;
+    // Called at time 0 of the scenario document.
+    void resetFaults() {
+        controlPlane.scenarioStarts(startedAt);
+        pending = scenario.injectedFaults;
         std::ranges::stable_sort(pending, {}, &InjectedFault::at);
         active.clear();
     }
 
-    std::vector<fakes::FakeEndpoint *> some(const InjectedFault &t) {
-        auto all = controlPlane.instances(t.where);
-        std::ranges::sort(all, {}, [](const fakes::FakeEndpoint *i) { return i->id(); });
+    // Random endpoints that the fault affects.
+    std::vector<fakes::FakeEndpoint *> chooseEndpoints(const InjectedFault &fault) {
+        auto candidates = controlPlane.runningEndpoints(fault.target);
+        std::ranges::sort(candidates, {},
+                          [](const fakes::FakeEndpoint *endpoint) { return endpoint->id(); });
         std::vector<fakes::FakeEndpoint *> chosen;
-        while (!all.empty() && int(chosen.size()) < t.count) {
-            const auto k = std::size_t(chance() % all.size());
-            chosen.push_back(all[k]), all.erase(all.begin() + long(k));
+        while (!candidates.empty() && int(chosen.size()) < fault.count) {
+            const auto index = std::size_t(rng() % candidates.size());
+            chosen.push_back(candidates[index]), candidates.erase(candidates.begin() + long(index));
         }
         return chosen;
     }
-    std::vector<Process *> someGateways(int count) {
-        std::vector<Process *> all, chosen;
-        for (auto &p : processes)
-            if (p.ready && p.pid > 0)
-                all.push_back(&p);
-        while (!all.empty() && int(chosen.size()) < count) {
-            const auto k = std::size_t(chance() % all.size());
-            chosen.push_back(all[k]), all.erase(all.begin() + long(k));
+    std::vector<Process *> chooseGateways(int count) {
+        std::vector<Process *> candidates, chosen;
+        for (auto &process : processes)
+            if (process.ready && process.pid > 0)
+                candidates.push_back(&process);
+        while (!candidates.empty() && int(chosen.size()) < count) {
+            const auto index = std::size_t(rng() % candidates.size());
+            chosen.push_back(candidates[index]), candidates.erase(candidates.begin() + long(index));
         }
         return chosen;
     }
 
-    struct Active {
+    // A fault in progress; `repeat` is called every second, `end` once at its end.
+    struct ActiveFault {
         Duration until{};
         std::function<void()> end;
-        std::function<void()> again;
-        Duration nextAgain{};
+        std::function<void()> repeat;
+        Duration nextRepeat{};
     };
 
-    void injectedFaults(Duration at) {
-        while (!pending.empty() && pending.front().at <= at) {
-            begin(pending.front());
+    void runFaults(Duration sinceStart) {
+        while (!pending.empty() && pending.front().at <= sinceStart) {
+            startFault(pending.front());
             pending.erase(pending.begin());
         }
-        for (auto &a : active)
-            if (a.again && at >= a.nextAgain && at < a.until)
-                a.nextAgain = at + std::chrono::seconds(1), a.again();
+        for (auto &fault : active)
+            if (fault.repeat && sinceStart >= fault.nextRepeat && sinceStart < fault.until)
+                fault.nextRepeat = sinceStart + std::chrono::seconds(1), fault.repeat();
         std::vector<std::function<void()>> ends;
-        std::erase_if(active, [&](Active &a) {
-            if (at < a.until)
+        std::erase_if(active, [&](ActiveFault &fault) {
+            if (sinceStart < fault.until)
                 return false;
-            if (a.end)
-                ends.push_back(a.end);
+            if (fault.end)
+                ends.push_back(fault.end);
             return true;
         });
         for (const auto &end : ends)
             end();
     }
 
-    void begin(const InjectedFault &t) {
-        Active a{t.at + t.lasts, nullptr, nullptr, Duration{0}};
-        const auto hit = some(t);
+    void startFault(const InjectedFault &fault) {
+        ActiveFault activeFault{fault.at + fault.duration, nullptr, nullptr, Duration{0}};
+        const auto affected = chooseEndpoints(fault);
         std::vector<EndpointId> ids;
-        ids.reserve(hit.size());
-        for (const auto *i : hit)
-            ids.push_back(i->id());
-        // An instance may be gone when its trouble ends: it is looked up anew.
-        const auto each = [this, ids](auto what) {
-            return [this, ids, what] {
-                for (auto *i : controlPlane.instances("any"))
-                    if (std::ranges::find(ids, i->id()) != ids.end())
-                        what(*i);
+        ids.reserve(affected.size());
+        for (const auto *endpoint : affected)
+            ids.push_back(endpoint->id());
+        // Endpoints are looked up again each time, as one may have ended before its fault does.
+        const auto forEach = [this, ids](auto action) {
+            return [this, ids, action] {
+                for (auto *endpoint : controlPlane.runningEndpoints("any"))
+                    if (std::ranges::find(ids, endpoint->id()) != ids.end())
+                        action(*endpoint);
             };
         };
-        using I = fakes::FakeEndpoint;
-        const auto both = [&](auto on, auto off) { each(on)(), a.end = each(off); };
-        switch (t.kind) {
+        using Endpoint = fakes::FakeEndpoint;
+        const auto forEachUntilEnd = [&](auto onStart, auto onEnd) {
+            forEach(onStart)(), activeFault.end = forEach(onEnd);
+        };
+        switch (fault.kind) {
         case FaultKind::hang:
-            both([](I &i) { i.hang(true); }, [](I &i) { i.hang(false); });
+            forEachUntilEnd([](Endpoint &endpoint) { endpoint.setHanging(true); },
+                            [](Endpoint &endpoint) { endpoint.setHanging(false); });
             break;
         case FaultKind::crash:
-            for (auto *i : hit)
-                controlPlane.crash(*i);
+            for (auto *endpoint : affected)
+                controlPlane.crash(*endpoint);
             break;
         case FaultKind::drain:
-            for (auto *i : hit)
-                controlPlane.staffDrains(*i);
+            for (auto *endpoint : affected)
+                controlPlane.drainEndpoint(*endpoint);
             break;
-        case FaultKind::answersLost:
-            both([p = t.part](I &i) { i.answersLost = p; }, [](I &i) { i.answersLost = 0; });
+        case FaultKind::responsesLost:
+            forEachUntilEnd(
+                [rate = fault.fraction](Endpoint &endpoint) { endpoint.responseLossRate = rate; },
+                [](Endpoint &endpoint) { endpoint.responseLossRate = 0; });
             break;
         case FaultKind::slowConnects:
-            both([](I &i) { i.slowConnects(true); }, [](I &i) { i.slowConnects(false); });
+            forEachUntilEnd([](Endpoint &endpoint) { endpoint.setSlowConnects(true); },
+                            [](Endpoint &endpoint) { endpoint.setSlowConnects(false); });
             break;
-        case FaultKind::neighbour:
-            both([x = t.times](I &i) { i.slow = x; }, [](I &i) { i.slow = 1; });
+        case FaultKind::noisyNeighbor:
+            forEachUntilEnd(
+                [factor = fault.factor](Endpoint &endpoint) { endpoint.slowdown = factor; },
+                [](Endpoint &endpoint) { endpoint.slowdown = 1; });
             break;
         case FaultKind::pauses:
-            a.again = each([](I &i) { i.pause(std::chrono::milliseconds(400)); });
+            activeFault.repeat =
+                forEach([](Endpoint &endpoint) { endpoint.pause(std::chrono::milliseconds(400)); });
             break;
-        case FaultKind::fleetSlow:
-            world.fleetSlow = t.times, a.end = [this] { world.fleetSlow = 1; };
+        case FaultKind::allSlow:
+            environment.fleetSlowdown = fault.factor,
+            activeFault.end = [this] { environment.fleetSlowdown = 1; };
             break;
-        case FaultKind::listLate:
-            controlPlane.listLate = Duration{std::llround(t.times * 1e6)},
-            a.end = [this] { controlPlane.listLate = Duration{0}; };
+        case FaultKind::listDelayed:
+            controlPlane.listDelay = Duration{std::llround(fault.factor * 1e6)},
+            activeFault.end = [this] { controlPlane.listDelay = Duration{0}; };
             break;
         case FaultKind::listFails:
-            controlPlane.listFails = true, a.end = [this] { controlPlane.listFails = false; };
+            controlPlane.listFails = true,
+            activeFault.end = [this] { controlPlane.listFails = false; };
             break;
-        case FaultKind::deskStill:
-            controlPlane.still = true, controlPlane.stillCounts = t.votesCount,
-            a.end = [this] { controlPlane.still = false; };
+        case FaultKind::votesUnanswered:
+            controlPlane.votesUnanswered = true,
+            controlPlane.countsUnansweredVotes = fault.votesCount,
+            activeFault.end = [this] { controlPlane.votesUnanswered = false; };
             break;
         case FaultKind::gatewayKilled:
-            for (auto *p : someGateways(t.count)) {
-                p->signal(SIGKILL);
+            for (auto *process : chooseGateways(fault.count)) {
+                process->signal(SIGKILL);
                 out.records.halts.push_back(
-                    {p->no, HaltKind::killed, clock.now(), Duration::max()});
-                down.push_back(
-                    {p->no,
-                     clock.now() + std::max(t.lasts, Duration{std::chrono::milliseconds(100)}),
+                    {process->index, HaltKind::killed, clock.now(), Duration::max()});
+                killedGateways.push_back(
+                    {process->index,
+                     clock.now() +
+                         std::max(fault.duration, Duration{std::chrono::milliseconds(100)}),
                      out.records.halts.size() - 1, false});
             }
             break;
         case FaultKind::gatewayStalled:
-            for (auto *p : someGateways(t.count)) {
-                p->signal(SIGSTOP);
+            for (auto *process : chooseGateways(fault.count)) {
+                process->signal(SIGSTOP);
                 out.records.halts.push_back(
-                    {p->no, HaltKind::stopped, clock.now(), Duration::max()});
+                    {process->index, HaltKind::stopped, clock.now(), Duration::max()});
                 const auto halt = out.records.halts.size() - 1;
-                a.end = [this, before = a.end, no = std::size_t(p->no), halt] {
+                activeFault.end = [this, before = activeFault.end,
+                                   index = std::size_t(process->index), halt] {
                     if (before)
                         before();
-                    processes[no].signal(SIGCONT);
+                    processes[index].signal(SIGCONT);
                     out.records.halts[halt].until = clock.now();
                 };
             }
             break;
         case FaultKind::burst:
-            clients->burst = t.times, a.end = [this] { clients->burst = 1; };
+            clients->burst = fault.factor, activeFault.end = [this] { clients->burst = 1; };
             break;
-        case FaultKind::heedless:
-            clients->heedlessTimes = t.times, a.end = [this] { clients->heedlessTimes = 1; };
+        case FaultKind::retryStorm:
+            clients->retryStormAttempts = fault.factor,
+            activeFault.end = [this] { clients->retryStormAttempts = 1; };
             break;
-        case FaultKind::lowReports:
-            both([](I &i) { i.lowReports = true; }, [](I &i) { i.lowReports = false; });
+        case FaultKind::lowLoadReports:
+            forEachUntilEnd([](Endpoint &endpoint) { endpoint.underreportsLoad = true; },
+                            [](Endpoint &endpoint) { endpoint.underreportsLoad = false; });
             break;
         case FaultKind::probesFail:
-            both([](I &i) { i.probesFail = true; }, [](I &i) { i.probesFail = false; });
+            forEachUntilEnd([](Endpoint &endpoint) { endpoint.probesFail = true; },
+                            [](Endpoint &endpoint) { endpoint.probesFail = false; });
             break;
-        case FaultKind::namesSilent:
-        case FaultKind::namesLossy:
-            for (std::size_t k = 0; k < std::size_t(t.count); ++k) {
+        case FaultKind::nameServersSilent:
+        case FaultKind::nameServersLossy:
+            for (std::size_t server = 0; server < std::size_t(fault.count); ++server) {
                 fakes::NameFaults faults;
-                faults.silent = t.kind == FaultKind::namesSilent;
-                faults.lost = t.kind == FaultKind::namesLossy ? t.part : 0;
-                names->misbehave(k, faults);
+                faults.silent = fault.kind == FaultKind::nameServersSilent;
+                faults.lost = fault.kind == FaultKind::nameServersLossy ? fault.fraction : 0;
+                nameServers->setFaults(server, faults);
             }
-            a.end = [this, count = std::size_t(t.count)] {
-                for (std::size_t k = 0; k < count; ++k)
-                    names->misbehave(k, {});
+            activeFault.end = [this, count = std::size_t(fault.count)] {
+                for (std::size_t server = 0; server < count; ++server)
+                    nameServers->setFaults(server, {});
             };
             break;
-        case FaultKind::namesContradict: {
-            const auto last = std::size_t(day.nameServers - 1);
-            names->freeze(last, true);
-            a.end = [this, last] { names->freeze(last, false); };
+        case FaultKind::nameServersContradict: {
+            const auto lastServer = std::size_t(scenario.nameServers - 1);
+            nameServers->freeze(lastServer, true);
+            activeFault.end = [this, lastServer] { nameServers->freeze(lastServer, false); };
             break;
         }
         }
-        active.push_back(std::move(a));
+        active.push_back(std::move(activeFault));
     }
 
-    struct Down {
-        int no = 0;
+    // A killed gateway that is to be started again.
+    struct KilledGateway {
+        int index = 0;
         Duration startAt{};
-        std::size_t halt = 0;
+        std::size_t haltIndex = 0;
         bool started = false;
     };
-    void revive(Duration now) {
-        for (auto &d : down) {
-            auto &p = processes[std::size_t(d.no)];
-            if (!d.started && now >= d.startAt && p.over()) {
-                d.started = true;
-                if (!p.spawn(start))
-                    return stop("a gateway can't be started again");
+    void restartGateways(Duration now) {
+        for (auto &gateway : killedGateways) {
+            auto &process = processes[std::size_t(gateway.index)];
+            if (!gateway.started && now >= gateway.startAt && process.checkExited()) {
+                gateway.started = true;
+                if (!process.spawn(options))
+                    return stopWithFault("cannot restart a gateway");
             }
         }
-        std::erase_if(down, [&](const Down &d) {
-            auto &p = processes[std::size_t(d.no)];
-            if (!d.started || !p.look())
+        std::erase_if(killedGateways, [&](const KilledGateway &gateway) {
+            auto &process = processes[std::size_t(gateway.index)];
+            if (!gateway.started || !process.checkReady())
                 return false;
-            out.records.halts[d.halt].until = clock.now();
+            out.records.halts[gateway.haltIndex].until = clock.now();
             return true;
         });
     }
 
-    // ---- the verdict ----
-    void judge() {
-        for (auto &h : out.records.halts)
-            h.until = std::min(h.until, clock.now());
-        out.violations = audit(out.records, ruleParametersOf(day));
+    // ---- rule check and report ----
+    void buildReport() {
+        for (auto &halt : out.records.halts)
+            halt.until = std::min(halt.until, clock.now());
+        out.violations = audit(out.records, ruleParametersOf(scenario));
         json routes = json::array();
-        double asked = 0, good = 0;
-        for (std::size_t k = 0; k < day.routes.size(); ++k) {
-            const auto &s = clients->service[k];
-            const auto &r = day.routes[k];
-            asked += s.asked * r.benefit, good += s.inTime * r.benefit;
-            routes.push_back({{"route", r.name},
-                              {"asked", s.asked},
-                              {"inTime", s.inTime},
-                              {"late", s.late},
-                              {"shed", s.shed},
-                              {"errored", s.errored},
-                              {"unanswered", s.none},
-                              {"wrong", s.wrong}});
+        double requestedTotal = 0, benefitInTime = 0;
+        for (std::size_t index = 0; index < scenario.routes.size(); ++index) {
+            const auto &outcome = clients->outcomes[index];
+            const auto &route = scenario.routes[index];
+            requestedTotal += outcome.asked * route.benefit,
+                benefitInTime += outcome.inTime * route.benefit;
+            routes.push_back({{"route", route.name},
+                              {"asked", outcome.asked},
+                              {"inTime", outcome.inTime},
+                              {"late", outcome.late},
+                              {"shed", outcome.shed},
+                              {"errored", outcome.errored},
+                              {"unanswered", outcome.unanswered},
+                              {"wrong", outcome.wrong}});
         }
-        double worst = 1;
+        double worstService = 1;
         const auto &seconds = clients->seconds;
-        for (std::size_t k = 0; k + 5 <= seconds.size(); ++k) {
-            double a = 0, b = 0;
-            for (std::size_t n = k; n < k + 5; ++n)
-                a += seconds[n].asked, b += seconds[n].inTime;
-            if (a > 0)
-                worst = std::min(worst, b / a);
+        for (std::size_t first = 0; first + 5 <= seconds.size(); ++first) {
+            double requested = 0, inTime = 0;
+            for (std::size_t second = first; second < first + 5; ++second)
+                requested += seconds[second].asked, inTime += seconds[second].inTime;
+            if (requested > 0)
+                worstService = std::min(worstService, inTime / requested);
         }
         json stages = json::array();
-        for (const auto &s : controlPlane.stages)
-            stages.push_back({{"atMs", milliseconds(s.at - began)},
-                              {"build", s.stage.build},
-                              {"step", s.stage.step},
-                              {"phase", deckcart::nameOf(s.stage.phase)},
-                              {"cap", s.stage.exposureLimit}});
+        for (const auto &change : controlPlane.stageChanges)
+            stages.push_back({{"atMs", milliseconds(change.at - startedAt)},
+                              {"build", change.stage.build},
+                              {"step", change.stage.step},
+                              {"phase", deckcart::nameOf(change.stage.phase)},
+                              {"cap", change.stage.exposureLimit}});
         json votes = json::object();
-        for (const auto &[verdict, n] : controlPlane.votesTaken)
-            votes[deckcart::nameOf(verdict)] = n;
+        for (const auto &[verdict, count] : controlPlane.voteCounts)
+            votes[deckcart::nameOf(verdict)] = count;
         std::map<Rule, std::vector<const Violation *>> byRule;
-        for (const auto &b : out.violations)
-            byRule[b.rule].push_back(&b);
+        for (const auto &violation : out.violations)
+            byRule[violation.rule].push_back(&violation);
         json rules = json::array();
-        for (int k = 1; k <= 5; ++k) {
-            const auto &list = byRule[Rule(k)];
-            json one{{"rule", k},
-                     {"name", nameOf(Rule(k))},
-                     {"kept", list.empty()},
-                     {"breaches", json::array()}};
-            for (std::size_t n = 0; n < std::min<std::size_t>(list.size(), 10); ++n)
-                one["breaches"].push_back({{"req", list[n]->requestId},
-                                           {"atMs", milliseconds(list[n]->at - began)},
-                                           {"words", list[n]->words}});
-            one["count"] = list.size();
-            rules.push_back(std::move(one));
+        for (int index = 1; index <= 5; ++index) {
+            const auto &ofRule = byRule[Rule(index)];
+            json entry{{"rule", index},
+                       {"name", nameOf(Rule(index))},
+                       {"kept", ofRule.empty()},
+                       {"breaches", json::array()}};
+            for (std::size_t count = 0; count < std::min<std::size_t>(ofRule.size(), 10); ++count)
+                entry["breaches"].push_back({{"req", ofRule[count]->requestId},
+                                             {"atMs", milliseconds(ofRule[count]->at - startedAt)},
+                                             {"words", ofRule[count]->words}});
+            entry["count"] = ofRule.size();
+            rules.push_back(std::move(entry));
         }
-        const auto &last = controlPlane.stage();
-        const bool released =
-            last.build == world.trial && last.phase == deckcart::RolloutPhase::released;
-        const bool sentBack =
-            last.build == world.trial && (last.phase == deckcart::RolloutPhase::rollingBack ||
-                                          last.phase == deckcart::RolloutPhase::rolledBack);
-        out.verdictRight = !day.releaseAt || (day.shouldRelease ? released : sentBack);
-        std::size_t twice = 0;
-        for (const auto &[mark, n] : world.effects)
-            twice += n > 1;
-        out.report = {{"day", day.name},
-                      {"words", day.words},
-                      {"seed", day.seed},
-                      {"lastsMs", milliseconds(day.lasts)},
+        const auto &rollout = controlPlane.stage();
+        const bool released = rollout.build == environment.canaryBuild &&
+                              rollout.phase == deckcart::RolloutPhase::released;
+        const bool rolledBack = rollout.build == environment.canaryBuild &&
+                                (rollout.phase == deckcart::RolloutPhase::rollingBack ||
+                                 rollout.phase == deckcart::RolloutPhase::rolledBack);
+        out.verdictRight = !scenario.rolloutAt || (scenario.shouldRelease ? released : rolledBack);
+        std::size_t repeatedEffects = 0;
+        for (const auto &[key, count] : environment.effectCounts)
+            repeatedEffects += count > 1;
+        out.report = {{"day", scenario.name},
+                      {"words", scenario.description},
+                      {"seed", scenario.seed},
+                      {"lastsMs", milliseconds(scenario.duration)},
                       {"gateways", processes.size()},
-                      {"instances", day.instances},
-                      {"service", asked > 0 ? good / asked : 0},
-                      {"worst5s", worst},
+                      {"instances", scenario.endpointCount},
+                      {"service", requestedTotal > 0 ? benefitInTime / requestedTotal : 0},
+                      {"worst5s", worstService},
                       {"routes", std::move(routes)},
                       {"stages", std::move(stages)},
                       {"votes", std::move(votes)},
                       {"rules", std::move(rules)},
-                      {"marksRunTwice", twice},
+                      {"marksRunTwice", repeatedEffects},
                       {"tries", out.records.instances.size()},
                       {"fallen", out.records.overloadedEndpoints.size()},
-                      {"release", !day.releaseAt ? "none"
-                                  : released     ? "released"
-                                  : sentBack     ? "sent-back"
-                                                 : "on-trial"},
-                      {"expected", !day.releaseAt      ? "none"
-                                   : day.shouldRelease ? "released"
-                                                       : "sent-back"},
+                      {"release", !scenario.rolloutAt ? "none"
+                                  : released          ? "released"
+                                  : rolledBack        ? "sent-back"
+                                                      : "on-trial"},
+                      {"expected", !scenario.rolloutAt      ? "none"
+                                   : scenario.shouldRelease ? "released"
+                                                            : "sent-back"},
                       {"verdictRight", out.verdictRight}};
     }
 
-    const Scenario &day;
-    const ScenarioRunOptions &start;
+    const Scenario &scenario;
+    const ScenarioRunOptions &options;
     asio::io_context context{1};
     SteadyClock clock;
     ScenarioRun out;
-    fakes::FakeEnvironment world;
-    std::unique_ptr<fakes::FleetNames> names;
+    fakes::FakeEnvironment environment;
+    std::unique_ptr<fakes::FleetNames> nameServers;
     fakes::FakeControlPlane controlPlane;
-    std::mt19937_64 chance;
-    asio::steady_timer looking;
+    std::mt19937_64 rng;
+    asio::steady_timer tickTimer;
     std::deque<Process> processes;
     std::unique_ptr<fakes::Clients> clients;
     fs::path folder;
-    enum class RunPhase { starting, settings, waiting, day, ending } phase = RunPhase::starting;
-    Duration deadline{}, began{};
-    std::size_t settled = 0;
+    enum class RunPhase { starting, settings, waiting, running, ending } phase = RunPhase::starting;
+    Duration deadline{}, startedAt{};
+    std::size_t configured = 0;
     std::vector<InjectedFault> pending;
-    std::vector<Active> active;
-    std::vector<Down> down;
+    std::vector<ActiveFault> active;
+    std::vector<KilledGateway> killedGateways;
 };
 
 }  // namespace
 
-RuleParameters ruleParametersOf(const Scenario &day) {
-    RuleParameters f;
-    for (const auto &r : day.routes)
-        f.routes.push_back(r.rule);
-    f.drainGrace = day.drainGrace, f.exposureAllowance = day.exposureAllowance,
-    f.exposureWindow = day.exposureWindow;
-    f.exposurePerRoute = day.exposurePerRoute, f.stickyKeys = day.stickyKeys,
-    f.firstExposureLimit = day.caps.front();
-    f.idempotentOnlyStages = day.idempotentOnlyStages, f.firstBuild = 1;
-    return f;
+RuleParameters ruleParametersOf(const Scenario &scenario) {
+    RuleParameters parameters;
+    for (const auto &route : scenario.routes)
+        parameters.routes.push_back(route.rule);
+    parameters.drainGrace = scenario.drainGrace,
+    parameters.exposureAllowance = scenario.exposureAllowance,
+    parameters.exposureWindow = scenario.exposureWindow;
+    parameters.exposurePerRoute = scenario.exposurePerRoute,
+    parameters.stickyKeys = scenario.stickyKeys,
+    parameters.firstExposureLimit = scenario.exposureLimits.front();
+    parameters.idempotentOnlyStages = scenario.idempotentOnlyStages, parameters.firstBuild = 1;
+    return parameters;
 }
 
-ScenarioRun runScenario(const Scenario &day, const ScenarioRunOptions &start) {
-    return Stage(day, start).play();
+ScenarioRun runScenario(const Scenario &scenario, const ScenarioRunOptions &options) {
+    return ScenarioRunner(scenario, options).run();
 }
 
-std::string describe(const json &r) {
-    std::string out = fmt::format("{} (seed {}): {} gateways, {} instances, {:.0f} s\n  {}\n\n",
-                                  r["day"].get<std::string>(), r["seed"].get<int>(),
-                                  r["gateways"].get<int>(), r["instances"].get<int>(),
-                                  r["lastsMs"].get<double>() / 1000, r["words"].get<std::string>());
-    out += fmt::format("  {:<14}{:>8}{:>9}{:>7}{:>7}{:>9}{:>12}{:>7}\n", "route", "asked",
-                       "in time", "late", "shed", "errored", "unanswered", "wrong");
-    for (const auto &s : r["routes"])
-        out += fmt::format("  {:<14}{:>8.0f}{:>9.0f}{:>7.0f}{:>7.0f}{:>9.0f}{:>12.0f}{:>7.0f}\n",
-                           s["route"].get<std::string>(), s["asked"].get<double>(),
-                           s["inTime"].get<double>(), s["late"].get<double>(),
-                           s["shed"].get<double>(), s["errored"].get<double>(),
-                           s["unanswered"].get<double>(), s["wrong"].get<double>());
-    out += fmt::format(
-        "  service {:.3f} of the benefit asked for, worst 5 s {:.3f} (simulated instances)\n\n",
-        r["service"].get<double>(), r["worst5s"].get<double>());
-    for (const auto &s : r["stages"])
-        out +=
-            fmt::format("  {:>7.1f} s  build {} step {} {} cap {:.2f}\n",
-                        s["atMs"].get<double>() / 1000, s["build"].get<int>(), s["step"].get<int>(),
-                        s["phase"].get<std::string>(), s["cap"].get<double>());
-    out += "  votes:";
-    for (const auto &[name, n] : r["votes"].items())
-        out += fmt::format(" {} {}", name, n.get<int>());
-    out += fmt::format("\n  release: {}, staff would expect: {}{}\n\n",
-                       r["release"].get<std::string>(), r["expected"].get<std::string>(),
-                       r["verdictRight"].get<bool>() ? "" : "  (WRONG VERDICT)");
-    for (const auto &rule : r["rules"]) {
-        out += fmt::format(
+std::string describe(const json &report) {
+    std::string text =
+        fmt::format("{} (seed {}): {} gateways, {} endpoints, {:.0f} s\n  {}\n\n",
+                    report["day"].get<std::string>(), report["seed"].get<int>(),
+                    report["gateways"].get<int>(), report["instances"].get<int>(),
+                    report["lastsMs"].get<double>() / 1000, report["words"].get<std::string>());
+    text += fmt::format("  {:<14}{:>8}{:>9}{:>7}{:>7}{:>9}{:>12}{:>7}\n", "route", "asked",
+                        "in time", "late", "shed", "errored", "unanswered", "wrong");
+    for (const auto &entry : report["routes"])
+        text += fmt::format("  {:<14}{:>8.0f}{:>9.0f}{:>7.0f}{:>7.0f}{:>9.0f}{:>12.0f}{:>7.0f}\n",
+                            entry["route"].get<std::string>(), entry["asked"].get<double>(),
+                            entry["inTime"].get<double>(), entry["late"].get<double>(),
+                            entry["shed"].get<double>(), entry["errored"].get<double>(),
+                            entry["unanswered"].get<double>(), entry["wrong"].get<double>());
+    text += fmt::format(
+        "  service {:.3f} of the requested benefit, worst 5 s {:.3f} (simulated endpoints)\n\n",
+        report["service"].get<double>(), report["worst5s"].get<double>());
+    for (const auto &entry : report["stages"])
+        text += fmt::format("  {:>7.1f} s  build {} step {} {} cap {:.2f}\n",
+                            entry["atMs"].get<double>() / 1000, entry["build"].get<int>(),
+                            entry["step"].get<int>(), entry["phase"].get<std::string>(),
+                            entry["cap"].get<double>());
+    text += "  votes:";
+    for (const auto &[name, count] : report["votes"].items())
+        text += fmt::format(" {} {}", name, count.get<int>());
+    text += fmt::format("\n  release: {}, expected: {}{}\n\n", report["release"].get<std::string>(),
+                        report["expected"].get<std::string>(),
+                        report["verdictRight"].get<bool>() ? "" : "  (WRONG VERDICT)");
+    for (const auto &rule : report["rules"]) {
+        text += fmt::format(
             "  rule {} {:<38} {}\n", rule["rule"].get<int>(), rule["name"].get<std::string>(),
             rule["kept"].get<bool>() ? "kept"
                                      : fmt::format("BROKEN {} times", rule["count"].get<int>()));
-        for (const auto &b : rule["breaches"])
-            out += fmt::format("      {:>8.3f} s  {}: {}\n", b["atMs"].get<double>() / 1000,
-                               b["req"].get<std::string>(), b["words"].get<std::string>());
+        for (const auto &violation : rule["breaches"])
+            text += fmt::format(
+                "      {:>8.3f} s  {}: {}\n", violation["atMs"].get<double>() / 1000,
+                violation["req"].get<std::string>(), violation["words"].get<std::string>());
     }
-    return out;
+    return text;
 }
 
 }  // namespace deckcart::scenarios
--- a/src/scenarios/runner.hpp
+++ b/src/scenarios/runner.hpp
@@ -1,5 +1,5 @@
-// Plays a day of trouble through real gateways, processes of their own, with stand-ins for all
-// around them, and judges it by the five rules.
+// Runs a fault scenario: gateways as processes of their own, with fake clients, endpoints and
+// control plane around them in this process. Checks the five rules afterwards.
 #pragma once
 
 #include <filesystem>
@@ -9,24 +9,29 @@
 
 namespace deckcart::scenarios {
 
+/// How a scenario is run.
 struct ScenarioRunOptions {
-    std::filesystem::path program;  // the deckcart binary, run as gateways
-    std::filesystem::path keep;  // folder for the gateways' logs and state; empty: a temporary one
-    std::vector<std::string> shellFaults;  // handed to every gateway
-    bool quiet = false;                    // no progress on standard error
+    std::filesystem::path program;  ///< the deckcart binary, which runs as the gateways
+    std::filesystem::path
+        keep;  ///< folder for the gateways' logs and state; empty: a temporary one
+    std::vector<std::string> shellFaults;  ///< --shell-fault options of every gateway
+    bool quiet = false;                    ///< no progress on standard error
 };
 
+/// What a scenario run gave; the other fields are valid only where `fault` is empty.
 struct ScenarioRun {
-    std::string fault;  // empty, or why the day could not be played
+    std::string fault;  ///< why the scenario could not be run; empty: it ran
     Records records;
     std::vector<Violation> violations;
-    nlohmann::json report;     // service by route, stages, votes, rules
-    bool verdictRight = true;  // the release ended as staff would expect
+    nlohmann::json report;     ///< outcomes by route, rollout stages, votes, rules
+    bool verdictRight = true;  ///< the rollout ended as the scenario expects
 };
 
-RuleParameters ruleParametersOf(const Scenario &day);
-ScenarioRun runScenario(const Scenario &day, const ScenarioRunOptions &start);
-// The report as lines for people.
+/// What the invariant checker needs to know of the scenario.
+RuleParameters ruleParametersOf(const Scenario &scenario);
+/// Blocks until the scenario has ended and all gateways have exited. Ignores SIGPIPE from then on.
+ScenarioRun runScenario(const Scenario &scenario, const ScenarioRunOptions &options);
+/// The report as lines of text.
 std::string describe(const nlohmann::json &report);
 
 }  // namespace deckcart::scenarios
--- a/src/scenarios/scenario.cpp
+++ b/src/scenarios/scenario.cpp
@@ -7,55 +7,58 @@
 
 using nlohmann::json;
 
-const std::vector<std::pair<const char *, FaultKind>> kTroubles = {
+const std::vector<std::pair<const char *, FaultKind>> kFaultKinds = {
     {"hang", FaultKind::hang},
     {"crash", FaultKind::crash},
     {"drain", FaultKind::drain},
-    {"answers-lost", FaultKind::answersLost},
+    {"answers-lost", FaultKind::responsesLost},
     {"slow-connects", FaultKind::slowConnects},
-    {"neighbour", FaultKind::neighbour},
+    {"neighbour", FaultKind::noisyNeighbor},
     {"pauses", FaultKind::pauses},
-    {"fleet-slow", FaultKind::fleetSlow},
-    {"list-late", FaultKind::listLate},
+    {"fleet-slow", FaultKind::allSlow},
+    {"list-late", FaultKind::listDelayed},
     {"list-fails", FaultKind::listFails},
-    {"desk-still", FaultKind::deskStill},
+    {"desk-still", FaultKind::votesUnanswered},
     {"gateway-killed", FaultKind::gatewayKilled},
     {"gateway-stalled", FaultKind::gatewayStalled},
     {"burst", FaultKind::burst},
-    {"heedless", FaultKind::heedless},
-    {"low-reports", FaultKind::lowReports},
+    {"heedless", FaultKind::retryStorm},
+    {"low-reports", FaultKind::lowLoadReports},
     {"probes-fail", FaultKind::probesFail},
-    {"names-silent", FaultKind::namesSilent},
-    {"names-lossy", FaultKind::namesLossy},
-    {"names-contradict", FaultKind::namesContradict}};
+    {"names-silent", FaultKind::nameServersSilent},
+    {"names-lossy", FaultKind::nameServersLossy},
+    {"names-contradict", FaultKind::nameServersContradict}};
 
-const std::vector<std::pair<const char *, BuildFault>> kBad = {
-    {"fails", BuildFault::fails}, {"slow", BuildFault::slow},
-    {"busy", BuildFault::busy},   {"later", BuildFault::later},
-    {"wrong", BuildFault::wrong}, {"slows-all", BuildFault::slowsAll}};
+const std::vector<std::pair<const char *, BuildFault>> kBuildFaults = {
+    {"fails", BuildFault::fails},
+    {"slow", BuildFault::slow},
+    {"busy", BuildFault::slowWhenBusy},
+    {"later", BuildFault::failsLater},
+    {"wrong", BuildFault::incorrectResponses},
+    {"slows-all", BuildFault::slowsAllBuilds}};
 
-Duration ms(const json &from, const char *name, double otherwise) {
-    return Duration{std::llround(from.value(name, otherwise) * 1000)};
+Duration readDuration(const json &object, const char *name, double defaultMs) {
+    return Duration{std::llround(object.value(name, defaultMs) * 1000)};
 }
-const json &part(const json &from, const char *name) {
+const json &objectOrEmpty(const json &object, const char *name) {
     static const json none = json::object();
-    const auto it = from.find(name);
-    return it == from.end() ? none : *it;
+    const auto it = object.find(name);
+    return it == object.end() ? none : *it;
 }
-json words(const auto &table) {
-    json out = json::array();
+json namesOf(const auto &table) {
+    json names = json::array();
     for (const auto &[name, value] : table)
-        out.push_back(name);
-    return out;
+        names.push_back(name);
+    return names;
 }
 
 }  // namespace
 
 const json &scenarioSchema() {
     static const json schema = [] {
-        json s = json::parse(R"json({
+        json document = json::parse(R"json({
   "$schema": "http://json-schema.org/draft-07/schema#",
-  "title": "A day of trouble for a rehearsal; times in milliseconds since its start",
+  "title": "A fault scenario; times in milliseconds since its start",
   "definitions": {
     "ms": {"type": "number", "minimum": 0, "maximum": 600000},
     "part": {"type": "number", "minimum": 0, "maximum": 1},
@@ -122,193 +125,214 @@
         "votesCount": {"type": "boolean"}}}}
   }
 })json");
-        s["properties"]["troubles"]["items"]["properties"]["kind"]["enum"] = words(kTroubles);
-        s["properties"]["release"]["properties"]["bad"]["properties"]["kind"]["enum"] = words(kBad);
-        return s;
+        document["properties"]["troubles"]["items"]["properties"]["kind"]["enum"] =
+            namesOf(kFaultKinds);
+        document["properties"]["release"]["properties"]["bad"]["properties"]["kind"]["enum"] =
+            namesOf(kBuildFaults);
+        return document;
     }();
     return schema;
 }
 
-int Scenario::routeNo(const std::string &wanted) const {
-    const auto it = std::ranges::find(routes, wanted, &ScenarioRoute::name);
-    return it == routes.end() ? -1 : int(it - routes.begin());
+int Scenario::routeIndex(const std::string &wanted) const {
+    const auto found = std::ranges::find(routes, wanted, &ScenarioRoute::name);
+    return found == routes.end() ? -1 : int(found - routes.begin());
 }
 
 ParsedScenario parseScenario(const json &document) {
-    ParsedScenario read;
-    read.refused = checkSchema(scenarioSchema(), document);
-    if (!read.refused.empty())
-        return read;
+    ParsedScenario result;
+    result.refused = checkSchema(scenarioSchema(), document);
+    if (!result.refused.empty())
+        return result;
     const auto refuse = [&](const std::string &path, const std::string &reason) {
-        read.refused.push_back({path, reason});
+        result.refused.push_back({path, reason});
     };
-    Scenario d;
-    d.name = document.at("name"), d.words = document.value("words", std::string{});
-    d.lasts = ms(document, "lastsMs", 0), d.seed = document.value("seed", std::uint64_t{1});
-    document.at("gateways").at("weights").get_to(d.gatewayWeights);
-    d.gatewaysTold = document.at("gateways").value("told", int(d.gatewayWeights.size()));
-    if (d.gatewaysTold < int(d.gatewayWeights.size()))
-        refuse("/gateways/told", "is below the number of /gateways/weights");
-    const json &in = document.at("instances");
-    d.instances = in.at("count"), d.cores = in.value("cores", d.cores),
-    d.queue = in.value("queue", d.queue);
-    d.zones = in.value("zones", std::vector<std::string>{"a"});
-    d.initialCapacity = in.value("coldFrom", d.initialCapacity),
-    d.overloadMultiple = in.value("tipMultiple", d.overloadMultiple);
-    d.warmUpTime = ms(in, "warmWithinMs", 4000), d.overloadWindow = ms(in, "overloadForMs", 2000);
-    const json &names = part(document, "names");
-    d.nameServers = names.value("servers", 0), d.recordLifetime = ms(names, "lifetimeMs", 1000);
-    d.confirmAfter = ms(names, "confirmAfterMs", 500);
-    const json &t = document.at("traffic");
-    d.requestsPerSecond = t.at("reqsPerS"), d.keys = t.value("keys", d.keys),
-    d.retries = t.value("retries", d.retries);
-    d.leastPatience = t.value("leastPatience", d.leastPatience);
-    for (const auto &one : t.value("accounts", json::array()))
-        d.tenants.push_back(one.at("name")), d.tenantQuotas.push_back(one.at("share"));
-    for (const auto &one : t.at("routes")) {
-        ScenarioRoute r;
-        r.name = one.at("name"), r.method = one.value("method", std::string("POST"));
-        const std::string effect = one.at("effect");
-        r.rule.idempotency = effect == "retriable" ? Idempotency::idempotent
-                             : effect == "deduped" ? Idempotency::withKey
-                                                   : Idempotency::nonIdempotent;
-        r.rule.latencyObjective = ms(one, "latencyObjectiveMs", 0),
-        r.routeTimeout = ms(one, "routeTimeoutMs", 0);
-        r.rule.deduplicationWindow = ms(one, "repeatWindowMs", 0);
-        r.share = one.value("share", 1.0), r.benefit = one.value("benefit", 1.0);
-        r.leastWorkMs = one.at("workMs")[0], r.mostWorkMs = one.at("workMs")[1];
-        if (r.leastWorkMs > r.mostWorkMs)
-            refuse("/traffic/routes/" + std::to_string(d.routes.size()) + "/workMs", "falls");
-        d.routes.push_back(std::move(r));
+    Scenario scenario;
+    scenario.name = document.at("name"),
+    scenario.description = document.value("words", std::string{});
+    scenario.duration = readDuration(document, "lastsMs", 0),
+    scenario.seed = document.value("seed", std::uint64_t{1});
+    document.at("gateways").at("weights").get_to(scenario.gatewayWeights);
+    scenario.configuredGatewayCount =
+        document.at("gateways").value("told", int(scenario.gatewayWeights.size()));
+    if (scenario.configuredGatewayCount < int(scenario.gatewayWeights.size()))
+        refuse("/gateways/told", "is less than the number of /gateways/weights");
+    const json &endpoints = document.at("instances");
+    scenario.endpointCount = endpoints.at("count"),
+    scenario.cores = endpoints.value("cores", scenario.cores),
+    scenario.queueLimit = endpoints.value("queue", scenario.queueLimit);
+    scenario.zones = endpoints.value("zones", std::vector<std::string>{"a"});
+    scenario.initialCapacity = endpoints.value("coldFrom", scenario.initialCapacity),
+    scenario.overloadMultiple = endpoints.value("tipMultiple", scenario.overloadMultiple);
+    scenario.warmUpTime = readDuration(endpoints, "warmWithinMs", 4000),
+    scenario.overloadWindow = readDuration(endpoints, "overloadForMs", 2000);
+    const json &nameServers = objectOrEmpty(document, "names");
+    scenario.nameServers = nameServers.value("servers", 0),
+    scenario.recordLifetime = readDuration(nameServers, "lifetimeMs", 1000);
+    scenario.confirmAfter = readDuration(nameServers, "confirmAfterMs", 500);
+    const json &traffic = document.at("traffic");
+    scenario.requestsPerSecond = traffic.at("reqsPerS"),
+    scenario.keyCount = traffic.value("keys", scenario.keyCount),
+    scenario.maxRetries = traffic.value("retries", scenario.maxRetries);
+    scenario.minPatience = traffic.value("leastPatience", scenario.minPatience);
+    for (const auto &entry : traffic.value("accounts", json::array()))
+        scenario.tenants.push_back(entry.at("name")),
+            scenario.tenantQuotas.push_back(entry.at("share"));
+    for (const auto &entry : traffic.at("routes")) {
+        ScenarioRoute route;
+        route.name = entry.at("name"), route.method = entry.value("method", std::string("POST"));
+        const std::string effect = entry.at("effect");
+        route.rule.idempotency = effect == "retriable" ? Idempotency::idempotent
+                                 : effect == "deduped" ? Idempotency::withKey
+                                                       : Idempotency::nonIdempotent;
+        route.rule.latencyObjective = readDuration(entry, "latencyObjectiveMs", 0),
+        route.routeTimeout = readDuration(entry, "routeTimeoutMs", 0);
+        route.rule.deduplicationWindow = readDuration(entry, "repeatWindowMs", 0);
+        route.share = entry.value("share", 1.0), route.benefit = entry.value("benefit", 1.0);
+        route.minWorkMs = entry.at("workMs")[0], route.maxWorkMs = entry.at("workMs")[1];
+        if (route.minWorkMs > route.maxWorkMs)
+            refuse("/traffic/routes/" + std::to_string(scenario.routes.size()) + "/workMs",
+                   "falls");
+        scenario.routes.push_back(std::move(route));
     }
-    d.allowed = document.value("allowed", json::object());
-    d.hedgingAllowed = d.allowed.value("copies", false),
-    d.maxAttempts = d.allowed.value("mostTries", 4);
-    const json &r = part(document, "release");
-    if (r.contains("atMs"))
-        d.releaseAt = ms(r, "atMs", 0);
-    d.caps = r.value("caps", std::vector<double>{0.1, 0.4, 1}),
-    d.shares = r.value("shares", d.caps);
-    d.exposureAllowance = r.value("spareTries", 2.0),
-    d.exposureWindow = ms(r, "exposureSpanMs", 4000);
-    d.voteLifetime = ms(r, "voteLifeMs", 6000), d.minStageDuration = ms(r, "leastStageMs", 1500);
-    d.drainGrace = ms(r, "drainGraceMs", 500);
-    const auto delay = r.value("newsDelayMs", std::vector<double>{50, 300});
-    d.leastNewsDelay = Duration{std::llround(delay[0] * 1000)},
-    d.mostNewsDelay = Duration{std::llround(delay[1] * 1000)};
-    d.exposurePerRoute = r.value("exposurePerRoute", false),
-    d.stickyKeys = r.value("keysStay", false);
-    d.inPlace = r.value("replacedInPlace", false),
-    d.idempotentOnlyStages = r.value("guardedStages", 0);
-    d.votesToRollBack = r.value("votesToGoBack", 1), d.toAdvance = r.value("toAdvance", 2);
-    d.incorrectReportRate = r.value("wrongReported", 0.0), d.tallies = r.value("tallies", false);
-    if (d.caps.size() != d.shares.size())
-        refuse("/release/shares", "has another number of stages than /release/caps");
-    if (d.toAdvance > int(d.gatewayWeights.size()))
-        refuse("/release/toAdvance", "is over the number of gateways");
-    if (const auto bad = r.find("bad"); bad != r.end()) {
-        const std::string kind = bad->at("kind");
-        for (const auto &[name, value] : kBad)
+    scenario.allowed = document.value("allowed", json::object());
+    scenario.hedgingAllowed = scenario.allowed.value("copies", false),
+    scenario.maxAttempts = scenario.allowed.value("mostTries", 4);
+    const json &release = objectOrEmpty(document, "release");
+    if (release.contains("atMs"))
+        scenario.rolloutAt = readDuration(release, "atMs", 0);
+    scenario.exposureLimits = release.value("caps", std::vector<double>{0.1, 0.4, 1}),
+    scenario.stageShares = release.value("shares", scenario.exposureLimits);
+    scenario.exposureAllowance = release.value("spareTries", 2.0),
+    scenario.exposureWindow = readDuration(release, "exposureSpanMs", 4000);
+    scenario.voteLifetime = readDuration(release, "voteLifeMs", 6000),
+    scenario.minStageDuration = readDuration(release, "leastStageMs", 1500);
+    scenario.drainGrace = readDuration(release, "drainGraceMs", 500);
+    const auto delayMs = release.value("newsDelayMs", std::vector<double>{50, 300});
+    scenario.minNotificationDelay = Duration{std::llround(delayMs[0] * 1000)},
+    scenario.maxNotificationDelay = Duration{std::llround(delayMs[1] * 1000)};
+    scenario.exposurePerRoute = release.value("exposurePerRoute", false),
+    scenario.stickyKeys = release.value("keysStay", false);
+    scenario.inPlace = release.value("replacedInPlace", false),
+    scenario.idempotentOnlyStages = release.value("guardedStages", 0);
+    scenario.votesToRollBack = release.value("votesToGoBack", 1),
+    scenario.votesToPromote = release.value("toAdvance", 2);
+    scenario.incorrectReportRate = release.value("wrongReported", 0.0),
+    scenario.usageReports = release.value("tallies", false);
+    if (scenario.exposureLimits.size() != scenario.stageShares.size())
+        refuse("/release/shares", "has a different number of stages than /release/caps");
+    if (scenario.votesToPromote > int(scenario.gatewayWeights.size()))
+        refuse("/release/toAdvance", "is greater than the number of gateways");
+    if (const auto fault = release.find("bad"); fault != release.end()) {
+        const std::string kind = fault->at("kind");
+        for (const auto &[name, value] : kBuildFaults)
             if (kind == name)
-                d.bad.kind = value;
-        if (bad->contains("route") && (d.bad.route = d.routeNo(bad->at("route"))) < 0)
-            refuse("/release/bad/route", "is no route of /traffic/routes");
-        d.bad.part = bad->value("part", 0.5), d.bad.times = bad->value("times", 3.0);
-        d.bad.after = ms(*bad, "afterMs", 0);
+                scenario.buildFault.kind = value;
+        if (fault->contains("route") &&
+            (scenario.buildFault.route = scenario.routeIndex(fault->at("route"))) < 0)
+            refuse("/release/bad/route", "is not a route of /traffic/routes");
+        scenario.buildFault.fraction = fault->value("part", 0.5),
+        scenario.buildFault.factor = fault->value("times", 3.0);
+        scenario.buildFault.faultFreeTime = readDuration(*fault, "afterMs", 0);
     }
-    d.shouldRelease = r.value("shouldRelease", d.bad.kind == BuildFault::none);
+    scenario.shouldRelease =
+        release.value("shouldRelease", scenario.buildFault.kind == BuildFault::none);
     const json injectedFaults = document.value("troubles", json::array());
-    for (std::size_t k = 0; k < injectedFaults.size(); ++k) {
-        const json &one = injectedFaults[k];
-        InjectedFault x;
-        const std::string kind = one.at("kind");
-        for (const auto &[name, value] : kTroubles)
+    for (std::size_t index = 0; index < injectedFaults.size(); ++index) {
+        const json &entry = injectedFaults[index];
+        InjectedFault injected;
+        const std::string kind = entry.at("kind");
+        for (const auto &[name, value] : kFaultKinds)
             if (kind == name)
-                x.kind = value;
-        x.at = ms(one, "atMs", 0), x.lasts = ms(one, "lastsMs", 0), x.count = one.value("count", 1);
-        x.where = one.value("where", std::string("any"));
-        x.times = one.value("times", 2.0), x.part = one.value("part", 0.5);
-        x.votesCount = one.value("votesCount", false);
-        const bool ofNames = x.kind == FaultKind::namesSilent || x.kind == FaultKind::namesLossy ||
-                             x.kind == FaultKind::namesContradict;
-        if (ofNames && d.nameServers == 0)
-            refuse("/troubles/" + std::to_string(k) + "/kind", "needs /names");
-        if (x.at + x.lasts > d.lasts)
-            refuse("/troubles/" + std::to_string(k), "ends after the day");
-        d.injectedFaults.push_back(x);
+                injected.kind = value;
+        injected.at = readDuration(entry, "atMs", 0),
+        injected.duration = readDuration(entry, "lastsMs", 0),
+        injected.count = entry.value("count", 1);
+        injected.target = entry.value("where", std::string("any"));
+        injected.factor = entry.value("times", 2.0), injected.fraction = entry.value("part", 0.5);
+        injected.votesCount = entry.value("votesCount", false);
+        const bool needsNameServers = injected.kind == FaultKind::nameServersSilent ||
+                                      injected.kind == FaultKind::nameServersLossy ||
+                                      injected.kind == FaultKind::nameServersContradict;
+        if (needsNameServers && scenario.nameServers == 0)
+            refuse("/troubles/" + std::to_string(index) + "/kind", "needs /names");
+        if (injected.at + injected.duration > scenario.duration)
+            refuse("/troubles/" + std::to_string(index), "ends after the scenario");
+        scenario.injectedFaults.push_back(injected);
     }
-    if (read.refused.empty())
-        read.day = std::move(d);
-    return read;
+    if (result.refused.empty())
+        result.day = std::move(scenario);
+    return result;
 }
 
 std::string srvNameOf(BuildNumber build, const std::string &zone) {
     return "_relay._tcp.b" + std::to_string(build) + "." + zone + ".example.org.";
 }
 
-json settingsOf(const Scenario &d, int gateway, const std::string &deskAddress,
+json settingsOf(const Scenario &scenario, int gateway, const std::string &controlPlaneAddress,
                 const std::vector<std::string> &nameServers) {
-    const auto inMs = [](Duration s) { return s.count() / 1000; };
+    const auto toMs = [](Duration duration) { return duration.count() / 1000; };
     json routes = json::array(), tenants = json::array();
-    for (const auto &r : d.routes) {
-        const char *effect = r.rule.idempotency == Idempotency::idempotent ? "retriable"
-                             : r.rule.idempotency == Idempotency::withKey  ? "deduped"
-                                                                           : "non-retriable";
-        json one{{"name", r.name},
-                 {"method", r.method},
-                 {"effect", effect},
-                 {"pathPrefix", "/" + r.name},
-                 {"latencyObjectiveMs", inMs(r.rule.latencyObjective)},
-                 {"routeTimeoutMs", inMs(r.routeTimeout)}};
-        if (r.rule.idempotency == Idempotency::withKey)
-            one["repeatWindowMs"] = inMs(r.rule.deduplicationWindow);
-        routes.push_back(std::move(one));
+    for (const auto &route : scenario.routes) {
+        const char *effect = route.rule.idempotency == Idempotency::idempotent ? "retriable"
+                             : route.rule.idempotency == Idempotency::withKey  ? "deduped"
+                                                                               : "non-retriable";
+        json entry{{"name", route.name},
+                   {"method", route.method},
+                   {"effect", effect},
+                   {"pathPrefix", "/" + route.name},
+                   {"latencyObjectiveMs", toMs(route.rule.latencyObjective)},
+                   {"routeTimeoutMs", toMs(route.routeTimeout)}};
+        if (route.rule.idempotency == Idempotency::withKey)
+            entry["repeatWindowMs"] = toMs(route.rule.deduplicationWindow);
+        routes.push_back(std::move(entry));
     }
-    for (std::size_t k = 0; k < d.tenants.size(); ++k)
-        tenants.push_back({{"name", d.tenants[k]}, {"share", d.tenantQuotas[k]}});
-    json s{{"gateway",
-            {{"id", "g" + std::to_string(gateway)},
-             {"count", d.gatewaysTold},
-             {"zone", d.zones[std::size_t(gateway) % d.zones.size()]},
-             {"seed", d.seed * 1000 + std::uint64_t(gateway)}}},
-           {"zones", d.zones},
-           {"desk", {{"address", deskAddress}}},
-           {"routes", std::move(routes)},
-           {"allowed", d.allowed},
-           {"rules",
-            {{"coldFrom", d.initialCapacity},
-             {"warmWithinMs", inMs(d.warmUpTime)},
-             {"tipMultiple", d.overloadMultiple},
-             {"overloadForMs", inMs(d.overloadWindow)}}},
-           {"release",
-            {{"replacedInPlace", d.inPlace},
-             {"exposurePerRoute", d.exposurePerRoute},
-             {"keysStay", d.stickyKeys},
-             {"guardedStages", d.idempotentOnlyStages},
-             {"spareTries", d.exposureAllowance},
-             {"exposureSpanMs", inMs(d.exposureWindow)},
-             {"caps", d.caps},
-             {"shares", d.shares},
-             {"voteLifeMs", inMs(d.voteLifetime)},
-             {"votesToGoBack", d.votesToRollBack},
-             {"wrongReported", d.incorrectReportRate}}}};
+    for (std::size_t index = 0; index < scenario.tenants.size(); ++index)
+        tenants.push_back(
+            {{"name", scenario.tenants[index]}, {"share", scenario.tenantQuotas[index]}});
+    json settings{{"gateway",
+                   {{"id", "g" + std::to_string(gateway)},
+                    {"count", scenario.configuredGatewayCount},
+                    {"zone", scenario.zones[std::size_t(gateway) % scenario.zones.size()]},
+                    {"seed", scenario.seed * 1000 + std::uint64_t(gateway)}}},
+                  {"zones", scenario.zones},
+                  {"desk", {{"address", controlPlaneAddress}}},
+                  {"routes", std::move(routes)},
+                  {"allowed", scenario.allowed},
+                  {"rules",
+                   {{"coldFrom", scenario.initialCapacity},
+                    {"warmWithinMs", toMs(scenario.warmUpTime)},
+                    {"tipMultiple", scenario.overloadMultiple},
+                    {"overloadForMs", toMs(scenario.overloadWindow)}}},
+                  {"release",
+                   {{"replacedInPlace", scenario.inPlace},
+                    {"exposurePerRoute", scenario.exposurePerRoute},
+                    {"keysStay", scenario.stickyKeys},
+                    {"guardedStages", scenario.idempotentOnlyStages},
+                    {"spareTries", scenario.exposureAllowance},
+                    {"exposureSpanMs", toMs(scenario.exposureWindow)},
+                    {"caps", scenario.exposureLimits},
+                    {"shares", scenario.stageShares},
+                    {"voteLifeMs", toMs(scenario.voteLifetime)},
+                    {"votesToGoBack", scenario.votesToRollBack},
+                    {"wrongReported", scenario.incorrectReportRate}}}};
     if (!tenants.empty())
-        s["accounts"] = std::move(tenants);
+        settings["accounts"] = std::move(tenants);
     if (!nameServers.empty()) {
-        json names = json::array();
+        json srvNames = json::array();
         for (const BuildNumber build : {1, 2})
-            for (const auto &zone : d.zones)
-                names.push_back(
+            for (const auto &zone : scenario.zones)
+                srvNames.push_back(
                     {{"name", srvNameOf(build, zone)}, {"build", build}, {"zone", zone}});
-        s["sources"] = {{"deskList", false},
-                        {"srv",
-                         {{"names", names},
-                          {"servers", nameServers},
-                          {"lifetimeFloorMs", inMs(d.recordLifetime) / 2}}},
-                        {"confirmAfterMs", inMs(d.confirmAfter)},
-                        {"graceMs", inMs(d.drainGrace) + 1}};
+        settings["sources"] = {{"deskList", false},
+                               {"srv",
+                                {{"names", srvNames},
+                                 {"servers", nameServers},
+                                 {"lifetimeFloorMs", toMs(scenario.recordLifetime) / 2}}},
+                               {"confirmAfterMs", toMs(scenario.confirmAfter)},
+                               {"graceMs", toMs(scenario.drainGrace) + 1}};
     }
-    return s;
+    return settings;
 }
 
 }  // namespace deckcart::scenarios
--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -1,5 +1,6 @@
-// A day of trouble, as a document: a site, its traffic, a release and what goes wrong. The notation
-// is described in docs/operate/scenarios.md; times in it are milliseconds since the day's start.
+// A fault scenario as a document: the gateways and endpoints, the traffic, a rollout and the faults
+// that are injected. The notation is described in docs/operate/scenarios.md; times in it are
+// milliseconds since the start of the scenario.
 #pragma once
 
 #include <deckcart/policy.hpp>
@@ -12,107 +13,130 @@
 
 namespace deckcart::scenarios {
 
+/// A route and the traffic on it.
 struct ScenarioRoute {
     std::string name, method;
     Route rule;
     Duration routeTimeout{};
+    /// share: weight of its part of all requests; benefit: weight of one request in the service.
     double share = 1, benefit = 1;
-    double leastWorkMs = 5, mostWorkMs = 10;  // on one core of an instance
+    double minWorkMs = 5, maxWorkMs = 10;  ///< processing time on one core of an endpoint
 };
 
-enum class BuildFault { none, fails, slow, busy, later, wrong, slowsAll };
-// What is wrong with the build on trial.
+/// How a canary build is faulty.
+enum class BuildFault {
+    none,
+    fails,         ///< responds with errors
+    slow,          ///< needs more time for each request
+    slowWhenBusy,  ///< slow while all cores are busy, responds with errors while its queue is long
+    failsLater,    ///< responds with errors some time after the start of each endpoint
+    incorrectResponses,  ///< gives incorrect responses
+    slowsAllBuilds  ///< slows the endpoints of both builds, in proportion to the canary's part of
+                    ///< the traffic
+};
+/// The fault of the canary build.
 struct FaultyBuild {
     BuildFault kind = BuildFault::none;
-    int route = -1;     // -1: all of them
-    double part = 0.5;  // of the requests that fail or are answered wrong
-    double times = 3;   // the work that it needs
-    Duration after{};   // kind later: sound for so long after each instance's start
+    int route = -1;            ///< affected route; -1: all
+    double fraction = 0.5;     ///< fraction of requests that fail or get an incorrect response
+    double factor = 3;         ///< factor of the processing time
+    Duration faultFreeTime{};  ///< for failsLater: time after each endpoint's start without faults
 };
 
+/// Faults of endpoints, the control plane, gateways, clients and name servers.
 enum class FaultKind {
-    hang,            // instances take requests and answer none
-    crash,           // instances die, with their connections
-    drain,           // instances are drained by staff and leave
-    answersLost,     // instances do the work, then reset the connection
-    slowConnects,    // instances take new connections late
-    neighbour,       // instances are slower
-    pauses,          // instances stop for a moment, again and again
-    fleetSlow,       // all instances are slower
-    listLate,        // the control plane tells of instances late
-    listFails,       // the control plane's list and watch fail
-    deskStill,       // the control plane answers no vote
-    gatewayKilled,   // gateways are killed and started again
-    gatewayStalled,  // gateways stand still
-    burst,           // all clients ask for more
-    heedless,        // one tenant's clients repeat at once, again and again
-    lowReports,      // instances report too little load
-    probesFail,      // instances answer probes with errors
-    namesSilent,     // so many of each gateway's name servers answer nothing
-    namesLossy,      // so many of them lose that part of their answers
-    namesContradict  // the last one goes on with the records of that moment
+    hang,                  ///< endpoints accept requests and send no response
+    crash,                 ///< endpoints end and their connections are closed
+    drain,                 ///< an operator drains endpoints, which then end
+    responsesLost,         ///< endpoints process requests, then reset the connection
+    slowConnects,          ///< endpoints accept new connections late
+    noisyNeighbor,         ///< endpoints are slower, as on a shared machine
+    pauses,                ///< endpoints pause for a short time every second
+    allSlow,               ///< all endpoints are slower
+    listDelayed,           ///< the control plane sends endpoint list changes late
+    listFails,             ///< the control plane's list and watch requests fail
+    votesUnanswered,       ///< the control plane does not respond to votes
+    gatewayKilled,         ///< gateways are killed and started again
+    gatewayStalled,        ///< gateways are stopped and continued
+    burst,                 ///< clients send more requests
+    retryStorm,            ///< clients of the first tenant retry immediately, many times
+    lowLoadReports,        ///< endpoints report too little load
+    probesFail,            ///< endpoints respond to probes with errors
+    nameServersSilent,     ///< `count` name servers of each gateway do not respond
+    nameServersLossy,      ///< `count` of them lose a fraction of their replies
+    nameServersContradict  ///< the last one keeps serving the records of the fault's start
 };
 
+/// One fault with its time and extent.
 struct InjectedFault {
     FaultKind kind = FaultKind::hang;
-    Duration at{}, lasts{};
-    int count = 1;            // instances or gateways that it hits
-    std::string where;        // instances: "any", "trial" or "earlier"
-    double times = 2;         // slower, or more requests
-    double part = 0.5;        // of the answers that are lost
-    bool votesCount = false;  // deskStill: votes that get no answer count
+    Duration at{}, duration{};  ///< since the start of the scenario; how long
+    int count = 1;              ///< affected endpoints, gateways or name servers
+    std::string target;     ///< affected endpoints: "any", "trial" (canary) or "earlier" (baseline)
+    double factor = 2;      ///< factor of slowness or load; for listDelayed: seconds
+    double fraction = 0.5;  ///< fraction of responses or replies that are lost
+    bool votesCount = false;  ///< for votesUnanswered: the votes count nevertheless
 };
 
+/// A fault scenario; values that the document leaves out have their defaults.
 struct Scenario {
-    std::string name, words;
-    Duration lasts{};
+    std::string name, description;
+    Duration duration{};
     std::uint64_t seed = 1;
-    std::vector<double> gatewayWeights;  // parts of the traffic; one a gateway
-    int gatewaysTold = 1;                // how many their settings speak of: the others are idle
-    int instances = 8, cores = 2, queue = 64;
+    std::vector<double> gatewayWeights;  ///< one per gateway: weight of its part of the traffic
+    /// Number of gateways in the settings; those without a weight do not run.
+    int configuredGatewayCount = 1;
+    /// Endpoints of a full fleet; cores of each, and requests that each queues before it rejects.
+    int endpointCount = 8, cores = 2, queueLimit = 64;
     std::vector<std::string> zones;
     double initialCapacity = 0.4, overloadMultiple = 3;
     Duration warmUpTime{}, overloadWindow{};
     double requestsPerSecond = 100;
-    int keys = 500, retries = 1;
-    double leastPatience = 0.6;  // part of the route timeout that a client waits at least
-    // The fleet is told by SRV records of so many name servers; 0: by the control plane's list.
+    int keyCount = 500, maxRetries = 1;
+    double minPatience = 0.6;  ///< minimum wait of a client as a fraction of the route timeout
+    /// Name servers of each gateway, which publish the fleet as SRV records; 0: the control plane
+    /// publishes it as a list.
     int nameServers = 0;
     Duration recordLifetime{}, confirmAfter{};
     std::vector<std::string> tenants;
     std::vector<double> tenantQuotas;
     std::vector<ScenarioRoute> routes;
-    // release
-    std::optional<Duration> releaseAt;
-    nlohmann::json release;  // what the gateways are told, as /release of their settings
-    std::vector<double> caps, shares;
+    // rollout
+    std::optional<Duration> rolloutAt;
+    nlohmann::json release;  ///< the object /release of the gateways' settings
+    std::vector<double> exposureLimits, stageShares;
     double exposureAllowance = 2;
-    Duration exposureWindow{}, voteLifetime{}, minStageDuration{}, drainGrace{}, leastNewsDelay{},
-        mostNewsDelay{};
+    Duration exposureWindow{}, voteLifetime{}, minStageDuration{}, drainGrace{},
+        minNotificationDelay{}, maxNotificationDelay{};
     bool exposurePerRoute = false, stickyKeys = false, inPlace = false;
-    int idempotentOnlyStages = 0, votesToRollBack = 1, toAdvance = 2;
+    int idempotentOnlyStages = 0, votesToRollBack = 1, votesToPromote = 2;
     double incorrectReportRate = 0;
-    FaultyBuild bad;
-    bool tallies = false;
+    FaultyBuild buildFault;
+    bool usageReports = false;
     int maxAttempts = 4;
     bool hedgingAllowed = false;
-    bool shouldRelease = true;  // what staff would expect of the release by the day's end
+    bool shouldRelease = true;  ///< whether the canary is expected to be released at the end
     std::vector<InjectedFault> injectedFaults;
-    nlohmann::json allowed;  // as /allowed of the settings
+    nlohmann::json allowed;  ///< the object /allowed of the settings
 
-    int routeNo(const std::string &name) const;  // -1: none
+    /// Index of the route; -1: no such route.
+    int routeIndex(const std::string &name) const;
 };
 
+/// `day` is set where nothing was refused.
 struct ParsedScenario {
     std::optional<Scenario> day;
     std::vector<Refusal> refused;
 };
+/// JSON schema of a scenario document.
 const nlohmann::json &scenarioSchema();
 ParsedScenario parseScenario(const nlohmann::json &document);
-// The settings document of one of its gateways; its name servers, where the day has some.
-nlohmann::json settingsOf(const Scenario &day, int gateway, const std::string &deskAddress,
+/// The settings document of one gateway. `nameServers`: addresses of the gateway's name servers;
+/// empty where the scenario has none.
+nlohmann::json settingsOf(const Scenario &scenario, int gateway,
+                          const std::string &controlPlaneAddress,
                           const std::vector<std::string> &nameServers = {});
-// The name of the SRV records of a build in a zone.
+/// The name of the SRV records of a build in a zone.
 std::string srvNameOf(BuildNumber build, const std::string &zone);
 
 }  // namespace deckcart::scenarios
