--- a/bench/sources_bench.cpp
+++ b/bench/sources_bench.cpp
@@ -1,5 +1,6 @@
-// Measurements of SRV sources, by hand; virtual time but for `merge`, `follow` and `resolver`. One
-// subcommand a figure, JSON lines out; see docs/measurements/srv.md.
+// Measurements of SRV sources, run by hand. Query rate and lag are computed in virtual time, the
+// costs of the merge and of the resolver in real time. Prints JSON lines; see
+// docs/measurements/srv.md.
 #include <CLI/CLI.hpp>
 #include <nlohmann/json.hpp>
 
@@ -19,167 +20,172 @@
 using nlohmann::json;
 using std::chrono::seconds;
 
-// Gateways that follow one name of a lifetime for some hours: questions in each second.
-json questions(int gateways, int lifetimeS, bool atExpiry, Duration outageFrom,
+// Queries per second of gateways that watch one name of the given lifetime for an hour.
+json queryRate(int gateways, int lifetimeS, bool atExpiry, Duration outageFrom,
                Duration outageUntil) {
-    const Duration lasts = seconds(3600);
-    struct Due {
+    const Duration length = seconds(3600);
+    struct Query {
         Duration at{};
         int gateway = 0;
-        bool operator>(const Due &o) const { return at > o.at; }
+        bool operator>(const Query &other) const { return at > other.at; }
     };
-    std::priority_queue<Due, std::vector<Due>, std::greater<>> due;
+    std::priority_queue<Query, std::vector<Query>, std::greater<>> queue;
     std::vector<dns::Refresh> refresh;
-    std::vector<int> perSecond(std::size_t(lasts / Duration{seconds(1)}) + 1);
+    std::vector<int> perSecond(std::size_t(length / Duration{seconds(1)}) + 1);
     dns::Found found;
     found.kind = dns::LookupOutcome::servers, found.seconds = std::uint32_t(lifetimeS);
-    for (int g = 0; g < gateways; ++g) {
-        refresh.emplace_back(dns::RefreshRules{}, std::uint32_t(g + 1));
-        due.push({atExpiry ? Duration{0} : refresh.back().first(false), g});  // all started at once
+    for (int gateway = 0; gateway < gateways; ++gateway) {
+        refresh.emplace_back(dns::RefreshRules{}, std::uint32_t(gateway + 1));
+        queue.push({atExpiry ? Duration{0} : refresh.back().first(false),
+                    gateway});  // all start at the same time
     }
-    while (due.top().at < lasts) {
-        const Due now = due.top();
-        due.pop();
-        ++perSecond[std::size_t(now.at / Duration{seconds(1)})];
-        const bool fails = now.at >= outageFrom && now.at < outageUntil;
-        auto &r = refresh[std::size_t(now.gateway)];
-        const Duration lifetime = r.lifetime(found);
-        const Duration in = atExpiry ? (fails ? Duration{seconds(1)} : lifetime)
-                            : fails  ? r.afterFailure()
-                                     : r.afterAnswer(lifetime);
-        due.push({now.at + in, now.gateway});
+    while (queue.top().at < length) {
+        const Query query = queue.top();
+        queue.pop();
+        ++perSecond[std::size_t(query.at / Duration{seconds(1)})];
+        const bool fails = query.at >= outageFrom && query.at < outageUntil;
+        auto &gatewayRefresh = refresh[std::size_t(query.gateway)];
+        const Duration lifetime = gatewayRefresh.lifetime(found);
+        const Duration wait = atExpiry ? (fails ? Duration{seconds(1)} : lifetime)
+                              : fails  ? gatewayRefresh.afterFailure()
+                                       : gatewayRefresh.afterAnswer(lifetime);
+        queue.push({query.at + wait, query.gateway});
     }
-    // The first minute is the start that all share.
-    const auto from = perSecond.begin() + 60;
-    const int peak = *std::max_element(from, perSecond.end());
+    // Leaves out the first minute, with the common start of all gateways.
+    const auto afterStart = perSecond.begin() + 60;
+    const int peak = *std::max_element(afterStart, perSecond.end());
     double sum = 0;
-    for (auto it = from; it != perSecond.end(); ++it)
-        sum += *it;
+    for (auto second = afterStart; second != perSecond.end(); ++second)
+        sum += *second;
     return {{"gateways", gateways},
             {"lifetimeS", lifetimeS},
             {"rule", atExpiry ? "at expiry" : "ahead, with jitter"},
             {"outageS", (outageUntil - outageFrom).count() / 1000000},
-            {"meanPerS", sum / double(perSecond.end() - from)},
+            {"meanPerS", sum / double(perSecond.end() - afterStart)},
             {"peakPerS", peak},
             {"firstSecond", perSecond[0]}};
 }
 
-// From a change of the record to the change of the set, as a share of the lifetime.
-json lag(int lifetimeS, double lostPart) {
-    std::minstd_rand chance(7);
-    const auto part = [&] { return double(chance()) / double(std::minstd_rand::max()); };
-    std::vector<double> shares;
+// Time from a change of the record to the change of the endpoint set, as a fraction of the
+// lifetime.
+json lag(int lifetimeS, double failureRate) {
+    std::minstd_rand rng(7);
+    const auto randomFraction = [&] { return double(rng()) / double(std::minstd_rand::max()); };
+    std::vector<double> fractions;
     dns::Found found;
     found.kind = dns::LookupOutcome::servers, found.seconds = std::uint32_t(lifetimeS);
     for (int run = 0; run < 20000; ++run) {
-        dns::Refresh r({}, std::uint32_t(run + 1));
-        const Duration lifetime = r.lifetime(found);
-        const Duration change{std::int64_t(double(lifetime.count()) * (1 + part()))};
-        Duration at = r.first(false);
+        dns::Refresh refresh({}, std::uint32_t(run + 1));
+        const Duration lifetime = refresh.lifetime(found);
+        const Duration change{std::int64_t(double(lifetime.count()) * (1 + randomFraction()))};
+        Duration at = refresh.first(false);
         while (true) {
-            const bool fails = part() < lostPart;
+            const bool fails = randomFraction() < failureRate;
             if (at >= change && !fails)
                 break;
-            at += fails ? r.afterFailure() : r.afterAnswer(lifetime);
+            at += fails ? refresh.afterFailure() : refresh.afterAnswer(lifetime);
         }
-        shares.push_back(double((at - change).count()) / double(lifetime.count()));
+        fractions.push_back(double((at - change).count()) / double(lifetime.count()));
     }
-    std::sort(shares.begin(), shares.end());
+    std::sort(fractions.begin(), fractions.end());
     return {{"lifetimeS", lifetimeS},
-            {"lookupsThatFail", lostPart},
-            {"p50", shares[shares.size() / 2]},
-            {"p99", shares[shares.size() * 99 / 100]},
-            {"most", shares.back()}};
+            {"lookupsThatFail", failureRate},
+            {"p50", fractions[fractions.size() / 2]},
+            {"p99", fractions[fractions.size() * 99 / 100]},
+            {"most", fractions.back()}};
 }
 
-membership::Reading fleet(int instances, Duration at, int without) {
-    membership::Reading r{at, seconds(30), "ns", {}, false, {}};
-    for (int k = 0; k < instances; ++k) {
-        if (k == without)
+membership::Reading readingOf(int instances, Duration at, int missing) {
+    membership::Reading reading{at, seconds(30), "ns", {}, false, {}};
+    for (int index = 0; index < instances; ++index) {
+        if (index == missing)
             continue;
-        membership::Claim c;
-        c.entry.id = "10.0." + std::to_string(k / 250) + "." + std::to_string(k % 250) + ":8080",
-        c.entry.build = 1 + k % 2;
-        c.priority = k % 3 * 10, c.as = "relay" + std::to_string(k);
-        r.claims.push_back(std::move(c));
+        membership::Claim claim;
+        claim.entry.id =
+            "10.0." + std::to_string(index / 250) + "." + std::to_string(index % 250) + ":8080",
+        claim.entry.build = 1 + index % 2;
+        claim.priority = index % 3 * 10, claim.as = "relay" + std::to_string(index);
+        reading.claims.push_back(std::move(claim));
     }
-    return r;
+    return reading;
 }
 
 json mergeCost(int instances, int sources) {
     membership::MergeRules rules;
-    for (int k = 0; k < sources; ++k)
-        rules.sources.push_back({"s" + std::to_string(k), membership::SourceKind::srv});
+    for (int source = 0; source < sources; ++source)
+        rules.sources.push_back({"s" + std::to_string(source), membership::SourceKind::srv});
     rules.longestStale = seconds(3600), rules.grace = seconds(30), rules.reserveBelow = 1;
     membership::Merge merge(rules);
     const SteadyClock clock;
-    Duration now{}, took{}, looked{};
+    Duration now{}, readingTime{}, viewTime{};
     constexpr int kRounds = 200;
     for (int round = 0; round < kRounds; ++round) {
         now += seconds(20);
-        for (int k = 0; k < sources; ++k) {
-            auto r = fleet(instances, now, round % instances);
-            const Duration a = clock.now();
-            merge.took(std::size_t(k), r);
-            took += clock.now() - a;
+        for (int source = 0; source < sources; ++source) {
+            auto reading = readingOf(instances, now, round % instances);
+            const Duration readingStart = clock.now();
+            merge.took(std::size_t(source), reading);
+            readingTime += clock.now() - readingStart;
         }
-        const Duration b = clock.now();
+        const Duration viewStart = clock.now();
         const auto view = merge.at(now);
-        looked += clock.now() - b;
+        viewTime += clock.now() - viewStart;
         if (view.members.size() < std::size_t(instances) / 2)
             std::abort();
     }
     return {{"instances", instances},
             {"sources", sources},
-            {"readingMs", milliseconds(took) / kRounds / sources},
-            {"lookMs", milliseconds(looked) / kRounds}};
+            {"readingMs", milliseconds(readingTime) / kRounds / sources},
+            {"lookMs", milliseconds(viewTime) / kRounds}};
 }
 
-// The resolver following a name of 300 records, over TCP as they don't fit a datagram; lifetimes of
-// a second.
-json resolver(int records, double lasts) {
+// Cost of the resolver that watches a name with the given number of records and a lifetime of one
+// second. 300 records do not fit a datagram and are sent over TCP.
+json resolverCost(int records, double lengthS) {
     asio::io_context io, serving;
     fakes::NameServer server(serving, asio::ip::udp::endpoint(asio::ip::address_v4::loopback(), 0),
                              1);
     std::vector<dns::Record> zone;
-    for (int k = 0; k < records; ++k) {
-        const std::string target = "relay" + std::to_string(k) + ".example.org.";
+    for (int index = 0; index < records; ++index) {
+        const std::string target = "relay" + std::to_string(index) + ".example.org.";
         zone.push_back({"_relay._tcp.example.org.", 1, dns::Srv{10, 1, 8080, target}});
         zone.push_back(
-            {target, 1, asio::ip::address(asio::ip::address_v4(0x0a000000u + unsigned(k)))});
+            {target, 1, asio::ip::address(asio::ip::address_v4(0x0a000000u + unsigned(index)))});
     }
     server.serve(zone);
-    const auto at = server.address();
-    std::thread other([&] { serving.run(); });
+    const auto address = server.address();
+    std::thread serverThread([&] { serving.run(); });
     const SteadyClock clock;
-    const auto resident = [] {
-        rusage of{};
-        getrusage(RUSAGE_SELF, &of);
-        return of.ru_maxrss;
+    const auto peakMemoryKiB = [] {
+        rusage usage{};
+        getrusage(RUSAGE_SELF, &usage);
+        return usage.ru_maxrss;
     };
-    const auto cpu = [] {
-        timespec t{};
-        clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
-        return double(t.tv_sec) * 1e3 + double(t.tv_nsec) / 1e6;
+    const auto cpuMs = [] {
+        timespec cpuTime{};
+        clock_gettime(CLOCK_THREAD_CPUTIME_ID, &cpuTime);
+        return double(cpuTime.tv_sec) * 1e3 + double(cpuTime.tv_nsec) / 1e6;
     };
-    const auto memory = resident();
+    const auto memoryBefore = peakMemoryKiB();
     int lookups = 0;
     std::size_t targets = 0;
     dns::ResolverSettings settings;
-    settings.servers = {at}, settings.refresh.floor = std::chrono::milliseconds(20);
+    settings.servers = {address}, settings.refresh.floor = std::chrono::milliseconds(20);
     settings.refresh.ceiling = std::chrono::milliseconds(20), settings.questionsASecond = 10000;
-    dns::Resolver r(io, clock, settings, 1,
-                    [&](const std::string &, const dns::Found &found, Duration, std::size_t) {
-                        ++lookups, targets = found.targets.size();
-                    });
-    r.follow("_relay._tcp.example.org.", false);
-    const double before = cpu();
-    io.run_for(std::chrono::milliseconds(std::int64_t(lasts * 1000)));
-    const double used = cpu() - before;
-    serving.stop(), other.join();
-    return {{"records", records},        {"targets", targets},
-            {"lookups", lookups},        {"cpuMsALookup", used / std::max(1, lookups)},
-            {"overTcp", r.counts().tcp}, {"memoryKiB", resident() - memory}};
+    dns::Resolver resolver(io, clock, settings, 1,
+                           [&](const std::string &, const dns::Found &found, Duration,
+                               std::size_t) { ++lookups, targets = found.targets.size(); });
+    resolver.follow("_relay._tcp.example.org.", false);
+    const double before = cpuMs();
+    io.run_for(std::chrono::milliseconds(std::int64_t(lengthS * 1000)));
+    const double used = cpuMs() - before;
+    serving.stop(), serverThread.join();
+    return {{"records", records},
+            {"targets", targets},
+            {"lookups", lookups},
+            {"cpuMsALookup", used / std::max(1, lookups)},
+            {"overTcp", resolver.counts().tcp},
+            {"memoryKiB", peakMemoryKiB() - memoryBefore}};
 }
 
 }  // namespace
@@ -190,8 +196,8 @@
     const Duration none = seconds(4000);
     for (const int lifetime : {30, 300})
         for (const bool atExpiry : {true, false}) {
-            std::cout << questions(380, lifetime, atExpiry, none, none).dump() << '\n';
-            std::cout << questions(380, lifetime, atExpiry, seconds(1000), seconds(1600)).dump()
+            std::cout << queryRate(380, lifetime, atExpiry, none, none).dump() << '\n';
+            std::cout << queryRate(380, lifetime, atExpiry, seconds(1000), seconds(1600)).dump()
                       << '\n';
         }
     for (const int lifetime : {5, 30, 300})
@@ -201,6 +207,6 @@
         for (const int sources : {1, 3})
             std::cout << mergeCost(instances, sources).dump() << '\n';
     for (const int records : {30, 300})
-        std::cout << resolver(records, 4).dump() << '\n';
+        std::cout << resolverCost(records, 4).dump() << '\n';
     return 0;
 }
--- a/src/cli/api_commands.cpp
+++ b/src/cli/api_commands.cpp
@@ -19,11 +19,11 @@
 
 struct ApiOptions {
     std::string api;
-    std::string file;  // of a settings document; - for standard input
+    std::string file;  // a settings document; - for standard input
     bool json = false;
 };
 
-// How the body of a good answer is shown.
+// Formats the body of a 2xx response for output.
 using Formatter = std::string (*)(const std::string &body);
 
 std::string asReceived(const std::string &body) {
@@ -38,7 +38,7 @@
                        [&](const http::Fetched &fetched) { result = fetched; });
     io.run();
     if (!result.inTime || result.outcome != http::CallEnd::complete) {
-        std::cerr << "deckcart: no answer from " << api << '\n';
+        std::cerr << "deckcart: no response from " << api << '\n';
         return kFailed;
     }
     if (result.ok()) {
@@ -59,14 +59,14 @@
 std::optional<std::string> readDocument(const std::string &file) {
     std::ifstream from(file);
     if (file != "-" && !from) {
-        std::cerr << file << ": can't be read\n";
+        std::cerr << file << ": cannot be read\n";
         return std::nullopt;
     }
     std::istream &in = file == "-" ? std::cin : from;
     return std::string(std::istreambuf_iterator<char>(in), {});
 }
 
-// Names all that is wrong with a document on standard error.
+// Writes every fault of the document to standard error.
 bool isAccepted(const std::string &file, const std::string &text) {
     try {
         const auto read = parseSettings(json::parse(text));
@@ -85,8 +85,7 @@
     return document && isAccepted(file, *document) ? kDone : kBadInput;
 }
 
-// Checked here first, so that a refused document is named with its places even before a gateway is
-// asked.
+// Checks the document before it is sent, so that its faults are reported without a gateway.
 int applySettings(const ApiOptions &options) {
     const auto document = readDocument(options.file);
     if (!document || !isAccepted(options.file, *document))
@@ -114,13 +113,14 @@
     };
     auto *settings = program.add_subcommand("settings", "a gateway's settings");
     settings->require_subcommand(1);
-    auto *getSettings = addApi(settings->add_subcommand("get", "print those in force"));
-    auto *apply = addFile(addApi(settings->add_subcommand("apply", "give it a document")));
+    auto *getSettings = addApi(settings->add_subcommand("get", "print the settings in force"));
+    auto *apply = addFile(
+        addApi(settings->add_subcommand("apply", "send a settings document to the gateway")));
     auto *check = addFile(settings->add_subcommand("check", "check a document without a gateway"));
-    auto *status = addApi(program.add_subcommand("status", "a gateway's counts"));
+    auto *status = addApi(program.add_subcommand("status", "a gateway's counters"));
     auto *members = addApi(
         program.add_subcommand("members", "the endpoints that a gateway routes to, and why"));
-    members->add_flag("--json", options->json, "all that the gateway tells, as JSON");
+    members->add_flag("--json", options->json, "the complete response as JSON");
     return {
         {getSettings, [options] { return get(options->api, "/v1/settings"); }},
         {apply, [options] { return applySettings(*options); }},
--- a/src/cli/command.hpp
+++ b/src/cli/command.hpp
@@ -1,4 +1,4 @@
-// What the program's subcommands have in common: how they are added, their exit statuses.
+// What the subcommands share: how they are added, and their exit statuses.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -10,11 +10,12 @@
 
 /// Exit statuses of all subcommands.
 constexpr int kDone = 0;
-constexpr int kFailed = 1;      ///< the thing asked for failed
+constexpr int kFailed = 1;      ///< the operation failed
 constexpr int kBadInput = 2;    ///< bad usage or bad input
 constexpr int kRuleBroken = 3;  ///< a scenario run broke a rule
 
-/// A subcommand and what it does once its options are parsed.
+/// A subcommand and its function, which runs once its options are parsed and returns an exit
+/// status.
 struct Command {
     CLI::App *app = nullptr;
     std::function<int()> run;
@@ -23,7 +24,7 @@
 /// Accepts HOST:PORT with a numeric host.
 [[nodiscard]] CLI::Validator addressValidator();
 
-/// Faults of the data path that tests of the invariant checker ask for.
+/// Faults that a gateway can be started with, to test that the invariant checker finds them.
 [[nodiscard]] const std::vector<std::string> &shellFaultNames();
 
 }  // namespace deckcart::cli
--- a/src/cli/gateway_command.cpp
+++ b/src/cli/gateway_command.cpp
@@ -28,7 +28,7 @@
     double requestLogSample = 0;
 };
 
-// The configuration is the file that EDGE_CONFIG names.
+// The environment variable EDGE_CONFIG names the configuration file.
 int runOnPlatform(const GatewayOptions &options) {
     const char *configuration = std::getenv("EDGE_CONFIG");
     if (configuration == nullptr) {
@@ -38,7 +38,7 @@
     return platform::runGateway(configuration, options.logs, options.requestLogSample);
 }
 
-int runAlone(const GatewayOptions &options) {
+int runStandalone(const GatewayOptions &options) {
     if (options.listen.empty() || options.api.empty()) {
         std::cerr << "deckcart: --listen and --api are required without --platform\n";
         return kBadInput;
@@ -62,36 +62,38 @@
 Command addGatewayCommand(CLI::App &program) {
     const auto options = std::make_shared<GatewayOptions>();
     auto *command = program.add_subcommand(
-        "gateway", "run a gateway until SIGTERM; settings come by PUT /v1/settings");
-    auto *onPlatform = command->add_flag(
-        "--platform", options->platform,
-        "serve as the platform's configuration, the file EDGE_CONFIG names, says");
+        "gateway", "run a gateway until SIGTERM; PUT /v1/settings configures it");
+    auto *onPlatform =
+        command->add_flag("--platform", options->platform,
+                          "run on the platform; EDGE_CONFIG names its configuration file");
     command
         ->add_option("--req-sample", options->requestLogSample,
-                     "under --platform: part of the requests that are logged")
+                     "with --platform: fraction of requests that are logged")
         ->check(CLI::Range(0.0, 1.0));
-    command->add_option("--listen", options->listen, "where clients connect; port 0 picks one")
+    command->add_option("--listen", options->listen, "address for clients; port 0 picks one")
         ->excludes(onPlatform)
         ->check(addressValidator());
-    command->add_option("--api", options->api, "where the API listens")
+    command->add_option("--api", options->api, "address of the API")
         ->excludes(onPlatform)
         ->check(addressValidator());
     command
-        ->add_option("--state", options->state,
-                     "folder of the saved settings and list; without it nothing is kept")
+        ->add_option(
+            "--state", options->state,
+            "folder for saved settings and the saved endpoint list; without it nothing is saved")
         ->excludes(onPlatform);
     command
         ->add_option("--ready-file", options->readyFile,
-                     "written with the chosen addresses once it listens")
+                     "file that gets the addresses once the gateway listens")
         ->excludes(onPlatform);
     command->add_option("--logs", options->logs, "text, json or none")
         ->transform(CLI::CheckedTransformer(logForms()));
     command
         ->add_option("--shell-fault", options->shellFaults,
-                     "to test the invariant checker: a fault of the data path")
+                     "a fault of the data path, to test the invariant checker")
         ->check(CLI::IsMember(shellFaultNames()));
-    return {command,
-            [options] { return options->platform ? runOnPlatform(*options) : runAlone(*options); }};
+    return {command, [options] {
+                return options->platform ? runOnPlatform(*options) : runStandalone(*options);
+            }};
 }
 
 }  // namespace deckcart::cli
--- a/src/cli/gateway_command.hpp
+++ b/src/cli/gateway_command.hpp
@@ -1,4 +1,4 @@
-// deckcart gateway: the gateway as a process, on its own or on the users' platform.
+// deckcart gateway: runs a gateway, standalone or on the users' platform.
 #pragma once
 
 #include "command.hpp"
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// The program: picks the subcommand. No logic.
+// Parses the command line and runs the subcommand.
 #include "api_commands.hpp"
 #include "gateway_command.hpp"
 #include "scenario_command.hpp"
@@ -15,7 +15,7 @@
         commands.push_back(std::move(command));
     try {
         program.parse(argc, argv);
-    } catch (const CLI::ParseError &result) {  // --help too
+    } catch (const CLI::ParseError &result) {  // also thrown for --help
         return program.exit(result) == 0 ? kDone : kBadInput;
     }
     for (const auto &command : commands) {
--- a/src/cli/members_table.hpp
+++ b/src/cli/members_table.hpp
@@ -1,11 +1,11 @@
-// The answer of GET /v1/members as a table for people.
+// Formats the response of GET /v1/members as a table.
 #pragma once
 
 #include <string>
 
 namespace deckcart::cli {
 
-/// The body itself where it is no JSON object.
+/// Returns the body unchanged where it is not a JSON object.
 [[nodiscard]] std::string membersTable(const std::string &body);
 
 }  // namespace deckcart::cli
--- a/src/cli/scenario_command.cpp
+++ b/src/cli/scenario_command.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-constexpr int kMostRuns = 1000;
+constexpr int kMaxRuns = 1000;
 
 struct ScenarioOptions {
     std::vector<std::string> files;
@@ -34,7 +34,7 @@
 std::optional<json> readJson(const std::string &path) {
     std::ifstream file(path);
     if (!file) {
-        std::cerr << path << ": can't be read\n";
+        std::cerr << path << ": cannot be read\n";
         return std::nullopt;
     }
     try {
@@ -49,30 +49,30 @@
     const auto document = readJson(path);
     if (!document)
         return std::nullopt;
-    auto read = scenarios::parseScenario(*document);
-    for (const auto &refusal : read.refused)
+    auto parsed = scenarios::parseScenario(*document);
+    for (const auto &refusal : parsed.refused)
         std::cerr << path << ": " << (refusal.path.empty() ? "/" : refusal.path) << ": "
                   << refusal.reason << '\n';
-    return std::move(read.day);
+    return std::move(parsed.day);
 }
 
-// Plays scenarios one after the other and reports each.
+// Runs scenarios one after the other and reports each.
 class ScenarioSeries {
   public:
-    explicit ScenarioSeries(const ScenarioOptions &series) : options(series) {
-        start.program = std::filesystem::read_symlink("/proc/self/exe");
-        start.keep = options.keep;
-        start.shellFaults = options.shellFaults;
+    explicit ScenarioSeries(const ScenarioOptions &given) : options(given) {
+        runOptions.program = std::filesystem::read_symlink("/proc/self/exe");
+        runOptions.keep = options.keep;
+        runOptions.shellFaults = options.shellFaults;
     }
 
-    // The exit status of the worst run; a run that could not be played ends the series.
-    int play(const std::vector<scenarios::Scenario> &all) {
+    // Returns the exit status of the worst run. A run that fails to execute ends the series.
+    int run(const std::vector<scenarios::Scenario> &scenariosToRun) {
         int status = kDone;
-        for (const auto &scenario : all) {
-            for (int run = 0; run < options.seeds; ++run) {
+        for (const auto &scenario : scenariosToRun) {
+            for (int offset = 0; offset < options.seeds; ++offset) {
                 auto seeded = scenario;
-                seeded.seed += std::uint64_t(run);
-                const int runStatus = playOne(seeded);
+                seeded.seed += std::uint64_t(offset);
+                const int runStatus = runOne(seeded);
                 if (runStatus == kFailed)
                     return kFailed;
                 status = std::max(status, runStatus);
@@ -84,19 +84,19 @@
     }
 
   private:
-    int playOne(const scenarios::Scenario &scenario) {
-        const auto played = scenarios::runScenario(scenario, start);
-        if (!played.fault.empty()) {
-            std::cerr << scenario.name << ": " << played.fault << '\n';
+    int runOne(const scenarios::Scenario &scenario) {
+        const auto result = scenarios::runScenario(scenario, runOptions);
+        if (!result.fault.empty()) {
+            std::cerr << scenario.name << ": " << result.fault << '\n';
             return kFailed;
         }
-        if (!saveRecords(played.records))
+        if (!saveRecords(result.records))
             return kFailed;
         if (options.json)
-            reports.push_back(played.report);
+            reports.push_back(result.report);
         else
-            std::cout << scenarios::describe(played.report) << '\n' << std::flush;
-        return played.violations.empty() ? kDone : kRuleBroken;
+            std::cout << scenarios::describe(result.report) << '\n' << std::flush;
+        return result.violations.empty() ? kDone : kRuleBroken;
     }
 
     bool saveRecords(const scenarios::Records &records) const {
@@ -110,21 +110,21 @@
     }
 
     const ScenarioOptions &options;
-    scenarios::ScenarioRunOptions start;
+    scenarios::ScenarioRunOptions runOptions;
     json reports = json::array();
 };
 
-int playScenarios(const ScenarioOptions &options) {
-    std::vector<scenarios::Scenario> all;
+int runScenarios(const ScenarioOptions &options) {
+    std::vector<scenarios::Scenario> scenariosToRun;
     for (const auto &path : options.files) {
         auto scenario = readScenario(path);
         if (!scenario)
-            return kBadInput;  // before any is played
+            return kBadInput;  // before any scenario is run
         if (options.seed)
             scenario->seed = *options.seed;
-        all.push_back(std::move(*scenario));
+        scenariosToRun.push_back(std::move(*scenario));
     }
-    return ScenarioSeries(options).play(all);
+    return ScenarioSeries(options).run(scenariosToRun);
 }
 
 int checkRecords(const AuditOptions &options) {
@@ -139,7 +139,7 @@
             fmt::print("rule {} ({}), {:.3f} s, {}: {}\n", int(violation.rule),
                        scenarios::nameOf(violation.rule), double(violation.at.count()) / 1e6,
                        violation.requestId, violation.words);
-        fmt::print("{} breaches\n", violations.size());
+        fmt::print("{} violations\n", violations.size());
         return violations.empty() ? kDone : kRuleBroken;
     } catch (const std::exception &error) {
         std::cerr << options.records << ": " << error.what() << '\n';
@@ -150,32 +150,37 @@
 Command addScenarioCommand(CLI::App &program) {
     const auto options = std::make_shared<ScenarioOptions>();
     auto *command = program.add_subcommand(
-        "scenario", "play fault scenarios through real gateways and check the rules");
+        "scenario", "run fault scenarios with real gateways and check the rules");
     command->alias("rehearse");  // the former name, for scripts
     command
-        ->add_option("scenarios", options->files, "their documents, see docs/operate/scenarios.md")
+        ->add_option("scenarios", options->files,
+                     "scenario documents, see docs/operate/scenarios.md")
         ->required();
-    command->add_option("--seed", options->seed, "instead of the scenario's own");
-    command->add_option("--seeds", options->seeds, "plays each so many times, seed after seed")
-        ->check(CLI::Range(1, kMostRuns));
-    command->add_option("--keep", options->keep,
-                        "folder for the gateways' logs and state; else they are thrown away");
+    command->add_option("--seed", options->seed, "replaces the seed of the scenario");
+    command
+        ->add_option("--seeds", options->seeds,
+                     "number of runs of each scenario, with consecutive seeds")
+        ->check(CLI::Range(1, kMaxRuns));
+    command->add_option(
+        "--keep", options->keep,
+        "folder that keeps the gateways' logs and state; without it they are deleted");
     command->add_option("--records", options->records,
-                        "file for what was seen at the sockets, for deckcart audit");
+                        "file for the records of the sockets, for deckcart audit");
     command->add_flag("--json", options->json, "the report as JSON");
     command
         ->add_option("--shell-fault", options->shellFaults,
-                     "a fault of the data path, which the invariant checker must find")
+                     "a fault of the data path that the invariant checker must find")
         ->check(CLI::IsMember(shellFaultNames()));
-    return {command, [options] { return playScenarios(*options); }};
+    return {command, [options] { return runScenarios(*options); }};
 }
 
 Command addAuditCommand(CLI::App &program) {
     const auto options = std::make_shared<AuditOptions>();
     auto *command =
-        program.add_subcommand("audit", "check the records of a scenario run by the rules");
-    command->add_option("scenario", options->scenario, "the scenario's document")->required();
-    command->add_option("records", options->records, "what scenario --records wrote")->required();
+        program.add_subcommand("audit", "check the rules against the records of a scenario run");
+    command->add_option("scenario", options->scenario, "the scenario document")->required();
+    command->add_option("records", options->records, "file written by scenario --records")
+        ->required();
     return {command, [options] { return checkRecords(*options); }};
 }
 
--- a/src/cli/scenario_command.hpp
+++ b/src/cli/scenario_command.hpp
@@ -1,5 +1,5 @@
-// deckcart scenario and deckcart audit: play fault scenarios through real gateways, check records
-// by the rules.
+// deckcart scenario runs fault scenarios with real gateways; deckcart audit checks the rules
+// against the records of a run.
 #pragma once
 
 #include "command.hpp"
