--- a/src/fakes/name_server.cpp
+++ b/src/fakes/name_server.cpp
@@ -135,8 +135,8 @@
         faults.noTcp = object.value("noTcp", false),
         faults.noAdditional = object.value("noAdditional", false);
         if (object.contains("seconds"))
-            faults.seconds = object["seconds"].get<std::uint32_t>();
-        faults.shrinksFor = ms("shrinksForMs");
+            faults.lifetimeSeconds = object["seconds"].get<std::uint32_t>();
+        faults.lifetimeCountdown = ms("shrinksForMs");
         script.steps.push_back(std::move(step));
     }
     if (result.refused.empty())
@@ -176,11 +176,11 @@
     response.question = question.question;
     response.recursionDesired = question.recursionDesired;
     const auto withLifetime = [&](dns::Record record) {
-        if (faults.seconds)
-            record.seconds = *faults.seconds;
-        if (faults.shrinksFor > Duration{0}) {
+        if (faults.lifetimeSeconds)
+            record.seconds = *faults.lifetimeSeconds;
+        if (faults.lifetimeCountdown > Duration{0}) {
             const Duration remaining =
-                faults.shrinksFor - (clock.now() - recordsSetAt) % faults.shrinksFor;
+                faults.lifetimeCountdown - (clock.now() - recordsSetAt) % faults.lifetimeCountdown;
             record.seconds =
                 std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(remaining).count());
         }
--- a/src/fakes/name_server.hpp
+++ b/src/fakes/name_server.hpp
@@ -32,8 +32,8 @@
     int tcpCutAt = -1;       ///< over TCP: bytes of a reply that are sent; -1: all
     bool noTcp = false;      ///< TCP connections are closed at once
     bool noAdditional = false;
-    std::optional<std::uint32_t> seconds{};  ///< replaces the records' lifetimes
-    Duration shrinksFor{};  ///< lifetimes count down from it, as behind a cache, and restart
+    std::optional<std::uint32_t> lifetimeSeconds{};  ///< replaces the records' lifetimes
+    Duration lifetimeCountdown{};  ///< lifetimes count down from it, as behind a cache, and restart
 };
 
 /// One step of a script.
--- a/src/scenarios/invariant_checker.cpp
+++ b/src/scenarios/invariant_checker.cpp
@@ -37,7 +37,7 @@
             attemptsById[attempt.requestId].push_back(&attempt);
         for (auto &[requestId, requestAttempts] : attemptsById)
             std::ranges::stable_sort(requestAttempts, {}, [](const EndpointRecord *attempt) {
-                return attempt->received;
+                return attempt->receivedAt;
             });
     }
 
@@ -75,9 +75,9 @@
             if (requestAttempts == attemptsById.end() || client.answered == Duration{0})
                 continue;
             for (const auto *attempt : requestAttempts->second)
-                if (attempt->received > client.answered + parameters.slack &&
-                    !haltedDuring(client.gateway, client.answered, attempt->received))
-                    addViolation(Rule::oneAnswer, client.requestId, attempt->received,
+                if (attempt->receivedAt > client.answered + parameters.slack &&
+                    !haltedDuring(client.gateway, client.answered, attempt->receivedAt))
+                    addViolation(Rule::oneAnswer, client.requestId, attempt->receivedAt,
                                  "sent to " + attempt->endpoint + " after its final response at " +
                                      formatSeconds(client.answered));
         }
@@ -101,24 +101,24 @@
             const EndpointRecord *firstRun = nullptr;
             for (const auto *attempt : requestAttempts) {
                 if (firstRun && requestRoute.idempotency == Idempotency::nonIdempotent)
-                    addViolation(Rule::noEffectTwice, requestId, attempt->received,
+                    addViolation(Rule::noEffectTwice, requestId, attempt->receivedAt,
                                  "non-idempotent, sent to " + attempt->endpoint +
                                      " although it may have run on " + firstRun->endpoint + " at " +
-                                     formatSeconds(firstRun->received));
+                                     formatSeconds(firstRun->receivedAt));
                 if (firstRun && requestRoute.idempotency == Idempotency::withKey) {
-                    if (attempt->received >
-                        firstRun->received + requestRoute.deduplicationWindow + parameters.slack)
-                        addViolation(Rule::noEffectTwice, requestId, attempt->received,
+                    if (attempt->receivedAt >
+                        firstRun->receivedAt + requestRoute.deduplicationWindow + parameters.slack)
+                        addViolation(Rule::noEffectTwice, requestId, attempt->receivedAt,
                                      "idempotent with a key, sent again to " + attempt->endpoint +
                                          " after the deduplication window from " +
-                                         formatSeconds(firstRun->received));
+                                         formatSeconds(firstRun->receivedAt));
                     const bool inGroup =
                         requestRoute.deduplicationScope == DeduplicationScope::all ||
                         (attempt->zone == firstRun->zone &&
                          (requestRoute.deduplicationScope == DeduplicationScope::zone ||
                           attempt->cell == firstRun->cell));
                     if (!inGroup)
-                        addViolation(Rule::noEffectTwice, requestId, attempt->received,
+                        addViolation(Rule::noEffectTwice, requestId, attempt->receivedAt,
                                      "idempotent with a key, sent again to " + attempt->endpoint +
                                          " outside the deduplication scope of " +
                                          firstRun->endpoint);
@@ -129,7 +129,7 @@
             const bool sheddable = requestRoute.idempotency == Idempotency::withKey &&
                                    requestRoute.deduplicationScope == DeduplicationScope::all;
             if (firstRun && client->second->end == ClientEnd::shed && !sheddable &&
-                firstRun->received < client->second->answered)
+                firstRun->receivedAt < client->second->answered)
                 addViolation(Rule::noEffectTwice, requestId, client->second->answered,
                              "shed although it may have run on " + firstRun->endpoint);
         }
@@ -160,7 +160,7 @@
             const EndpointNotification *drainStart =
                 nullptr;  // first "not active" notification since the last "active" one
             for (const auto *notification : ofEndpoint->second) {
-                if (notification->at > attempt.received)
+                if (notification->at > attempt.receivedAt)
                     break;
                 if (notification->state == EndpointState::active)
                     drainStart = nullptr;
@@ -168,10 +168,10 @@
                     drainStart = notification;
             }
             if (drainStart &&
-                attempt.received > drainStart->at + parameters.drainGrace + parameters.slack &&
-                notKilledDuring(gateway, drainStart->at, attempt.received) &&
-                !haltedDuring(gateway, drainStart->at, attempt.received))
-                addViolation(Rule::drains, attempt.requestId, attempt.received,
+                attempt.receivedAt > drainStart->at + parameters.drainGrace + parameters.slack &&
+                notKilledDuring(gateway, drainStart->at, attempt.receivedAt) &&
+                !haltedDuring(gateway, drainStart->at, attempt.receivedAt))
+                addViolation(Rule::drains, attempt.requestId, attempt.receivedAt,
                              "sent to " + attempt.endpoint + ", which gateway " +
                                  std::to_string(gateway) + " was told at " +
                                  formatSeconds(drainStart->at) + " to drain");
@@ -182,8 +182,8 @@
         for (const auto &overload : records.overloadedEndpoints) {
             std::size_t total = 0, informed = 0;
             for (const auto &attempt : records.instances) {
-                if (attempt.endpoint != overload.endpoint || attempt.received < overload.from ||
-                    attempt.received > overload.until)
+                if (attempt.endpoint != overload.endpoint || attempt.receivedAt < overload.from ||
+                    attempt.receivedAt > overload.until)
                     continue;
                 ++total;
                 const auto client = clientById.find(attempt.requestId);
@@ -193,7 +193,7 @@
                     records.endpoints, [&](const EndpointNotification &notification) {
                         return notification.gateway == client->second->gateway &&
                                notification.endpoint == attempt.endpoint &&
-                               notification.startedNow && notification.at <= attempt.received;
+                               notification.startedNow && notification.at <= attempt.receivedAt;
                     });
             }
             if (3 * informed >= 2 * total)
@@ -241,7 +241,7 @@
             const auto client = clientById.find(attempt.requestId);
             if (client != clientById.end())
                 sends[{client->second->gateway, attempt.build, routeOrAll(client->second->route)}]
-                    .push_back({attempt.received, &attempt, client->second});
+                    .push_back({attempt.receivedAt, &attempt, client->second});
         }
         for (auto &[key, group] : sends) {
             const auto &[gateway, build, routeIndex] = key;
@@ -328,14 +328,14 @@
                 continue;
             for (const auto *earlier : completed->second) {
                 if (earlier->build <= attempt.build ||
-                    earlier->answered + parameters.slack >= attempt.received)
+                    earlier->answered + parameters.slack >= attempt.receivedAt)
                     continue;
-                if (!notKilledDuring(gateway, earlier->answered, attempt.received))
+                if (!notKilledDuring(gateway, earlier->answered, attempt.receivedAt))
                     continue;
                 const bool rolledBack = std::ranges::any_of(
                     records.releases, [&](const RolloutNotification &notification) {
                         return notification.gateway == gateway &&
-                               notification.at <= attempt.received &&
+                               notification.at <= attempt.receivedAt &&
                                notification.build >= earlier->build &&
                                notification.at >= earlier->answered - parameters.slack &&
                                (notification.phase == RolloutPhase::rollingBack ||
@@ -343,7 +343,7 @@
                     });
                 if (rolledBack)
                     continue;
-                addViolation(Rule::exposure, attempt.requestId, attempt.received,
+                addViolation(Rule::exposure, attempt.requestId, attempt.receivedAt,
                              "key " + client->second->key + " sent to build " +
                                  std::to_string(attempt.build) + " after build " +
                                  std::to_string(earlier->build) + " answered it at " +
--- a/src/scenarios/invariant_checker.hpp
+++ b/src/scenarios/invariant_checker.hpp
@@ -42,7 +42,7 @@
     EndpointId endpoint;
     int zone = 0, cell = 0;
     BuildNumber build = 0;
-    Duration received{};
+    Duration receivedAt{};
     bool mayHaveRun = true;  ///< false: rejected before processing, and the response said so
 };
 
--- a/src/scenarios/records.cpp
+++ b/src/scenarios/records.cpp
@@ -45,7 +45,7 @@
                                          {"zone", record.zone},
                                          {"cell", record.cell},
                                          {"build", record.build},
-                                         {"received", microseconds(record.received)},
+                                         {"received", microseconds(record.receivedAt)},
                                          {"mayHaveRun", record.mayHaveRun}});
     for (const auto &record : records.endpoints)
         document["servers"].push_back({{"gateway", record.gateway},
