--- a/src/cli/gateway_command.cpp
+++ b/src/cli/gateway_command.cpp
@@ -43,7 +43,7 @@
         std::cerr << "deckcart: --listen and --api are required without --platform\n";
         return kBadInput;
     }
-    ServiceStart start;
+    ServiceOptions start;
     start.listen = *parseAddress(options.listen);
     start.api = *parseAddress(options.api);
     start.state = options.state;
--- a/src/gateway/api.cpp
+++ b/src/gateway/api.cpp
@@ -112,12 +112,12 @@
 
 void GatewayApi::getMembers(http::Exchange &exchange) {
     json body{{"instances", json::array()}};
-    if (auto *watcher = gateway.members()) {
+    if (auto *watcher = gateway.endpointWatcher()) {
         body =
             toJson(watcher->view(), watcher->sources(), gateway.settings().zones, watcher->now());
-        body["questions"] = toJson(watcher->asked());
+        body["questions"] = toJson(watcher->dnsCounts());
     } else {
-        body["instances"] = toJson(gateway.listed());
+        body["instances"] = toJson(gateway.endpointList());
     }
     if (const auto stage = gateway.stage())
         body["stage"] = toJson(*stage);
@@ -162,7 +162,7 @@
     }
     const bool sourcesChanged = sourcesDiffer(settingsDocument, requested);
     settingsDocument = std::move(requested);
-    gateway.apply(std::move(*parsed.settings), policyChanged, sourcesChanged);
+    gateway.applySettings(std::move(*parsed.settings), policyChanged, sourcesChanged);
     log.info("settings", {{"newModule", policyChanged}});
     respond(exchange, 200, settingsDocument);
 }
--- a/src/gateway/attempt_dispatcher.cpp
+++ b/src/gateway/attempt_dispatcher.cpp
@@ -70,7 +70,7 @@
     if (request.answered || request.isStreaming() ||
         deps.clock.lastTick() >= request.policyDeadline)
         return endWithoutSending(request, generation, decision.endpoint, Outcome::obsolete, false);
-    const auto call = deps.upstreams.take(endpoint);
+    const auto call = deps.upstreams.createCall(endpoint);
     if (!call)  // no address, or all connections are in use
         return endWithoutSending(request, generation, decision.endpoint, Outcome::connectFailed,
                                  false);
@@ -140,7 +140,7 @@
     if (!attempt)
         return false;
     const auto call = attempt->call;  // keeps the call alive if the request is removed
-    call->look();
+    call->processPendingInput();
     return findOutstanding() != nullptr;
 }
 
@@ -173,7 +173,7 @@
 
 void AttemptDispatcher::injectRepeat(const RequestContext &request, const AttemptContext &attempt) {
     static IgnoringObserver ignoringObserver;
-    const auto call = deps.upstreams.take(attempt.endpoint);
+    const auto call = deps.upstreams.createCall(attempt.endpoint);
     if (!call)
         return;
     call->start(
@@ -208,7 +208,7 @@
             continue;
         const AttemptContext &attempt = request->attempt(*request->streamingAttempt);
         const bool slowReader =
-            request->downstream->waiting() > 0;  // the listener's time-out closes slow clients
+            request->downstream->pendingBytes() > 0;  // the listener's time-out closes slow clients
         if (!attempt.ended && !slowReader &&
             now - attempt.lastProgressAt > deps.settings.upstream.streamStallTimeout)
             stalled.push_back({id, *request->streamingAttempt});
@@ -241,7 +241,7 @@
     }
     // Backpressure: if the client reads more slowly than the endpoint sends, reading pauses, which
     // bounds the memory used here.
-    if (request.downstream->waiting() > deps.settings.listener.waitingBytes)
+    if (request.downstream->pendingBytes() > deps.settings.listener.waitingBytes)
         attempt.call->pause();
 }
 
@@ -253,7 +253,7 @@
     request.downstream->onDrained = [this, id = request.id, attemptNumber] {
         resumeReading(id, attemptNumber);
     };
-    request.downstream->begin(*attempt.call);
+    request.downstream->beginResponse(*attempt.call);
     request.downstream->write(std::exchange(attempt.bufferedResponse, {}));
 }
 
@@ -289,7 +289,7 @@
     if (request.isStreaming())
         request.downstream->end();
     else
-        request.downstream->completed(*attempt.call, attempt.bufferedResponse);
+        request.downstream->respond(*attempt.call, attempt.bufferedResponse);
     if (faults.answersTwice)
         request.downstream->injectDuplicateResponse();
     deps.requests.markCompleted(request);
--- a/src/gateway/endpoint_persistence.cpp
+++ b/src/gateway/endpoint_persistence.cpp
@@ -13,7 +13,7 @@
     : gateway(savedGateway), store(stateStore), log(std::move(target)), timer(context) {}
 
 void EndpointPersistence::restore() {
-    if (const auto *watcher = gateway.members())
+    if (const auto *watcher = gateway.endpointWatcher())
         restoreSources(watcher->now());
     else
         restoreEndpointList();
@@ -24,7 +24,7 @@
         const auto stored = store.loadEndpointList();
         if (!stored)
             return;
-        gateway.remember(stored->endpoints);
+        gateway.restoreEndpoints(stored->endpoints);
         log.info("recalled",
                  {{"instances", stored->endpoints.size()}, {"sinceMs", milliseconds(stored->age)}});
     } catch (const std::exception &error) {
@@ -37,7 +37,7 @@
         const auto stored = store.loadSources(now);
         if (!stored)
             return;
-        gateway.remember(stored->sources);
+        gateway.restoreSources(stored->sources);
         log.info("recalled",
                  {{"sources", stored->sources.size()}, {"sinceMs", stored->age.count()}});
     } catch (const std::exception &error) {
@@ -69,9 +69,9 @@
 void EndpointPersistence::save() {
     if (!store.keepsState() || !changed)
         return;
-    const auto *watcher = gateway.members();
+    const auto *watcher = gateway.endpointWatcher();
     const std::string error = watcher ? store.saveSources(watcher->saved(), watcher->now())
-                                      : store.saveEndpointList(gateway.listed());
+                                      : store.saveEndpointList(gateway.endpointList());
     if (error.empty())
         changed = false;
     else if (error != lastError)
--- a/src/gateway/endpoint_watcher.hpp
+++ b/src/gateway/endpoint_watcher.hpp
@@ -52,7 +52,7 @@
     }
     [[nodiscard]] std::vector<membership::SavedSource> saved() const { return merge.saved(); }
     /// DNS query counts; all zero if no source is an SRV name.
-    [[nodiscard]] dns::ResolverCounts asked() const {
+    [[nodiscard]] dns::ResolverCounts dnsCounts() const {
         return resolver ? resolver->counts() : dns::ResolverCounts{};
     }
     [[nodiscard]] TimePoint now() const { return clock(); }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -26,14 +26,14 @@
 
 nlohmann::json countersJson(const Gateway &gateway) {
     const GatewayCounts &counts = gateway.counts();
-    return {{"taken", counts.taken},
+    return {{"taken", counts.accepted},
             {"completed", counts.completed},
             {"shed", counts.shed},
-            {"errored", counts.errored},
-            {"gone", counts.gone},
-            {"inHand", gateway.inHand()},
+            {"errored", counts.failed},
+            {"gone", counts.abandoned},
+            {"inHand", gateway.requestsInFlight()},
             {"tries", counts.attempts},
-            {"overdue", counts.overdue},
+            {"overdue", counts.failedByDataPath},
             {"standstills", counts.processStalls},
             {"turnedAway", counts.rejected},
             {"decidingMs", milliseconds(counts.deciding)},
@@ -85,7 +85,7 @@
     requests.releaseAll();
 }
 
-void Gateway::remember(const std::vector<ListedEndpoint> &saved) {
+void Gateway::restoreEndpoints(const std::vector<ListedEndpoint> &saved) {
     EndpointListUpdate update{true, {}};
     for (const ListedEndpoint &endpoint : saved) {
         EndpointEntry entry = entryOf(endpoint, activeSettings);
@@ -96,7 +96,7 @@
     onEvent(update);
 }
 
-void Gateway::remember(const std::vector<membership::SavedSource> &saved) {
+void Gateway::restoreSources(const std::vector<membership::SavedSource> &saved) {
     startWatcher(saved);
 }
 
@@ -118,12 +118,12 @@
                                     stage ? std::optional(stage->phase) : std::nullopt);
 }
 
-void Gateway::apply(GatewaySettings settings, bool policyChanged, bool sourcesChanged) {
+void Gateway::applySettings(GatewaySettings settings, bool policyChanged, bool sourcesChanged) {
     const bool controlPlaneMoved = controlPlaneChanged(activeSettings, settings);
     // Requests in flight refer to their route by index: routes change only together with a restart
     // of the policy.
     activeSettings = std::move(settings);
-    downstream->limit();
+    downstream->applyLimits();
     if (policyChanged)
         restartPolicy();
     if (sourcesChanged)
@@ -210,7 +210,7 @@
         onEndpointsChanged();
 }
 
-std::vector<ListedEndpoint> Gateway::listed() const {
+std::vector<ListedEndpoint> Gateway::endpointList() const {
     std::vector<ListedEndpoint> list;
     for (const EndpointEntry &entry : endpoints.entries())
         list.push_back(listedOf(entry, activeSettings.zones, clock.lastTick()));
@@ -284,10 +284,10 @@
 void Gateway::sweep() {
     const TimePoint now = clock.tick();
     if (!clock.isStalled()) {
-        upstreams->sweep(now);
+        upstreams->closeExpired(now);
         dispatcher.endStalledStreams(now);
     }
-    sweepTimer.expires_after(upstreams->sweepEvery());
+    sweepTimer.expires_after(upstreams->sweepInterval());
     sweepTimer.async_wait(guard.wrap([this](asio::error_code error) {
         if (!error)
             sweep();
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -54,20 +54,20 @@
 
     /// Gives the policy the endpoint list saved by an earlier process, as the last known list.
     /// Must be called before the first request.
-    void remember(const std::vector<ListedEndpoint> &saved);
-    void remember(const EndpointListUpdate &known) { onEvent(known); }
+    void restoreEndpoints(const std::vector<ListedEndpoint> &saved);
+    void restoreEndpoints(const EndpointListUpdate &known) { onEvent(known); }
     /// Restores the saved state of the endpoint sources, for gateways whose settings name sources.
     /// Its times must be on this gateway's clock; see readSavedSources().
-    void remember(const std::vector<membership::SavedSource> &saved);
+    void restoreSources(const std::vector<membership::SavedSource> &saved);
     /// Gives the policy the last known stage of the rollout.
-    void tell(const RolloutUpdate &update) { onEvent(update); }
+    void restoreRollout(const RolloutUpdate &update) { onEvent(update); }
 
     /// Replaces the settings while requests are in flight.
     /// @param policyChanged  starts a new generation of the policy, which takes the requests that
     ///                       arrive from now on; those in flight finish with the previous one.
     ///                       Requires mayRestartPolicy().
     /// @param sourcesChanged  the settings of the endpoint sources have changed
-    void apply(GatewaySettings settings, bool policyChanged, bool sourcesChanged = false);
+    void applySettings(GatewaySettings settings, bool policyChanged, bool sourcesChanged = false);
     /// Whether the policy may be restarted now: all listed endpoints must run the same build.
     bool mayRestartPolicy() const;
 
@@ -82,18 +82,18 @@
     asio::ip::tcp::endpoint address() const { return downstream->address(); }
     const GatewayCounts &counts() const { return gatewayCounts; }
     /// Number of requests in flight.
-    std::size_t inHand() const { return requests.size(); }
+    std::size_t requestsInFlight() const { return requests.size(); }
     /// Number of open client connections.
     std::size_t connections() const { return downstream->connections(); }
     const GatewaySettings &settings() const { return activeSettings; }
     /// The last known endpoint list.
-    std::vector<ListedEndpoint> listed() const;
+    std::vector<ListedEndpoint> endpointList() const;
     /// Empty until the control plane has reported a stage.
     std::optional<RolloutStage> stage() const { return rollout.stage(); }
     /// Called when the endpoint list, or the data of one of its sources, has changed.
     std::function<void()> onEndpointsChanged;
     /// Null if the settings name no sources, so that the control plane's list is used directly.
-    EndpointWatcher *members() { return watcher.get(); }
+    EndpointWatcher *endpointWatcher() { return watcher.get(); }
 
   private:
     void onStall(const LoopClock::Stall &stall);
--- a/src/gateway/gateway_counts.hpp
+++ b/src/gateway/gateway_counts.hpp
@@ -8,15 +8,16 @@
 namespace deckcart {
 
 struct GatewayCounts {
-    std::uint64_t taken = 0;  ///< Requests accepted; each is later counted in one of the next four.
+    std::uint64_t accepted =
+        0;  ///< Requests accepted; each is later counted in one of the next four.
     std::uint64_t completed = 0;  ///< Answered with an endpoint's response.
     std::uint64_t shed = 0;       ///< Rejected with a Retry-After.
-    std::uint64_t errored = 0;    ///< Answered with an error.
-    std::uint64_t gone = 0;       ///< Abandoned: the client disconnected first.
+    std::uint64_t failed = 0;     ///< Answered with an error.
+    std::uint64_t abandoned = 0;  ///< Abandoned: the client disconnected first.
     std::uint64_t attempts = 0;   ///< Calls to endpoints that were started.
     /// Failed by the data path: the policy gave no answer in time, or the gateway was shutting
     /// down.
-    std::uint64_t overdue = 0;
+    std::uint64_t failedByDataPath = 0;
     std::uint64_t processStalls = 0;  ///< Stalls of the process.
     /// Rejected without asking the policy: over a limit, or during shutdown.
     std::uint64_t rejected = 0;
--- a/src/gateway/http_downstream.cpp
+++ b/src/gateway/http_downstream.cpp
@@ -52,13 +52,13 @@
         return reject(*exchange, 503, "shed", "no settings yet\n", {{"Retry-After", "1"}});
     const auto route = matchRoute(settings.routes, exchange->head.method, exchange->head.target);
     if (!route) {
-        handler.unrouted();
+        handler.onUnrouted();
         return reject(*exchange, 404, "errored", "no route takes this\n", {});
     }
     RequestAttributes attributes = readAttributes(exchange->head, *route);
     auto request = std::make_shared<HttpRequest>(std::move(exchange), settings);
     request->attributes = std::move(attributes);
-    handler.arrived(std::move(request));
+    handler.onRequest(std::move(request));
 }
 
 RequestAttributes HttpDownstream::readAttributes(const http::RequestHead &head,
@@ -66,14 +66,14 @@
     RequestAttributes attributes;
     attributes.route = route;
     attributes.key = headerText(head, settings.headers.key);
-    attributes.name = headerText(head, settings.headers.requestId);
+    attributes.requestId = headerText(head, settings.headers.requestId);
     attributes.tenant = tenantIndex(settings.tenants, headerText(head, settings.headers.tenant));
-    attributes.wait = settings.routes[route].routeTimeout;
+    attributes.timeout = settings.routes[route].routeTimeout;
     const auto remaining = wholeNumber(headerText(head, settings.headers.remaining));
     if (remaining && *remaining >= 0) {
         const double bounded = std::min(*remaining, kMaxRemainingMs);
         const Duration remainingTime{std::llround(bounded * kMicrosecondsPerMillisecond)};
-        attributes.wait = std::min(attributes.wait, remainingTime);
+        attributes.timeout = std::min(attributes.timeout, remainingTime);
     }
     return attributes;
 }
--- a/src/gateway/http_downstream.hpp
+++ b/src/gateway/http_downstream.hpp
@@ -20,7 +20,7 @@
                    const GatewaySettings &settings, DownstreamHandler handler);
 
     asio::ip::tcp::endpoint address() const override { return listener.address(); }
-    void limit() override { listener.limit(settings.listener); }
+    void applyLimits() override { listener.limit(settings.listener); }
     void drain(std::function<void()> done) override;
     std::size_t connections() const override { return listener.connections(); }
 
--- a/src/gateway/http_request.cpp
+++ b/src/gateway/http_request.cpp
@@ -21,7 +21,7 @@
                          const GatewaySettings &gatewaySettings)
     : exchange(std::move(httpExchange)), settings(gatewaySettings) {
     exchange->onGone = [this] {
-        if (const auto callback = onGone)
+        if (const auto callback = onClientDisconnected)
             callback();
     };
     exchange->onDrained = [this] {
@@ -35,32 +35,32 @@
     exchange->onDrained = nullptr;
 }
 
-void HttpRequest::shed(const std::string &name, Duration retryAfter) {
+void HttpRequest::respondShed(const std::string &requestId, Duration retryAfter) {
     const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(retryAfter).count();
     const std::int64_t milliseconds = std::max<std::int64_t>(wait, 0);
     const std::int64_t seconds =  // rounded up, so that clients don't retry too early
         (milliseconds + kMillisecondsPerSecond - 1) / kMillisecondsPerSecond;
     sendError(
-        kShedStatus, "shed", name,
+        kShedStatus, "shed", requestId,
         {{"Retry-After", std::to_string(seconds)}, {kRetryHeader, std::to_string(milliseconds)}});
 }
 
-void HttpRequest::errored(const std::string &name, bool late) {
-    sendError(late ? kTimedOutStatus : kFailedStatus, "errored", name, {});
+void HttpRequest::respondError(const std::string &requestId, bool late) {
+    sendError(late ? kTimedOutStatus : kFailedStatus, "errored", requestId, {});
 }
 
-void HttpRequest::sendError(int status, const char *endReason, const std::string &name,
+void HttpRequest::sendError(int status, const char *endReason, const std::string &requestId,
                             const std::vector<http::Header> &extraHeaders) {
     http::ResponseHead response;
     response.status = status;
     response.headers = {{kEndHeader, endReason},
-                        {settings.headers.requestId, name},
+                        {settings.headers.requestId, requestId},
                         {"Content-Type", "text/plain"}};
     response.headers.insert(response.headers.end(), extraHeaders.begin(), extraHeaders.end());
     exchange->answer(std::move(response), std::string(endReason) + "\n");
 }
 
-void HttpRequest::completed(UpstreamCall &upstreamCall, std::string_view responseBody) {
+void HttpRequest::respond(UpstreamCall &upstreamCall, std::string_view responseBody) {
     const auto &call = static_cast<HttpCall &>(upstreamCall);
     http::ResponseHead responseHead = call.forwardedHead();
     if (head().method != "HEAD" || !call.contentLength())
@@ -71,7 +71,7 @@
     exchange->end();
 }
 
-void HttpRequest::begin(UpstreamCall &upstreamCall) {
+void HttpRequest::beginResponse(UpstreamCall &upstreamCall) {
     http::ResponseHead responseHead = static_cast<HttpCall &>(upstreamCall).forwardedHead();
     responseHead.chunked = !responseHead.length;
     exchange->begin(std::move(responseHead));
--- a/src/gateway/http_request.hpp
+++ b/src/gateway/http_request.hpp
@@ -21,22 +21,22 @@
     HttpRequest(const HttpRequest &) = delete;
     HttpRequest &operator=(const HttpRequest &) = delete;
 
-    bool open() const override { return exchange->open(); }
-    void shed(const std::string &name, Duration retryAfter) override;
-    void errored(const std::string &name, bool late) override;
-    void completed(UpstreamCall &upstreamCall, std::string_view responseBody) override;
-    void begin(UpstreamCall &upstreamCall) override;
+    bool isOpen() const override { return exchange->open(); }
+    void respondShed(const std::string &requestId, Duration retryAfter) override;
+    void respondError(const std::string &requestId, bool late) override;
+    void respond(UpstreamCall &upstreamCall, std::string_view responseBody) override;
+    void beginResponse(UpstreamCall &upstreamCall) override;
     void write(std::string_view part) override { exchange->write(part); }
     void end() override { exchange->end(); }
     void abort() override { exchange->abort(); }
-    std::size_t waiting() const override { return exchange->waiting(); }
+    std::size_t pendingBytes() const override { return exchange->waiting(); }
     void injectDuplicateResponse() override;
 
     const http::RequestHead &head() const { return exchange->head; }
     const std::string &body() const { return exchange->body; }
 
   private:
-    void sendError(int status, const char *endReason, const std::string &name,
+    void sendError(int status, const char *endReason, const std::string &requestId,
                    const std::vector<http::Header> &extraHeaders);
 
     const std::shared_ptr<http::Exchange> exchange;
--- a/src/gateway/http_upstream.cpp
+++ b/src/gateway/http_upstream.cpp
@@ -21,7 +21,7 @@
     : pool(connectionPool), settings(gatewaySettings), endpoint(std::move(target)),
       connection(std::move(clientConnection)) {}
 
-void HttpCall::start(const DownstreamRequest &request, const std::string &name,
+void HttpCall::start(const DownstreamRequest &request, const std::string &requestId,
                      PreSendCheck preSendCheck, BuildNumber buildOfEndpoint,
                      CallObserver *callObserver) {
     observer = callObserver;
@@ -39,7 +39,7 @@
             forwarded.headers.push_back(header);
     }
     if (!received.find(settings.headers.requestId))
-        forwarded.headers.emplace_back(settings.headers.requestId, name);
+        forwarded.headers.emplace_back(settings.headers.requestId, requestId);
     // The time that the client still waits, as of now. If none is left, 0 is sent, and the
     // deadline timer ends the call while it is connecting.
     const Duration remaining = preSendCheck().value_or(Duration{0});
@@ -98,7 +98,7 @@
                                    const GatewaySettings &gatewaySettings)
     : context(ioContext), settings(gatewaySettings), pool(ioContext, gatewaySettings) {}
 
-std::shared_ptr<UpstreamCall> HttpUpstreamPool::take(const EndpointId &endpoint) {
+std::shared_ptr<UpstreamCall> HttpUpstreamPool::createCall(const EndpointId &endpoint) {
     if (!parseAddress(endpoint))
         return nullptr;
     auto connection = pool.take(endpoint);
--- a/src/gateway/http_upstream.hpp
+++ b/src/gateway/http_upstream.hpp
@@ -22,8 +22,8 @@
              std::shared_ptr<http::ClientConnection> connection);
 
     /// `request` must be an HttpRequest.
-    void start(const DownstreamRequest &request, const std::string &name, PreSendCheck preSendCheck,
-               BuildNumber build, CallObserver *observer) override;
+    void start(const DownstreamRequest &request, const std::string &requestId,
+               PreSendCheck preSendCheck, BuildNumber build, CallObserver *observer) override;
     bool startedSending() const override { return connection->startedSending(); }
     void release(Duration now) override;
     void pause() override { connection->pause(); }
@@ -55,9 +55,9 @@
     /// calls.
     HttpUpstreamPool(asio::io_context &context, const GatewaySettings &settings);
 
-    std::shared_ptr<UpstreamCall> take(const EndpointId &endpoint) override;
+    std::shared_ptr<UpstreamCall> createCall(const EndpointId &endpoint) override;
     void closeIdle(const EndpointId &endpoint) override { pool.closeIdle(endpoint); }
-    void sweep(Duration now) override { pool.sweep(now); }
+    void closeExpired(Duration now) override { pool.sweep(now); }
     void probe(const EndpointId &endpoint, ProbeCallback done) override;
 
   private:
--- a/src/gateway/idle_connections.hpp
+++ b/src/gateway/idle_connections.hpp
@@ -19,7 +19,7 @@
   public:
     using ConnectionPtr = std::shared_ptr<Connection>;
     /// What to do with an idle connection: take it, skip it, or drop it.
-    enum class Use { takes, waits, none };
+    enum class Decision { take, skip, drop };
 
     IdleConnections() = default;
     ~IdleConnections() {
@@ -42,22 +42,22 @@
         byEndpoint[endpoint].push_back(connection);
     }
 
-    /// Returns the most recently used connection that `useOf` allows to be taken, so that the
+    /// Returns the most recently used connection that `decide` allows to be taken, so that the
     /// others can reach their idle time-out. Null if there is none.
-    template <class UseOf>
-    [[nodiscard]] ConnectionPtr take(const EndpointId &endpoint, UseOf useOf) {
+    template <class Decide>
+    [[nodiscard]] ConnectionPtr take(const EndpointId &endpoint, Decide decide) {
         const auto found = byEndpoint.find(endpoint);
         if (found == byEndpoint.end())
             return nullptr;
         auto &connections = found->second;
         for (std::size_t index = connections.size(); index-- > 0;) {
             ConnectionPtr connection = connections[index];
-            const Use use = useOf(*connection);
-            if (use == Use::waits)
+            const Decision decision = decide(*connection);
+            if (decision == Decision::skip)
                 continue;
             connections.erase(connections.begin() + static_cast<std::ptrdiff_t>(index));
             connection->onIdleClosed = nullptr;
-            if (use == Use::takes)
+            if (decision == Decision::take)
                 return connection;
             connection->drop();
         }
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -7,9 +7,9 @@
     : context(ioContext), settings(gatewaySettings) {}
 
 std::shared_ptr<http::ClientConnection> HttpConnectionPool::take(const EndpointId &endpoint) {
-    using Use = IdleConnections<http::ClientConnection>::Use;
+    using Decision = IdleConnections<http::ClientConnection>::Decision;
     auto connection = idle.take(endpoint, [](const http::ClientConnection &kept) {
-        return kept.reusable() ? Use::takes : Use::none;
+        return kept.reusable() ? Decision::take : Decision::drop;
     });
     if (!connection) {
         const auto found = inUse.find(endpoint);
--- a/src/gateway/request_handler.cpp
+++ b/src/gateway/request_handler.cpp
@@ -13,7 +13,8 @@
     deps.clock.countSocketEvent();
     if (rejectAll || deps.requests.isFull()) {
         ++deps.counts.rejected;
-        return downstream->shed(downstream->attributes.name, deps.settings.rejectedRetryAfter);
+        return downstream->respondShed(downstream->attributes.requestId,
+                                       deps.settings.rejectedRetryAfter);
     }
     // A request that is read after a stall arrived at an unknown time during it. The earliest
     // possible time is assumed, since its client may have been waiting since then.
@@ -25,7 +26,7 @@
 
 void RequestHandler::accept(std::shared_ptr<DownstreamRequest> downstream, TimePoint arrivedAt) {
     RequestContext &request = deps.requests.add(std::move(downstream), arrivedAt);
-    if (!request.downstream->open()) {  // the client disconnected during a stall
+    if (!request.downstream->isOpen()) {  // the client disconnected during a stall
         deps.requests.markAbandoned(request);
         return deps.requests.removeIfFinished(request);
     }
@@ -35,7 +36,7 @@
         deps.requests.shed(request, deps.settings.module.maxRetryAfter);
         return deps.requests.removeIfFinished(request);
     }
-    request.downstream->onGone = [this, id = request.id] {
+    request.downstream->onClientDisconnected = [this, id = request.id] {
         deps.clock.tick();
         deps.clock.countSocketEvent();
         deps.clock.runAfterStall([this, id] { onClientDisconnected(id); });
@@ -112,7 +113,7 @@
     if (now < fallbackTime)
         return scheduleDeadlineCheck(*request, fallbackTime - now);
     // Protects the client from a policy that fails to answer in time, which should never happen.
-    ++deps.counts.overdue;
+    ++deps.counts.failedByDataPath;
     deps.requests.fail(*request, true);
     onClientDisconnected(id);
 }
@@ -160,7 +161,7 @@
         if (!request->answered && shouldFail(*request))
             ids.push_back(id);
     for (const RequestId id : ids) {
-        ++deps.counts.overdue;
+        ++deps.counts.failedByDataPath;
         deps.requests.fail(*deps.requests.find(id), true);
         deps.clock.runAfterStall([this, id] { onClientDisconnected(id); });
     }
--- a/src/gateway/request_table.cpp
+++ b/src/gateway/request_table.cpp
@@ -28,14 +28,14 @@
     request.downstream = std::move(downstream);
     const RequestAttributes &attributes = request.downstream->attributes;
     request.arrivedAt = arrivedAt;
-    request.clientDeadline = arrivedAt + attributes.wait;
+    request.clientDeadline = arrivedAt + attributes.timeout;
     request.policyDeadline = request.clientDeadline - deps.settings.answerMargin;
-    request.clientRequestId = attributes.name;
+    request.clientRequestId = attributes.requestId;
     if (request.clientRequestId.empty())
         request.clientRequestId = deps.settings.id + "-" + std::to_string(id);
     requests.emplace(id, std::move(newRequest));
     deps.policy.addRequest();
-    ++deps.counts.taken;
+    ++deps.counts.accepted;
     return request;
 }
 
@@ -52,7 +52,7 @@
     if (request.isStreaming())
         request.downstream->abort();
     else
-        request.downstream->shed(request.clientRequestId, retryAfter);
+        request.downstream->respondShed(request.clientRequestId, retryAfter);
     logEnd(request, "shed");
     onRequestFinished();
 }
@@ -61,11 +61,11 @@
     if (request.answered)
         return;
     markAnswered(request);
-    ++deps.counts.errored;
+    ++deps.counts.failed;
     if (request.isStreaming())
         request.downstream->abort();
     else
-        request.downstream->errored(request.clientRequestId, late);
+        request.downstream->respondError(request.clientRequestId, late);
     logEnd(request, "errored");
     onRequestFinished();
 }
@@ -78,7 +78,7 @@
 
 void RequestTable::markAbandoned(RequestContext &request) {
     markAnswered(request);
-    ++deps.counts.gone;
+    ++deps.counts.abandoned;
 }
 
 void RequestTable::markAnswered(RequestContext &request) {
@@ -94,7 +94,7 @@
     if (request.hasOutstandingAttempts() || !request.answered)
         return;
     const GatewayId generation = request.generation;
-    request.downstream->onGone = nullptr;
+    request.downstream->onClientDisconnected = nullptr;
     request.downstream->onDrained = nullptr;
     requests.erase(request.id);
     deps.policy.removeRequest(generation);
@@ -103,7 +103,7 @@
 
 void RequestTable::releaseAll() {
     for (const auto &[id, request] : requests) {
-        request->downstream->onGone = nullptr;
+        request->downstream->onClientDisconnected = nullptr;
         request->downstream->onDrained = nullptr;
         for (const AttemptContext &attempt : request->attempts)
             if (!attempt.ended)
--- a/src/gateway/service.cpp
+++ b/src/gateway/service.cpp
@@ -21,7 +21,7 @@
 
 class Service {
   public:
-    explicit Service(const ServiceStart &startOptions)
+    explicit Service(const ServiceOptions &startOptions)
         : options(startOptions), log(startOptions.logs, "gateway"), store(startOptions.state, log),
           signals(context), endTimer(context) {}
 
@@ -74,7 +74,7 @@
     }
 
     void drain(int signal) {
-        log.info("draining", {{"signal", signal}, {"inHand", gateway->inHand()}});
+        log.info("draining", {{"signal", signal}, {"inHand", gateway->requestsInFlight()}});
         gateway->drain([this] {
             endpoints->stop();
             endTimer.expires_after(kDrainGrace);
@@ -83,11 +83,11 @@
     }
 
     void stopNow(int signal) {
-        log.warn("ended-at-once", {{"signal", signal}, {"inHand", gateway->inHand()}});
+        log.warn("ended-at-once", {{"signal", signal}, {"inHand", gateway->requestsInFlight()}});
         context.stop();
     }
 
-    ServiceStart options;
+    ServiceOptions options;
     Log log;
     SteadyClock clock;
     StateStore store;
@@ -101,7 +101,7 @@
 
 }  // namespace
 
-int runGateway(const ServiceStart &options) {
+int runGateway(const ServiceOptions &options) {
     return Service(options).run();
 }
 
--- a/src/gateway/service.hpp
+++ b/src/gateway/service.hpp
@@ -11,7 +11,7 @@
 namespace deckcart {
 
 /// Start options of the process.
-struct ServiceStart {
+struct ServiceOptions {
     asio::ip::tcp::endpoint listen;  ///< address for clients; port 0 picks a free port
     asio::ip::tcp::endpoint api;     ///< address of the operators' API; port 0 picks a free port
     std::filesystem::path state;     ///< state folder; empty: no state is kept
@@ -23,6 +23,6 @@
 
 /// Runs until SIGTERM or SIGINT, then drains the gateway. Returns the exit status: 0, or 1 with a
 /// log line if it can't start.
-[[nodiscard]] int runGateway(const ServiceStart &options);
+[[nodiscard]] int runGateway(const ServiceOptions &options);
 
 }  // namespace deckcart
--- a/src/gateway/transport.hpp
+++ b/src/gateway/transport.hpp
@@ -24,42 +24,42 @@
     std::size_t route = 0;  ///< Index into GatewaySettings::routes.
     int tenant = 0;         ///< Index into GatewaySettings::tenants; past their end if not listed.
     std::string key;        ///< Affinity key; empty if the request has none.
-    std::string name;       ///< Request id given by the client; empty if it gave none.
-    Duration wait{};        ///< How long the client waits, counted from the arrival.
+    std::string requestId;  ///< Request id given by the client; empty if it gave none.
+    Duration timeout{};     ///< How long the client waits, counted from the arrival.
 };
 
-/// A request received from a client. It is answered exactly once: by shed(), errored(),
-/// completed(), or the sequence begin(), write(), end(). Data written after the client has
+/// A request received from a client. It is answered exactly once: by respondShed(), respondError(),
+/// respond(), or the sequence beginResponse(), write(), end(). Data written after the client has
 /// disconnected is discarded. All calls and callbacks happen on the gateway's event loop thread.
 class DownstreamRequest {
   public:
     virtual ~DownstreamRequest() = default;
 
     /// Whether the client is connected and the final response is not finished.
-    virtual bool open() const = 0;
-    /// Like open(), but also checks the client's socket for a close that has not been read yet.
-    virtual bool isClientConnected() const { return open(); }
-    /// Rejects the request. `name` is the request id that is returned to the client.
-    virtual void shed(const std::string &name, Duration retryAfter) = 0;
+    virtual bool isOpen() const = 0;
+    /// Like isOpen(), but also checks the client's socket for a close that has not been read yet.
+    virtual bool isClientConnected() const { return isOpen(); }
+    /// Rejects the request. `requestId` is the request id that is returned to the client.
+    virtual void respondShed(const std::string &requestId, Duration retryAfter) = 0;
     /// Responds with an error. `late`: the request's deadline has passed.
-    virtual void errored(const std::string &name, bool late) = 0;
+    virtual void respondError(const std::string &requestId, bool late) = 0;
     /// Responds with the complete response of an endpoint.
-    virtual void completed(UpstreamCall &call, std::string_view responseBody) = 0;
+    virtual void respond(UpstreamCall &call, std::string_view responseBody) = 0;
     /// Starts a streamed response; write() and end() follow.
-    virtual void begin(UpstreamCall &call) = 0;
+    virtual void beginResponse(UpstreamCall &call) = 0;
     virtual void write(std::string_view part) = 0;
     virtual void end() = 0;
     /// Closes the connection in the middle of a streamed response that can't be completed, so that
     /// the client detects the truncation.
     virtual void abort() = 0;
     /// Response bytes buffered here that the client has not read yet.
-    virtual std::size_t waiting() const = 0;
+    virtual std::size_t pendingBytes() const = 0;
     /// Writes a second response after the first. Fault injection for scenario runs.
     virtual void injectDuplicateResponse() {}
 
     RequestAttributes attributes;
     /// Called when the client disconnects before the response has ended.
-    std::function<void()> onGone;
+    std::function<void()> onClientDisconnected;
     /// Called when the client has read all buffered response bytes.
     std::function<void()> onDrained;
 };
@@ -83,7 +83,7 @@
   public:
     virtual ~UpstreamCall() = default;
     /// Sends the client's request. Never invokes `observer` before it returns.
-    virtual void start(const DownstreamRequest &request, const std::string &name,
+    virtual void start(const DownstreamRequest &request, const std::string &requestId,
                        PreSendCheck preSendCheck, BuildNumber build, CallObserver *observer) = 0;
     /// Whether the endpoint may have received the whole request. While this is false, the attempt
     /// can be withdrawn without having run.
@@ -93,7 +93,7 @@
     virtual void release(Duration now) = 0;
     /// Processes response data that has already arrived, which may end the call. To be called
     /// before a call is given up.
-    virtual void look() {}
+    virtual void processPendingInput() {}
     /// Stops reading the response until resume() is called (backpressure).
     virtual void pause() {}
     virtual void resume() {}
@@ -106,11 +106,11 @@
     using ProbeCallback = std::function<void(std::vector<double> load)>;
     virtual ~UpstreamPool() = default;
     /// Returns null if a connection limit is reached or the endpoint has no address.
-    virtual std::shared_ptr<UpstreamCall> take(const EndpointId &endpoint) = 0;
+    virtual std::shared_ptr<UpstreamCall> createCall(const EndpointId &endpoint) = 0;
     virtual void closeIdle(const EndpointId &endpoint) = 0;
-    /// Closes connections that have been idle for too long. To be called every sweepEvery().
-    virtual void sweep(Duration now) = 0;
-    virtual Duration sweepEvery() const { return std::chrono::seconds(1); }
+    /// Closes connections that have been idle for too long. To be called every sweepInterval().
+    virtual void closeExpired(Duration now) = 0;
+    virtual Duration sweepInterval() const { return std::chrono::seconds(1); }
     virtual void probe(const EndpointId &endpoint, ProbeCallback done) = 0;
 };
 
@@ -120,7 +120,7 @@
     virtual ~Downstream() = default;
     virtual asio::ip::tcp::endpoint address() const = 0;
     /// Applies the current limits after the settings have changed.
-    virtual void limit() = 0;
+    virtual void applyLimits() = 0;
     /// Stops accepting requests; requests in flight are still answered, after which their
     /// connections are closed. Calls `done`, possibly from within this call, once no further
     /// request can arrive.
@@ -131,9 +131,9 @@
 
 /// The callbacks of a downstream; their owner must outlive the downstream.
 struct DownstreamHandler {
-    std::function<void(std::shared_ptr<DownstreamRequest>)> arrived;
+    std::function<void(std::shared_ptr<DownstreamRequest>)> onRequest;
     /// A request matched no route and has been answered.
-    std::function<void()> unrouted;
+    std::function<void()> onUnrouted;
 };
 
 struct GatewaySettings;
--- a/src/platform/commands.cpp
+++ b/src/platform/commands.cpp
@@ -100,7 +100,7 @@
     if (!timeoutMs || *timeoutMs < 0 || *timeoutMs > kMaxTimeoutMs)
         return "the time to wait is no number";
     const Duration clientTimeout{std::llround(*timeoutMs * 1000)};
-    attributes.wait = std::min(settings.routeTimeouts[attributes.route], clientTimeout);
+    attributes.timeout = std::min(settings.routeTimeouts[attributes.route], clientTimeout);
     if (requestFields.tenant)
         attributes.tenant = tenantIndex(settings.tenants, *requestFields.tenant);
     return nullptr;
@@ -130,7 +130,7 @@
         std::size_t(requestFields.clientTimeout->data() - arguments[kFieldsArgument].data());
     parsed.command.timeoutLength = requestFields.clientTimeout->size();
     parsed.attributes.key = arguments[kKeyArgument];
-    parsed.attributes.name = arguments[kIdArgument];
+    parsed.attributes.requestId = arguments[kIdArgument];
     parsed.command.arguments = std::move(arguments);
     return parsed;
 }
--- a/src/platform/downstream.cpp
+++ b/src/platform/downstream.cpp
@@ -13,7 +13,7 @@
         attributes = std::move(parsed.attributes);
         exchange->onGone = [this] {
             releaseId();
-            if (const auto notifyGateway = onGone)
+            if (const auto notifyGateway = onClientDisconnected)
                 notifyGateway();
         };
     }
@@ -24,23 +24,23 @@
     RespRequest(const RespRequest &) = delete;
     RespRequest &operator=(const RespRequest &) = delete;
 
-    bool open() const override { return exchange->open(); }
-    bool isClientConnected() const override { return open() && exchange->peerThere(); }
-    void shed(const std::string &, Duration retryAfter) override {
+    bool isOpen() const override { return exchange->open(); }
+    bool isClientConnected() const override { return isOpen() && exchange->peerThere(); }
+    void respondShed(const std::string &, Duration retryAfter) override {
         const auto retryAfterMs = retryAfter.count() / 1000;
         if (retryAfterMs > 0)
             answer(resp::error("BUSY " + std::to_string(retryAfterMs)));
         else
             answer(resp::error("BUSY"));
     }
-    void errored(const std::string &, bool) override { answer(resp::error("ERR failed")); }
-    void completed(UpstreamCall &, std::string_view value) override { answer(resp::bulk(value)); }
-    // Nothing is streamed: values are of bounded size and passed on whole by completed().
-    void begin(UpstreamCall &) override {}
+    void respondError(const std::string &, bool) override { answer(resp::error("ERR failed")); }
+    void respond(UpstreamCall &, std::string_view value) override { answer(resp::bulk(value)); }
+    // Nothing is streamed: values are of bounded size and passed on whole by respond().
+    void beginResponse(UpstreamCall &) override {}
     void write(std::string_view) override {}
     void end() override {}
     void abort() override { exchange->abort(); }
-    std::size_t waiting() const override { return 0; }
+    std::size_t pendingBytes() const override { return 0; }
 
     const RequestCommand command;
 
@@ -51,7 +51,7 @@
     }
     void releaseId() {
         if (!std::exchange(idReleased, true))
-            requestIds->markEnded(attributes.name, clock.now());
+            requestIds->markEnded(attributes.requestId, clock.now());
     }
 
     const Clock &clock;
@@ -89,13 +89,14 @@
 
 void RespDownstream::onRequestCommand(const std::shared_ptr<resp::Exchange> &exchange) {
     ParsedCommand parsed = parseCommand(std::move(exchange->args), settings);
-    if (parsed.error.empty() && !requestIds->add(parsed.attributes.name, clock.now()))
+    if (parsed.error.empty() && !requestIds->add(parsed.attributes.requestId, clock.now()))
         parsed.error = "ERR the id is of another request";
     if (!parsed.error.empty()) {
-        handler.unrouted();
+        handler.onUnrouted();
         return exchange->refuse(parsed.error);
     }
-    handler.arrived(std::make_shared<RespRequest>(clock, exchange, std::move(parsed), requestIds));
+    handler.onRequest(
+        std::make_shared<RespRequest>(clock, exchange, std::move(parsed), requestIds));
 }
 
 }  // namespace deckcart::platform
--- a/src/platform/downstream.hpp
+++ b/src/platform/downstream.hpp
@@ -22,7 +22,7 @@
     /// Starts accepting, including connections already in the listen queue. Call once.
     void open() { listener.open(); }
     asio::ip::tcp::endpoint address() const override { return listener.address(); }
-    void limit() override {}  // the limits are fixed for the life of the process
+    void applyLimits() override {}  // the limits are fixed for the life of the process
     void drain(std::function<void()> ended) override { listener.drain(std::move(ended)); }
     std::size_t connections() const override { return listener.connections(); }
 
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -85,9 +85,9 @@
     }
 
     void restoreKnownState() {
-        gateway->remember(toEndpointListUpdate(configuration.knownEndpoints));
+        gateway->restoreEndpoints(toEndpointListUpdate(configuration.knownEndpoints));
         if (configuration.knownRollout)
-            gateway->tell(*configuration.knownRollout);
+            gateway->restoreRollout(*configuration.knownRollout);
     }
 
     // Called on the first endpoint list and when the wait for it times out. Later calls do nothing.
@@ -139,7 +139,7 @@
             context.stop();
             return false;
         } else {
-            log.info("draining-already", {{"inHand", gateway->inHand()}});
+            log.info("draining-already", {{"inHand", gateway->requestsInFlight()}});
         }
         return true;
     }
@@ -158,7 +158,7 @@
     }
 
     void shutDown() {
-        log.info("draining", {{"inHand", gateway->inHand()}});
+        log.info("draining", {{"inHand", gateway->requestsInFlight()}});
         shutdownSequence.start(shutdownPlan(configuration.settings.longestTimeout()),
                                {[this] { gateway->drain([this] { context.stop(); }); },
                                 [this] { gateway->failRequestsInFlight(); },
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -30,7 +30,7 @@
                          });
     }
     bool startedSending() const override { return connection->startedSending(); }
-    void look() override { connection->look(); }
+    void processPendingInput() override { connection->look(); }
     void release(Duration) override {
         if (std::exchange(released, true))
             return;
@@ -73,18 +73,18 @@
     : context(ioContext), clock(gatewayClock), directory(endpointDirectory), limits(resourceLimits),
       settings(deploymentSettings) {}
 
-RespUpstreamPool::IdlePool::Use
+RespUpstreamPool::IdlePool::Decision
 RespUpstreamPool::reuseDecision(EndpointConnection &connection,
                                 const EndpointDirectory::Incarnation &current,
                                 TimePoint now) const {
-    using Use = IdlePool::Use;
+    using Decision = IdlePool::Decision;
     if (!(connection.incarnation == current))
-        return Use::none;
+        return Decision::drop;
     if (now - connection.idleSince >= limits.upstreamIdleTimeout)
-        return Use::none;  // the endpoint may be closing it
+        return Decision::drop;  // the endpoint may be closing it
     if (now - connection.idleSince < limits.reuseDelay)
-        return Use::waits;
-    return connection.stillQuiet() ? Use::takes : Use::none;
+        return Decision::skip;
+    return connection.stillQuiet() ? Decision::take : Decision::drop;
 }
 
 RespUpstreamPool::Connection RespUpstreamPool::acquireConnection(const EndpointId &endpoint) {
@@ -105,7 +105,7 @@
     return connection;
 }
 
-std::shared_ptr<UpstreamCall> RespUpstreamPool::take(const EndpointId &endpoint) {
+std::shared_ptr<UpstreamCall> RespUpstreamPool::createCall(const EndpointId &endpoint) {
     const auto connection = acquireConnection(endpoint);
     return connection ? std::make_shared<RespCall>(*this, endpoint, connection) : nullptr;
 }
--- a/src/platform/upstream_pool.hpp
+++ b/src/platform/upstream_pool.hpp
@@ -23,10 +23,10 @@
                      const EndpointDirectory &directory, const ResourceLimits &limits,
                      const simulator::DeploymentSettings &settings);
 
-    std::shared_ptr<UpstreamCall> take(const EndpointId &endpoint) override;
+    std::shared_ptr<UpstreamCall> createCall(const EndpointId &endpoint) override;
     void closeIdle(const EndpointId &endpoint) override { idle.close(endpoint); }
-    void sweep(Duration now) override { idle.sweep(now, limits.upstreamIdleTimeout); }
-    Duration sweepEvery() const override { return limits.idleSweepInterval; }
+    void closeExpired(Duration now) override { idle.sweep(now, limits.upstreamIdleTimeout); }
+    Duration sweepInterval() const override { return limits.idleSweepInterval; }
     void probe(const EndpointId &endpoint, ProbeCallback done) override;
     /// Number of open connections, in use and idle.
     [[nodiscard]] std::size_t connections() const { return connectionsInUse + idle.size(); }
@@ -47,9 +47,9 @@
     /// is reached. Each connection, even a failed one, must be passed to releaseConnection() once.
     [[nodiscard]] Connection acquireConnection(const EndpointId &endpoint);
     void releaseConnection(const EndpointId &endpoint, const Connection &connection);
-    [[nodiscard]] IdlePool::Use reuseDecision(EndpointConnection &connection,
-                                              const EndpointDirectory::Incarnation &current,
-                                              TimePoint now) const;
+    [[nodiscard]] IdlePool::Decision reuseDecision(EndpointConnection &connection,
+                                                   const EndpointDirectory::Incarnation &current,
+                                                   TimePoint now) const;
     [[nodiscard]] bool isCurrent(const EndpointId &endpoint, const Connection &connection) const;
 
     asio::io_context &context;
--- a/tests/path/cells_test.cpp
+++ b/tests/path/cells_test.cpp
@@ -165,7 +165,7 @@
             clock.ahead = 1500ms;
         if (struckBy("settings")) {
             document["release"] = {{"spareTries", 9}};
-            gateway->apply(*parseSettings(document).settings, true);
+            gateway->applySettings(*parseSettings(document).settings, true);
         }
         if (struckBy("shutdown"))
             gateway->drain([this] { drained = true; });
@@ -191,7 +191,7 @@
     }
 
     void checkNothingIsLeft(const RawClient &sender, const ScriptedEndpoint &other) {
-        EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 2500ms))
+        EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }, 2500ms))
             << "nothing of it is left";
         const auto attempts = gateway->counts().attempts;
         const auto decisions = gateway->counts().decisions;
@@ -204,7 +204,8 @@
         for (const auto &request : other.requests)
             reached += says(request, "/once");
         EXPECT_LE(reached, struckBy("full") ? 2u : 1u);
-        EXPECT_EQ(gateway->counts().overdue, struckBy("stalled") ? gateway->counts().overdue : 0u);
+        EXPECT_EQ(gateway->counts().failedByDataPath,
+                  struckBy("stalled") ? gateway->counts().failedByDataPath : 0u);
         EXPECT_TRUE(!struckBy("shutdown") || until([&] { return drained; }));
     }
 
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -14,11 +14,13 @@
     }
     auto silentFor() const { return std::chrono::steady_clock::now() - silentSince; }
     bool listed(const EndpointId &id) const {
-        return std::ranges::any_of(gateway->listed(), [&](const auto &s) { return s.id == id; });
+        return std::ranges::any_of(gateway->endpointList(),
+                                   [&](const auto &s) { return s.id == id; });
     }
     bool drains() const {
-        return std::ranges::any_of(
-            gateway->listed(), [](const auto &s) { return s.state == EndpointState::draining; });
+        return std::ranges::any_of(gateway->endpointList(), [](const auto &s) {
+            return s.state == EndpointState::draining;
+        });
     }
     // In the first command that has reached the endpoint.
     static int forwardedWaitMs(const ScriptedRespEndpoint &one) {
@@ -101,10 +103,10 @@
     silenceListWatches();
     ASSERT_TRUE(until([&] { return !fakePlatform.listWatches.empty(); })) << "opened anew";
     fakePlatform.listEndpoint("s1", one.address(), 1, "Terminating");
-    ASSERT_TRUE(until([&] { return gateway->listed()[0].state == EndpointState::draining; }));
+    ASSERT_TRUE(until([&] { return gateway->endpointList()[0].state == EndpointState::draining; }));
     old->write(change("s1", "Ready", -1, 900) + "\n");
     settleDown();
-    EXPECT_EQ(gateway->listed()[0].state, EndpointState::draining);
+    EXPECT_EQ(gateway->endpointList()[0].state, EndpointState::draining);
 }
 
 // ---- shutdown, at the gateway: what the loop has not come to yet is what crosses ----
@@ -204,11 +206,11 @@
     c.send(request("a"));
     ASSERT_TRUE(until([&] { return attempts() == 1; }));
     auto &sound = endpoint(echo);
-    ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
+    ASSERT_TRUE(until([&] { return gateway->endpointList().size() == 2; }));
     endpoints[0].send("-ERR failed\r\n");  // ready first, so read first
     c.hangUp();
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }));
-    EXPECT_EQ(gateway->counts().gone, 1u);
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }));
+    EXPECT_EQ(gateway->counts().abandoned, 1u);
     EXPECT_EQ(gateway->counts().attempts, 1u);
     EXPECT_EQ(sound.commands.size(), 0u);
 }
@@ -221,14 +223,14 @@
     for (int k = 0; k < 100; ++k)
         many += request("r" + std::to_string(k));
     c.send(many);
-    ASSERT_TRUE(until([&] { return gateway->counts().taken >= 64; }));
+    ASSERT_TRUE(until([&] { return gateway->counts().accepted >= 64; }));
     settleDown();
     c.hangUp();
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 2s))
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }, 2s))
         << "before the requests' time is up";
-    EXPECT_GT(gateway->counts().gone, 0u);
-    EXPECT_EQ(gateway->counts().errored, 0u);
-    EXPECT_LT(gateway->counts().taken, 100u) << "the others were not taken up";
+    EXPECT_GT(gateway->counts().abandoned, 0u);
+    EXPECT_EQ(gateway->counts().failed, 0u);
+    EXPECT_LT(gateway->counts().accepted, 100u) << "the others were not taken up";
 }
 
 TEST_F(Crossing, ACloseWhileItsAttemptConnectsEndsItThoughNothingMayBeCancelled) {
@@ -239,7 +241,7 @@
     c.send(request("a"));
     ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     c.hangUp();
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 800ms))
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }, 800ms))
         << "not when the connection is up";
     slow.acceptAll();
     settleDown();
--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -104,11 +104,11 @@
     EXPECT_EQ(statusOf(answer), 504);
     EXPECT_TRUE(says(answer, "Deckcart-End: errored"));
     EXPECT_LT(std::chrono::steady_clock::now() - from, 300ms + 2s);
-    EXPECT_EQ(gateway->counts().overdue, 0u)
+    EXPECT_EQ(gateway->counts().failedByDataPath, 0u)
         << "by the policy's decision, not the data path's guard";
     const auto own = ask("/once", "X-Remaining-Ms: 200\r\n");
     EXPECT_EQ(statusOf(own), 504) << "the client's own time, not the route's";
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }));
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }));
 }
 
 TEST_F(Path, WithNowhereToGoItShedsWithATimeToComeBack) {
@@ -220,7 +220,7 @@
     EXPECT_EQ(statusOf(answer), 200);
     EXPECT_LT(answer.size(), 900'000u);
     EXPECT_EQ(totalRequests(instances), 1u);
-    EXPECT_EQ(gateway->counts().errored, 1u);
+    EXPECT_EQ(gateway->counts().failed, 1u);
     EXPECT_EQ(gateway->counts().completed, 0u);
 }
 
@@ -238,8 +238,9 @@
     ASSERT_TRUE(until([&] { return !slow.in.empty(); }));
     for (int k = 0; k < 5; ++k)
         EXPECT_EQ(statusOf(ask("/x")), 200);
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; })) << "cut off in bounded time";
-    EXPECT_EQ(gateway->counts().gone, 1u);
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }))
+        << "cut off in bounded time";
+    EXPECT_EQ(gateway->counts().abandoned, 1u);
 }
 
 // ---- clients ----
@@ -273,7 +274,7 @@
         EXPECT_EQ(c.statuses(), std::vector<int>{400}) << bad;
     }
     EXPECT_EQ(totalRequests(instances), 0u);
-    EXPECT_EQ(gateway->counts().taken, 0u);
+    EXPECT_EQ(gateway->counts().accepted, 0u);
 }
 
 TEST_F(Path, HeadContinueAndUpgrade) {
@@ -307,7 +308,7 @@
     ASSERT_TRUE(until([&] { return gateway->connections() == 1; }));
     c.hangUp();
     EXPECT_TRUE(until([&] { return gateway->connections() == 0; }));
-    EXPECT_EQ(gateway->counts().taken, 0u);
+    EXPECT_EQ(gateway->counts().accepted, 0u);
     EXPECT_EQ(totalRequests(instances), 0u);
 }
 
@@ -320,8 +321,8 @@
     c.hangUp();
     EXPECT_TRUE(until([&] { return instances[0].open == 0; }))
         << "the instance sees its connection close";
-    EXPECT_EQ(gateway->counts().gone, 1u);
-    EXPECT_EQ(gateway->inHand(), 0u);
+    EXPECT_EQ(gateway->counts().abandoned, 1u);
+    EXPECT_EQ(gateway->requestsInFlight(), 0u);
 }
 
 TEST_F(Path, TwoThousandConnectionsOpenedAndDroppedLeaveNothing) {
@@ -339,7 +340,7 @@
     }
     EXPECT_TRUE(until([&] { return gateway->connections() == 0; }));
     EXPECT_EQ(statusOf(ask("/x")), 200);
-    EXPECT_EQ(gateway->inHand(), 0u);
+    EXPECT_EQ(gateway->requestsInFlight(), 0u);
 }
 
 // ---- limits ----
@@ -356,11 +357,11 @@
         "POST /x HTTP/1.1\r\nHost: r\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nhello world\r\n");
     EXPECT_TRUE(until([&] { return chunks.closed; }));
     EXPECT_EQ(chunks.statuses(), std::vector<int>{413});
-    EXPECT_EQ(gateway->counts().taken, 0u);
+    EXPECT_EQ(gateway->counts().accepted, 0u);
 
     for (int k = 0; k < 2; ++k)
         client().send("GET /x HTTP/1.1\r\nHost: r\r\n\r\n");
-    ASSERT_TRUE(until([&] { return gateway->inHand() == 2; }));
+    ASSERT_TRUE(until([&] { return gateway->requestsInFlight() == 2; }));
     const auto third = ask("/x");
     EXPECT_EQ(statusOf(third), 503);
     EXPECT_TRUE(says(third, "Deckcart-End: shed") && says(third, "Retry-After:"));
@@ -406,8 +407,8 @@
     ASSERT_GT(instances[0].open, 0u);
     controlPlane.list(instances[0].id(), 1, EndpointState::draining);
     ASSERT_TRUE(until([&] {
-        return gateway->listed().front().state != EndpointState::active ||
-               gateway->listed().back().state != EndpointState::active;
+        return gateway->endpointList().front().state != EndpointState::active ||
+               gateway->endpointList().back().state != EndpointState::active;
     }));
     const auto before = instances[0].requests.size();
     askAtOnce(10);
@@ -440,7 +441,7 @@
         return true;
     }));
     ASSERT_TRUE(until([&] {
-        return std::ranges::count(gateway->listed(), EndpointState::draining,
+        return std::ranges::count(gateway->endpointList(), EndpointState::draining,
                                   &ListedEndpoint::state) == 2;
     }));
     clock.held.reset();
@@ -560,9 +561,9 @@
     ASSERT_TRUE(until([&] { return totalRequests(instances) == 1; }));
     ASSERT_TRUE(gateway->mayRestartPolicy());
     document["release"] = {{"spareTries", 9}};
-    gateway->apply(*parseSettings(document).settings, true);
+    gateway->applySettings(*parseSettings(document).settings, true);
     auto &second = instance([](auto, auto &) { return ok(); });
-    ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
+    ASSERT_TRUE(until([&] { return gateway->endpointList().size() == 2; }));
     EXPECT_TRUE(until([&] { return c.statuses().size() == 1; }));
     EXPECT_EQ(c.statuses(), std::vector<int>{504});
     for (int k = 0; k < 8 && second.requests.empty(); ++k)
@@ -576,7 +577,7 @@
     EXPECT_TRUE(gateway->mayRestartPolicy());
     ScriptedEndpoint trial(io, [](auto, auto &) { return ok(); });
     controlPlane.list(trial.id(), 2);
-    ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
+    ASSERT_TRUE(until([&] { return gateway->endpointList().size() == 2; }));
     EXPECT_FALSE(gateway->mayRestartPolicy());
 }
 
@@ -586,7 +587,8 @@
     auto &busy = client();
     auto &idle = client();
     busy.send("POST /once HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 400\r\n\r\n");
-    ASSERT_TRUE(until([&] { return gateway->inHand() == 1 && gateway->connections() == 2; }));
+    ASSERT_TRUE(
+        until([&] { return gateway->requestsInFlight() == 1 && gateway->connections() == 2; }));
     bool drained = false;
     gateway->drain([&] { drained = true; });
     EXPECT_TRUE(until([&] { return idle.closed; }));
@@ -675,7 +677,7 @@
         for (std::size_t k = 0; k < instances.size(); ++k)
             list.push_back(listedAs(instances[k].id(), BuildNumber(k + 1)));
         if (saved)
-            gateway->remember(list);
+            gateway->restoreEndpoints(list);
         const auto settles = [&] {
             const auto before = gateway->counts().decisions;
             return until([&] { return gateway->counts().decisions > before + 20; });
@@ -700,7 +702,7 @@
     auto read = parseSettings(document);
     gateway = std::make_unique<Gateway>(io, clock, *read.settings, 1, Log(),
                                         *parseAddress("127.0.0.1:0"));
-    gateway->remember(list);
+    gateway->restoreEndpoints(list);
     for (int k = 0; k < 40; ++k)
         EXPECT_EQ(statusOf(ask("/x")), 200) << "hardly an earlier build is left";
     EXPECT_LE(totalRequests(instances) - instances[0].requests.size(), 2 + 4u)
--- a/tests/path/platform_fixture.hpp
+++ b/tests/path/platform_fixture.hpp
@@ -273,7 +273,7 @@
         gateway = std::make_unique<Gateway>(
             io, clock, platform::toGatewaySettings(configuration, resourceLimits), 1, Log(),
             *transport);
-        gateway->remember(platform::toEndpointListUpdate(configuration.knownEndpoints));
+        gateway->restoreEndpoints(platform::toEndpointListUpdate(configuration.knownEndpoints));
         transport->respDownstream->open();
         ASSERT_TRUE(until(
             [&] { return gateway->stage().has_value() && !fakePlatform.listWatches.empty(); }));
--- a/tests/path/platform_test.cpp
+++ b/tests/path/platform_test.cpp
@@ -162,7 +162,8 @@
     connection.send(request("a"));
     ASSERT_TRUE(until([&] { return attempts() == 1; }));
     connection.hangUp();
-    EXPECT_TRUE(until([&] { return gateway->counts().gone == 1 && gateway->inHand() == 0; }));
+    EXPECT_TRUE(until(
+        [&] { return gateway->counts().abandoned == 1 && gateway->requestsInFlight() == 0; }));
 }
 
 TEST_F(Platform, ADrainAnswersTheRequestsInFlight) {
@@ -173,7 +174,7 @@
     ASSERT_TRUE(until([&] { return idle.in == "+PONG\r\n"; }));
     auto &connection = client();
     connection.send(request("a"));
-    ASSERT_TRUE(until([&] { return gateway->inHand() == 1; }));
+    ASSERT_TRUE(until([&] { return gateway->requestsInFlight() == 1; }));
     bool done = false;
     gateway->drain([&] { done = true; });
     EXPECT_TRUE(until([&] { return done && connection.closed && idle.closed; }));
@@ -189,7 +190,7 @@
     gateway->failRequestsInFlight();
     EXPECT_TRUE(until([&] { return connection.in == "-ERR failed\r\n-ERR failed\r\n"; }))
         << connection.in;
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }));
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }));
 }
 
 TEST_F(Platform, ChangedAddressesMoveBothWatches) {
--- a/tests/path/sources_test.cpp
+++ b/tests/path/sources_test.cpp
@@ -55,12 +55,12 @@
     }
     std::size_t liveCount() {
         std::size_t count = 0;
-        for (const auto &one : gateway->listed())
+        for (const auto &one : gateway->endpointList())
             count += one.state == EndpointState::active;
         return count;
     }
     bool lists(const EndpointId &id) {
-        for (const auto &one : gateway->listed())
+        for (const auto &one : gateway->endpointList())
             if (one.id == id)
                 return true;
         return false;
@@ -102,7 +102,7 @@
     const auto asked = servers[0]->asked();
     ASSERT_TRUE(until([&] { return servers[0]->asked() >= asked + 3; }));
     EXPECT_EQ(liveCount(), 4u);
-    EXPECT_EQ(gateway->members()->view().sources[0].held, 4u);
+    EXPECT_EQ(gateway->endpointWatcher()->view().sources[0].held, 4u);
     EXPECT_EQ(statusOf(ask("/x")), 200);
 }
 
@@ -126,12 +126,14 @@
     ask("/x");           // may have arrived at any time during the stall, so it is shed
     EXPECT_EQ(statusOf(ask("/x")), 200);
     EXPECT_EQ(liveCount(), 2u);
-    EXPECT_EQ(gateway->members()->view().sources[0].state, membership::SourceState::failed);
+    EXPECT_EQ(gateway->endpointWatcher()->view().sources[0].state, membership::SourceState::failed);
     // The name server replies again: the source recovers.
     servers[0]->misbehave({});
     ASSERT_TRUE(until([&] {
-        return gateway->members()->view().sources[0].state == membership::SourceState::fresh ||
-               gateway->members()->view().sources[0].state == membership::SourceState::stale;
+        return gateway->endpointWatcher()->view().sources[0].state ==
+                   membership::SourceState::fresh ||
+               gateway->endpointWatcher()->view().sources[0].state ==
+                   membership::SourceState::stale;
     }));
 }
 
@@ -159,7 +161,7 @@
         {.twice = true, .wrongId = true, .wrongQuestion = true, .fromElsewhere = true});
     startGateway();
     ASSERT_TRUE(until([&] { return liveCount() == 1; }));
-    EXPECT_GE(gateway->members()->asked().dropped, 2u);
+    EXPECT_GE(gateway->endpointWatcher()->dnsCounts().dropped, 2u);
 }
 
 TEST_F(Sources, LongRepliesAreFetchedOverTcp) {
@@ -245,7 +247,7 @@
     };
     startGateway();
     ASSERT_TRUE(until([&] {
-        const auto view = gateway->members()->view();
+        const auto view = gateway->endpointWatcher()->view();
         return view.sources[0].listed == 1 && view.sources[1].listed == 1;
     }));
     EXPECT_EQ(targetQuestions, 1);
@@ -284,15 +286,15 @@
     addServer().serve(records({0, 1}));
     startGateway();
     ASSERT_TRUE(until([&] { return liveCount() == 2; }));
-    auto *watcher = gateway->members();
+    auto *watcher = gateway->endpointWatcher();
     const auto saved = toJson(watcher->saved(), watcher->now());
     gateway.reset();
     servers[0]->misbehave({.silent = true});
     startGateway();
-    gateway->remember(readSavedSources(json::parse(saved.dump()), clock.now(), 1h));
+    gateway->restoreSources(readSavedSources(json::parse(saved.dump()), clock.now(), 1h));
     EXPECT_EQ(liveCount(), 2u);
     EXPECT_EQ(statusOf(ask("/x")), 200);
-    EXPECT_EQ(gateway->members()->view().members[0].state, membership::SourceState::failed);
+    EXPECT_EQ(gateway->endpointWatcher()->view().members[0].state, membership::SourceState::failed);
 }
 
 TEST_F(Sources, TheControlPlaneListAndTheRecordsAreMerged) {
@@ -304,7 +306,7 @@
     startGateway();
     // The control plane's drain applies although the records still list the endpoint as active.
     ASSERT_TRUE(until([&] { return liveCount() == 2 && lists(instances[1].id()); }));
-    for (const auto &one : gateway->listed())
+    for (const auto &one : gateway->endpointList())
         EXPECT_EQ(one.state == EndpointState::draining, one.id == instances[1].id());
     for (int k = 0; k < 10; ++k)
         EXPECT_EQ(statusOf(ask("/x")), 200);
@@ -318,10 +320,10 @@
     ASSERT_TRUE(until([&] { return liveCount() == 1; }));
     servers[0]->misbehave({.silent = true});
     document["sources"]["nodes"] = {{{"address", instances[1].id()}, {"build", 1}}};
-    gateway->apply(*parseSettings(document).settings, false, true);
+    gateway->applySettings(*parseSettings(document).settings, false, true);
     EXPECT_TRUE(until([&] { return liveCount() == 2; }));
     document["sources"]["nodes"] = json::array();
-    gateway->apply(*parseSettings(document).settings, false, true);
+    gateway->applySettings(*parseSettings(document).settings, false, true);
     EXPECT_TRUE(until([&] { return liveCount() == 1; }));
     EXPECT_TRUE(lists(instances[0].id()));
 }
--- a/tests/unit/endpoint_snapshot_test.cpp
+++ b/tests/unit/endpoint_snapshot_test.cpp
@@ -9,9 +9,11 @@
 
 class RecordingPool : public UpstreamPool {
   public:
-    std::shared_ptr<UpstreamCall> take(const EndpointId & /*endpoint*/) override { return nullptr; }
+    std::shared_ptr<UpstreamCall> createCall(const EndpointId & /*endpoint*/) override {
+        return nullptr;
+    }
     void closeIdle(const EndpointId &endpoint) override { closed.push_back(endpoint); }
-    void sweep(Duration /*now*/) override {}
+    void closeExpired(Duration /*now*/) override {}
     void probe(const EndpointId & /*endpoint*/, ProbeCallback /*done*/) override {}
     std::vector<EndpointId> closed;
 };
--- a/tests/unit/platform_test.cpp
+++ b/tests/unit/platform_test.cpp
@@ -111,13 +111,13 @@
     EXPECT_EQ(parsed.attributes.route, 1u);
     EXPECT_EQ(parsed.attributes.tenant, 0);
     EXPECT_EQ(parsed.attributes.key, "key");
-    EXPECT_EQ(parsed.attributes.name, "id1");
-    EXPECT_EQ(parsed.attributes.wait, Duration{480ms});
+    EXPECT_EQ(parsed.attributes.requestId, "id1");
+    EXPECT_EQ(parsed.attributes.timeout, Duration{480ms});
     EXPECT_EQ(forwardedCommand(parsed.command, Duration{123456us}),
               resp::command({"Q.DO", "key", "id1", "c=order,t=acme,d=123,k=5c0f", "BODY"}));
     const auto limited =
         parseCommand({"Q.ASK", "", "i", "r=1,c=lookup,t=none,d=99999"}, settings());
-    EXPECT_EQ(limited.attributes.wait, Duration{800ms}) << "limited to the route's timeout";
+    EXPECT_EQ(limited.attributes.timeout, Duration{800ms}) << "limited to the route's timeout";
     EXPECT_EQ(limited.attributes.tenant, 1) << "an unknown tenant gets the index past the end";
 }
 
@@ -310,7 +310,7 @@
         EXPECT_EQ(command.error, "");
         decide(now, RequestArrived{RequestId(index), command.attributes.key,
                                    int(command.attributes.route), command.attributes.tenant,
-                                   now + command.attributes.wait});
+                                   now + command.attributes.timeout});
         decide(now + 4ms,
                AttemptEnded{RequestId(index), 0, false, index % 20 ? Outcome::ok : Outcome::error});
         decide(now + 6ms, AttemptEnded{RequestId(index), 1, false, Outcome::ok});
