--- a/bench/sources_bench.cpp
+++ b/bench/sources_bench.cpp
@@ -100,7 +100,7 @@
         membership::Claim c;
         c.entry.id = "10.0." + std::to_string(k / 250) + "." + std::to_string(k % 250) + ":8080",
         c.entry.build = 1 + k % 2;
-        c.priority = k % 3 * 10, c.as = "relay" + std::to_string(k);
+        c.priority = k % 3 * 10, c.listedAs = "relay" + std::to_string(k);
         r.claims.push_back(std::move(c));
     }
     return r;
@@ -110,7 +110,7 @@
     membership::MergeRules rules;
     for (int k = 0; k < sources; ++k)
         rules.sources.push_back({"s" + std::to_string(k), membership::SourceKind::srv});
-    rules.longestStale = seconds(3600), rules.grace = seconds(30), rules.reserveBelow = 1;
+    rules.maxStaleness = seconds(3600), rules.grace = seconds(30), rules.reserveBelow = 1;
     membership::Merge merge(rules);
     const SteadyClock clock;
     Duration now{}, took{}, looked{};
@@ -120,11 +120,11 @@
         for (int k = 0; k < sources; ++k) {
             auto r = fleet(instances, now, round % instances);
             const Duration a = clock.now();
-            merge.took(std::size_t(k), r);
+            merge.applyReading(std::size_t(k), r);
             took += clock.now() - a;
         }
         const Duration b = clock.now();
-        const auto view = merge.at(now);
+        const auto view = merge.evaluate(now);
         looked += clock.now() - b;
         if (view.members.size() < std::size_t(instances) / 2)
             std::abort();
--- a/fuzz/dns_reply.cpp
+++ b/fuzz/dns_reply.cpp
@@ -46,7 +46,7 @@
     demand(lookup.finished());
     demand(lookup.result().targets.size() <= bounds.targets);
     const auto reading =
-        membership::readingOf({"n.", 1, 0, 0}, lookup.result(), Duration{1}, Duration{1}, "ns");
+        membership::makeReading({"n.", 1, 0, 0}, lookup.result(), Duration{1}, Duration{1}, "ns");
     demand(reading.claims.size() <= bounds.targets * bounds.addresses);
     for (const auto &c : reading.claims)
         demand(c.entry.weight >= 0.001 && c.entry.weight <= 1);
--- a/src/gateway/endpoint_documents.cpp
+++ b/src/gateway/endpoint_documents.cpp
@@ -19,7 +19,7 @@
 json toJson(const membership::Member &member, const std::vector<std::string> &zones,
             TimePoint now) {
     json document = toJson(member.entry, zones, now);
-    if (member.priority != membership::kNoClass)
+    if (member.priority != membership::kNoPriorityClass)
         document["priority"] = member.priority;
     document["inSet"] = member.inSet;
     document["reason"] = member.reason;
@@ -30,15 +30,15 @@
     return document;
 }
 
-json toJson(const membership::SourceView &view, const membership::SourceRule &rule) {
+json toJson(const membership::SourceStatus &view, const membership::SourceRule &rule) {
     return {{"name", rule.name},
             {"kind", nameOf(rule.kind)},
             {"state", nameOf(view.state)},
             {"toldAgoMs", milliseconds(view.age)},
             {"lifetimeLeftMs", milliseconds(view.lifetimeLeft)},
             {"listed", view.listed},
-            {"heldLosses", view.held},
-            {"toldBy", view.from},
+            {"heldLosses", view.heldLosses},
+            {"toldBy", view.reporter},
             {"fault", view.fault}};
 }
 
@@ -49,12 +49,12 @@
     for (const auto &[claim, since] : source.listed) {
         json document = toJson(claim.entry, {}, now);
         document["zoneNo"] = claim.entry.zone;
-        document["as"] = claim.as;
+        document["as"] = claim.listedAs;
         document["priority"] = claim.priority;
         document["sinceMs"] = milliseconds(now - since);
         listed.push_back(std::move(document));
     }
-    for (const auto &[id, stop] : source.stops) {
+    for (const auto &[id, stop] : source.stopNotices) {
         const auto &[state, since] = stop;
         stops.push_back({{"id", id},
                          {"gone", state == EndpointState::removed},
@@ -63,8 +63,8 @@
     for (const auto &[id, since] : source.withdrawn)
         withdrawn.push_back({{"id", id}, {"sinceMs", milliseconds(now - since)}});
     return {{"name", source.name},
-            {"from", source.from},
-            {"toldAgoMs", milliseconds(now - source.at)},
+            {"from", source.reporter},
+            {"toldAgoMs", milliseconds(now - source.readAt)},
             {"lifetimeMs", milliseconds(source.lifetime)},
             {"listed", std::move(listed)},
             {"stops", std::move(stops)},
@@ -95,7 +95,7 @@
                        {}};
         if (endpoint.age)
             claim.entry.startedAt = written - *endpoint.age;
-        claim.as = document.at("as").get<std::string>();
+        claim.listedAs = document.at("as").get<std::string>();
         claim.priority = document.at("priority").get<int>();
         return claim;
     }
@@ -103,13 +103,13 @@
     [[nodiscard]] membership::SavedSource source(const json &document) const {
         membership::SavedSource source;
         source.name = document.at("name").get<std::string>();
-        source.from = document.at("from").get<std::string>();
-        source.at = timeAt(document, "toldAgoMs");
+        source.reporter = document.at("from").get<std::string>();
+        source.readAt = timeAt(document, "toldAgoMs");
         source.lifetime = durationAt(document, "lifetimeMs");
         for (const auto &listed : document.at("listed"))
             source.listed.emplace_back(claim(listed), timeAt(listed, "sinceMs"));
         for (const auto &stop : document.at("stops"))
-            source.stops[stop.at("id").get<std::string>()] = {
+            source.stopNotices[stop.at("id").get<std::string>()] = {
                 stop.at("gone").get<bool>() ? EndpointState::removed : EndpointState::draining,
                 timeAt(stop, "sinceMs")};
         for (const auto &withdrawn : document.at("withdrawn"))
@@ -120,7 +120,7 @@
 
 }  // namespace
 
-json toJson(const membership::View &view, const std::vector<membership::SourceRule> &sources,
+json toJson(const membership::MergeResult &view, const std::vector<membership::SourceRule> &sources,
             const std::vector<std::string> &zones, TimePoint now) {
     json instances = json::array();
     for (const auto &member : view.members)
--- a/src/gateway/endpoint_documents.hpp
+++ b/src/gateway/endpoint_documents.hpp
@@ -14,7 +14,7 @@
 /// @param sources  the rules, in the order of `view.sources`
 /// @param zones  zone names by number
 /// @param now  on the clock of the entries' start times
-[[nodiscard]] nlohmann::json toJson(const membership::View &view,
+[[nodiscard]] nlohmann::json toJson(const membership::MergeResult &view,
                                     const std::vector<membership::SourceRule> &sources,
                                     const std::vector<std::string> &zones, TimePoint now);
 
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -24,11 +24,11 @@
     : clock(std::move(now)), handler(std::move(eventHandler)), log(std::move(target)),
       rules(settings.sources->merge), merge(rules), timer(context) {
     if (previous) {
-        merge.adopt(previous->merge);
+        merge.copyStateFrom(previous->merge);
         published = previous->published;
         hasPublished = previous->hasPublished;
     } else {
-        merge.recall(saved);
+        merge.restore(saved);
     }
     addSources(*settings.sources);
     if (!watchedNames.empty())
@@ -44,8 +44,12 @@
             controlPlane = index;
             break;
         case membership::SourceKind::nodes:
-            merge.took(index,
-                       {clock(), membership::kForever, "settings", sourceSettings.nodes, true, {}});
+            merge.applyReading(index, {clock(),
+                                       membership::kUnlimitedLifetime,
+                                       "settings",
+                                       sourceSettings.nodes,
+                                       true,
+                                       {}});
             break;
         case membership::SourceKind::srv:
             watchedNames[source.name] = {
@@ -76,10 +80,11 @@
         return;
     std::vector<membership::Claim> claims;
     for (const auto &entry : list.entries)
-        claims.push_back({entry, membership::kNoClass, entry.id});
+        claims.push_back({entry, membership::kNoPriorityClass, entry.id});
     if (list.complete)
-        merge.took(*controlPlane,
-                   {clock(), membership::kForever, "desk", std::move(claims), false, {}});
+        merge.applyReading(
+            *controlPlane,
+            {clock(), membership::kUnlimitedLifetime, "desk", std::move(claims), false, {}});
     else
         merge.applyChanges(*controlPlane, clock(), claims);
     sourceRead();
@@ -88,7 +93,7 @@
 void EndpointWatcher::onControlPlaneFailure() {
     if (!controlPlane)
         return;
-    merge.lost(*controlPlane, clock(), "the control plane does not respond");
+    merge.markUnavailable(*controlPlane, clock(), "the control plane does not respond");
     update(PublishMode::ifChanged);
 }
 
@@ -97,10 +102,10 @@
     logLookup(name, found);
     const auto &watched = watchedNames.at(name);
     if (found.kind == dns::LookupOutcome::failed)
-        merge.markFailedOnce(watched.source, found.fault);
+        merge.recordFailedAttempt(watched.source, found.fault);
     else
-        merge.took(watched.source, membership::readingOf(watched.srv, found, clock(), lifetime,
-                                                         servers.at(server)));
+        merge.applyReading(watched.source, membership::makeReading(watched.srv, found, clock(),
+                                                                   lifetime, servers.at(server)));
     sourceRead();
 }
 
@@ -127,19 +132,19 @@
     update(PublishMode::always);
 }
 
-membership::View EndpointWatcher::view() {
-    return merge.at(clock());
+membership::MergeResult EndpointWatcher::view() {
+    return merge.evaluate(clock());
 }
 
 void EndpointWatcher::update(PublishMode mode) {
     const TimePoint now = clock();
-    const auto merged = merge.at(now);
+    const auto merged = merge.evaluate(now);
     publishList(mode, merged);
     confirmLosses(merged, now);
     scheduleUpdate(merged, now);
 }
 
-void EndpointWatcher::publishList(PublishMode mode, const membership::View &merged) {
+void EndpointWatcher::publishList(PublishMode mode, const membership::MergeResult &merged) {
     EndpointListUpdate list{true, {}};
     for (const auto &member : merged.members)
         if (member.inSet)
@@ -160,8 +165,8 @@
     }
 }
 
-void EndpointWatcher::confirmLosses(const membership::View &merged, TimePoint now) {
-    for (const auto &[source, due] : merged.confirm) {
+void EndpointWatcher::confirmLosses(const membership::MergeResult &merged, TimePoint now) {
+    for (const auto &[source, due] : merged.confirmations) {
         const auto &rule = rules.sources[source];
         if (rule.kind == membership::SourceKind::srv && resolver)
             resolver->refreshWithin(rule.name, std::max(Duration{0}, due - now));
@@ -170,12 +175,12 @@
     }
 }
 
-void EndpointWatcher::scheduleUpdate(const membership::View &merged, TimePoint now) {
-    if (!merged.changesAt) {
+void EndpointWatcher::scheduleUpdate(const membership::MergeResult &merged, TimePoint now) {
+    if (!merged.nextChangeAt) {
         timer.cancel();
         return;
     }
-    timer.expires_after(*merged.changesAt - now);
+    timer.expires_after(*merged.nextChangeAt - now);
     timer.async_wait(guard.wrap([this](asio::error_code error) {
         if (!error)
             update(PublishMode::ifChanged);
--- a/src/gateway/endpoint_watcher.hpp
+++ b/src/gateway/endpoint_watcher.hpp
@@ -46,11 +46,11 @@
     /// Passes the current list on again, if there is one, at the request of the decision module.
     void republish();
 
-    [[nodiscard]] membership::View view();
+    [[nodiscard]] membership::MergeResult view();
     [[nodiscard]] const std::vector<membership::SourceRule> &sources() const {
         return rules.sources;
     }
-    [[nodiscard]] std::vector<membership::SavedSource> saved() const { return merge.saved(); }
+    [[nodiscard]] std::vector<membership::SavedSource> saved() const { return merge.save(); }
     /// DNS query counts; all zero if no source is an SRV name.
     [[nodiscard]] dns::ResolverCounts dnsCounts() const {
         return resolver ? resolver->counts() : dns::ResolverCounts{};
@@ -76,9 +76,9 @@
     void logLookup(const std::string &name, const dns::Found &found);
     void sourceRead();
     void update(PublishMode mode);
-    void publishList(PublishMode mode, const membership::View &view);
-    void confirmLosses(const membership::View &view, TimePoint now);
-    void scheduleUpdate(const membership::View &view, TimePoint now);
+    void publishList(PublishMode mode, const membership::MergeResult &view);
+    void confirmLosses(const membership::MergeResult &view, TimePoint now);
+    void scheduleUpdate(const membership::MergeResult &view, TimePoint now);
 
     TimeSource clock;
     EventHandler handler;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -114,8 +114,8 @@
 
 bool Gateway::mayRestartPolicy() const {
     const auto &stage = rollout.stage();
-    return membership::mayStartAnew(endpoints.entries(),
-                                    stage ? std::optional(stage->phase) : std::nullopt);
+    return membership::mayRestartPolicy(endpoints.entries(),
+                                        stage ? std::optional(stage->phase) : std::nullopt);
 }
 
 void Gateway::applySettings(GatewaySettings settings, bool policyChanged, bool sourcesChanged) {
--- a/src/membership/claims.cpp
+++ b/src/membership/claims.cpp
@@ -36,8 +36,8 @@
 
 }  // namespace
 
-Reading readingOf(const SrvName &name, const dns::Found &found, TimePoint at, Duration lifetime,
-                  std::string from) {
+Reading makeReading(const SrvName &name, const dns::Found &found, TimePoint at, Duration lifetime,
+                    std::string from) {
     Reading reading{at, lifetime, std::move(from), {}, false, {}};
     std::map<int, ClassWeights> classes;
     for (const auto &target : found.targets)
@@ -57,7 +57,7 @@
             claim.entry.cell = name.cell;
             claim.entry.weight = std::max(kLeastWeight, weight / double(target.addresses.size()));
             claim.priority = target.srv.priority;
-            claim.as = target.srv.target;
+            claim.listedAs = target.srv.target;
             reading.claims.push_back(std::move(claim));
         }
     }
--- a/src/membership/merge.cpp
+++ b/src/membership/merge.cpp
@@ -5,22 +5,22 @@
 namespace deckcart::membership {
 namespace {
 
-// Makes View::changesAt no later than `at`, unless that has passed.
-void scheduleChange(View &view, TimePoint at, TimePoint now) {
+// Makes MergeResult::nextChangeAt no later than `at`, unless that has passed.
+void scheduleChange(MergeResult &view, TimePoint at, TimePoint now) {
     if (at > now)
-        view.changesAt = std::min(view.changesAt.value_or(at), at);
+        view.nextChangeAt = std::min(view.nextChangeAt.value_or(at), at);
 }
 
-SourceView makeSourceView(const SourceRecord &source, SourceState state, TimePoint now) {
-    SourceView view;
+SourceStatus makeSourceStatus(const SourceRecord &source, SourceState state, TimePoint now) {
+    SourceStatus view;
     view.state = state;
     if (state != SourceState::never) {
         view.age = now - source.readAt();
         view.lifetimeLeft = std::max(Duration{0}, source.freshUntil() - now);
     }
     view.listed = source.listedClaims().size();
-    view.held = source.heldLossCount();
-    view.from = source.reporter();
+    view.heldLosses = source.heldLossCount();
+    view.reporter = source.reporter();
     view.fault = source.fault();
     return view;
 }
@@ -29,7 +29,7 @@
 
 Merge::Merge(MergeRules mergeRules) : rules(std::move(mergeRules)), sources(rules.sources.size()) {}
 
-void Merge::took(std::size_t source, const Reading &reading) {
+void Merge::applyReading(std::size_t source, const Reading &reading) {
     sources.at(source).applyReading(reading, rules);
 }
 
@@ -37,17 +37,17 @@
     sources.at(source).applyChanges(at, claims);
 }
 
-void Merge::lost(std::size_t source, TimePoint at, const std::string &why) {
+void Merge::markUnavailable(std::size_t source, TimePoint at, const std::string &why) {
     sources.at(source).markUnavailable(at, why);
 }
 
-void Merge::markFailedOnce(std::size_t source, const std::string &why) {
+void Merge::recordFailedAttempt(std::size_t source, const std::string &why) {
     sources.at(source).recordFailedAttempt(why);
 }
 
-View Merge::at(TimePoint now) {
-    View view;
-    addSourceViews(now, view);
+MergeResult Merge::evaluate(TimePoint now) {
+    MergeResult view;
+    addSourceStatuses(now, view);
     const Precedence precedence(sources, rules, now);
     const auto decisions = decideAll(precedence);
     updateClasses(decisions);
@@ -57,21 +57,21 @@
     return view;
 }
 
-void Merge::addSourceViews(TimePoint now, View &view) const {
+void Merge::addSourceStatuses(TimePoint now, MergeResult &view) const {
     for (std::size_t index = 0; index < sources.size(); ++index) {
         const SourceRecord &source = sources[index];
-        const SourceState state = source.stateAt(now, rules.longestStale);
+        const SourceState state = source.stateAt(now, rules.maxStaleness);
         if (state == SourceState::fresh)
             scheduleChange(view, source.freshUntil(), now);
         if (state == SourceState::fresh || state == SourceState::stale)
-            scheduleChange(view, source.failsAt(rules.longestStale), now);
+            scheduleChange(view, source.failsAt(rules.maxStaleness), now);
         // Row 10: held losses are confirmed by another reading of the source.
         if (const auto oldest = source.oldestHeldLoss()) {
             const TimePoint confirmAt = *oldest + rules.confirmAfter;
-            view.confirm.push_back({index, confirmAt});
+            view.confirmations.push_back({index, confirmAt});
             scheduleChange(view, confirmAt, now);
         }
-        view.sources.push_back(makeSourceView(source, state, now));
+        view.sources.push_back(makeSourceStatus(source, state, now));
     }
 }
 
@@ -107,7 +107,7 @@
 }
 
 Member Merge::makeMember(const EndpointId &id, const EndpointDecision &decision,
-                         const Precedence &precedence, TimePoint now, View &view) {
+                         const Precedence &precedence, TimePoint now, MergeResult &view) {
     Member member;
     member.reason = decision.reason;
     bool closed = false;
@@ -126,7 +126,7 @@
     }
     member.entry.id = id;
     member.sources = precedence.listedBy(id);
-    const SourceView &decidingSource = view.sources[decision.decidingSource];
+    const SourceStatus &decidingSource = view.sources[decision.decidingSource];
     member.age = decidingSource.age;
     member.lifetimeLeft = decidingSource.lifetimeLeft;
     member.state = decidingSource.state;
@@ -136,7 +136,7 @@
 
 // Adds the endpoint to the routed set, drains it or removes it, and updates the member to match.
 void Merge::updateRoutedSet(Member &member, const EndpointDecision &decision, bool closed,
-                            TimePoint now, View &view) {
+                            TimePoint now, MergeResult &view) {
     const EndpointId id = member.entry.id;
     if (decision.state == EndpointState::removed) {  // row 3: removed at once
         member.entry.state = EndpointState::removed;
@@ -181,7 +181,7 @@
         source.forgetAllExcept(keep);
 }
 
-std::vector<SavedSource> Merge::saved() const {
+std::vector<SavedSource> Merge::save() const {
     std::vector<SavedSource> saved;
     for (std::size_t index = 0; index < sources.size(); ++index)
         if (sources[index].everRead())
@@ -189,7 +189,7 @@
     return saved;
 }
 
-void Merge::adopt(const Merge &before) {
+void Merge::copyStateFrom(const Merge &before) {
     for (std::size_t index = 0; index < sources.size(); ++index)
         for (std::size_t other = 0; other < before.sources.size(); ++other)
             if (before.rules.sources[other].name == rules.sources[index].name)
@@ -198,7 +198,7 @@
     classes = before.classes;
 }
 
-void Merge::recall(const std::vector<SavedSource> &saved) {
+void Merge::restore(const std::vector<SavedSource> &saved) {
     for (const auto &one : saved)
         for (std::size_t index = 0; index < sources.size(); ++index)
             if (rules.sources[index].name == one.name)
--- a/src/membership/merge.hpp
+++ b/src/membership/merge.hpp
@@ -11,7 +11,7 @@
 namespace deckcart::membership {
 
 /// State of one source, as shown to operators.
-struct SourceView {
+struct SourceStatus {
     SourceState state = SourceState::never;
     /// Time since its last reading.
     Duration age{};
@@ -19,9 +19,9 @@
     Duration lifetimeLeft{};
     std::size_t listed = 0;
     /// Number of losses that wait for confirmation.
-    std::size_t held = 0;
+    std::size_t heldLosses = 0;
     /// Reporter of the last reading that was believed.
-    std::string from;
+    std::string reporter;
     /// Why the source could not be read last; empty if it could.
     std::string fault;
 };
@@ -29,7 +29,7 @@
 /// An endpoint that some source lists, or that is still in the routed set.
 struct Member {
     EndpointEntry entry;
-    int priority = kNoClass;
+    int priority = kNoPriorityClass;
     /// False: shown to operators only, receives no requests.
     bool inSet = true;
     std::string reason;
@@ -46,17 +46,17 @@
     /// Index in MergeRules::sources.
     std::size_t source = 0;
     /// When to read it.
-    TimePoint at{};
+    TimePoint readAt{};
 };
 
 /// Result of a merge.
-struct View {
+struct MergeResult {
     std::vector<Member> members;  // by id
-    std::vector<SourceView> sources;
-    std::vector<Confirmation> confirm;
+    std::vector<SourceStatus> sources;
+    std::vector<Confirmation> confirmations;
     /// The next time at which the result can change without a new reading, because a lifetime, a
     /// grace period or a wait for confirmation ends. Empty: none is pending.
-    std::optional<TimePoint> changesAt;
+    std::optional<TimePoint> nextChangeAt;
 };
 
 /// Holds the state of all sources and of the routed set. Not thread-safe. Sources are given by
@@ -66,36 +66,36 @@
     explicit Merge(MergeRules rules);
 
     /// Applies a new reading of a source; ignored if it is older than that source's last one.
-    void took(std::size_t source, const Reading &reading);
+    void applyReading(std::size_t source, const Reading &reading);
     /// Applies changes to the last reading of a source; claims with state removed are unlisted.
     void applyChanges(std::size_t source, TimePoint at, const std::vector<Claim> &claims);
     /// The source can't be read: its last reading becomes stale at `at` at the latest.
-    void lost(std::size_t source, TimePoint at, const std::string &why);
+    void markUnavailable(std::size_t source, TimePoint at, const std::string &why);
     /// Records that a single attempt to read the source failed; its last reading is not affected.
-    void markFailedOnce(std::size_t source, const std::string &why);
+    void recordFailedAttempt(std::size_t source, const std::string &why);
 
     /// Computes the set at `now` and performs the transitions that are due by then.
     /// @param now  not before any time reported so far
-    View at(TimePoint now);
+    MergeResult evaluate(TimePoint now);
 
     /// The state to persist, of each source that was read.
-    [[nodiscard]] std::vector<SavedSource> saved() const;
+    [[nodiscard]] std::vector<SavedSource> save() const;
     /// Restores what an earlier process saved; sources are matched by name. To be called before
     /// anything is reported.
-    void recall(const std::vector<SavedSource> &saved);
+    void restore(const std::vector<SavedSource> &saved);
     /// Copies the state of a merge with other rules that uses the same clock; sources are matched
     /// by name.
-    void adopt(const Merge &before);
+    void copyStateFrom(const Merge &before);
 
   private:
-    void addSourceViews(TimePoint now, View &view) const;
+    void addSourceStatuses(TimePoint now, MergeResult &view) const;
     [[nodiscard]] std::map<EndpointId, EndpointDecision>
     decideAll(const Precedence &precedence) const;
     void updateClasses(const std::map<EndpointId, EndpointDecision> &decisions);
     Member makeMember(const EndpointId &id, const EndpointDecision &decision,
-                      const Precedence &precedence, TimePoint now, View &view);
+                      const Precedence &precedence, TimePoint now, MergeResult &view);
     void updateRoutedSet(Member &member, const EndpointDecision &decision, bool closed,
-                         TimePoint now, View &view);
+                         TimePoint now, MergeResult &view);
     [[nodiscard]] std::set<EndpointId> listedOrRouted() const;
     void forgetUnlisted();
 
--- a/src/membership/merge_rules.hpp
+++ b/src/membership/merge_rules.hpp
@@ -22,10 +22,10 @@
     std::vector<SourceRule> sources;
     /// Time from the end of a reading's lifetime until its source counts as failed. One hour
     /// outlasts most outages of name servers.
-    Duration longestStale = std::chrono::hours(1);
+    Duration maxStaleness = std::chrono::hours(1);
     /// 0 to 1: if a reading leaves out more than this fraction of what its source listed, the
     /// losses are held until confirmed.
-    double confirmShare = 0.3;
+    double confirmFraction = 0.3;
     /// A held loss is believed if it is reported again at least this long after the first report.
     Duration confirmAfter = std::chrono::seconds(5);
     /// An endpoint that leaves the set is draining for this time, then removed. Longer than the
--- a/src/membership/precedence.cpp
+++ b/src/membership/precedence.cpp
@@ -9,7 +9,7 @@
     : records(sources), rules(mergeRules) {
     std::vector<std::size_t> failed;
     for (std::size_t source = 0; source < records.size(); ++source) {
-        const SourceState state = records[source].stateAt(now, rules.longestStale);
+        const SourceState state = records[source].stateAt(now, rules.maxStaleness);
         if (state == SourceState::failed)
             failed.push_back(source);
         else if (state != SourceState::never)
--- a/src/membership/priority_classes.cpp
+++ b/src/membership/priority_classes.cpp
@@ -28,7 +28,7 @@
 }  // namespace
 
 void ClassCounts::add(int priority) {
-    if (priority == kNoClass)
+    if (priority == kNoPriorityClass)
         ++withoutClass;
     else
         ++live[priority];
--- a/src/membership/reading.hpp
+++ b/src/membership/reading.hpp
@@ -10,18 +10,19 @@
 namespace deckcart::membership {
 
 /// Priority of a claim whose source has no priority classes.
-constexpr int kNoClass = -1;
+constexpr int kNoPriorityClass = -1;
 /// An unlimited lifetime, as a fixed list has. Small enough not to overflow when it is added to a
 /// point in time.
-constexpr Duration kForever = std::chrono::hours(24 * 365 * 100);
+constexpr Duration kUnlimitedLifetime = std::chrono::hours(24 * 365 * 100);
 
 /// One endpoint as a source lists it.
 struct Claim {
     EndpointEntry entry;
-    /// Priority class; lower values are preferred. kNoClass: always counted with the first class.
-    int priority = kNoClass;
+    /// Priority class; lower values are preferred. kNoPriorityClass: always counted with the first
+    /// class.
+    int priority = kNoPriorityClass;
     /// What the source lists the endpoint under: HOST:PORT, or the target of the SRV record.
-    std::string as;
+    std::string listedAs;
 };
 
 /// The complete list of a source at one time.
@@ -34,8 +35,8 @@
     std::vector<Claim> claims;
     /// Set by the operator: losses are believed without confirmation.
     bool lossesConfirmed = false;
-    /// Values of Claim::as that could not be resolved this time. Endpoints listed under them are
-    /// kept unchanged.
+    /// Values of Claim::listedAs that could not be resolved this time. Endpoints listed under them
+    /// are kept unchanged.
     std::set<std::string> unresolved;
 };
 
--- a/src/membership/restart.cpp
+++ b/src/membership/restart.cpp
@@ -4,7 +4,7 @@
 
 namespace deckcart::membership {
 
-bool mayStartAnew(const std::vector<EndpointEntry> &listed, std::optional<RolloutPhase> phase) {
+bool mayRestartPolicy(const std::vector<EndpointEntry> &listed, std::optional<RolloutPhase> phase) {
     std::set<BuildNumber> builds;
     for (const auto &entry : listed)
         if (entry.state == EndpointState::active)
--- a/src/membership/restart.hpp
+++ b/src/membership/restart.hpp
@@ -11,7 +11,7 @@
 /// sticky keys and the attempts in its exposure window: with two live builds, or during a canary,
 /// it could send more requests to the canary than the exposure limit allows. The cost of this check
 /// is that some changes of the settings can't take effect before the canary has ended.
-[[nodiscard]] bool mayStartAnew(const std::vector<EndpointEntry> &listed,
-                                std::optional<RolloutPhase> phase);
+[[nodiscard]] bool mayRestartPolicy(const std::vector<EndpointEntry> &listed,
+                                    std::optional<RolloutPhase> phase);
 
 }  // namespace deckcart::membership
--- a/src/membership/routed_set.hpp
+++ b/src/membership/routed_set.hpp
@@ -13,7 +13,7 @@
 /// An endpoint of the set, with its entry there.
 struct RoutedEndpoint {
     EndpointEntry entry;
-    int priority = kNoClass;
+    int priority = kNoPriorityClass;
     /// Start of its grace period; empty: it is not leaving the set.
     std::optional<TimePoint> graceStart;
 };
--- a/src/membership/source_record.cpp
+++ b/src/membership/source_record.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 TimePoint expiryOf(TimePoint from, Duration lifetime) {
-    return from + std::min(lifetime, kForever);
+    return from + std::min(lifetime, kUnlimitedLifetime);
 }
 
 }  // namespace
@@ -25,16 +25,16 @@
     return "failed";
 }
 
-SourceState SourceRecord::stateAt(TimePoint now, Duration longestStale) const {
+SourceState SourceRecord::stateAt(TimePoint now, Duration maxStaleness) const {
     if (!hasReading)
         return SourceState::never;
     if (now < lifetimeEnd)
         return SourceState::fresh;
-    return now < failsAt(longestStale) ? SourceState::stale : SourceState::failed;
+    return now < failsAt(maxStaleness) ? SourceState::stale : SourceState::failed;
 }
 
-TimePoint SourceRecord::failsAt(Duration longestStale) const {
-    return expiryOf(lifetimeEnd, longestStale);
+TimePoint SourceRecord::failsAt(Duration maxStaleness) const {
+    return expiryOf(lifetimeEnd, maxStaleness);
 }
 
 void SourceRecord::applyReading(const Reading &reading, const MergeRules &rules) {
@@ -42,7 +42,7 @@
     if (hasReading && reading.readAt < lastReadAt)
         return;
     const auto missing = missingFrom(reading);
-    const bool confirm = needsConfirmation(reading, missing.size(), rules.confirmShare);
+    const bool confirm = needsConfirmation(reading, missing.size(), rules.confirmFraction);
     bool holdsAny = false;
     for (const auto &id : missing) {
         if (confirm && holdLoss(id, reading.readAt, rules.confirmAfter))
@@ -82,7 +82,7 @@
         reported.insert(claim.entry.id);
     std::vector<EndpointId> missing;
     for (const auto &[id, listing] : listed)
-        if (!reported.contains(id) && !reading.unresolved.contains(listing.claim.as))
+        if (!reported.contains(id) && !reading.unresolved.contains(listing.claim.listedAs))
             missing.push_back(id);
     return missing;
 }
@@ -90,10 +90,10 @@
 // Losses need confirmation if they are large (row 10) or come from another reporter than the last
 // one that was believed (row 11). A list set by the operator is believed at once (row 13).
 bool SourceRecord::needsConfirmation(const Reading &reading, std::size_t missing,
-                                     double confirmShare) const {
+                                     double confirmFraction) const {
     if (reading.lossesConfirmed)
         return false;
-    const bool largeLoss = double(missing) > confirmShare * double(listed.size());
+    const bool largeLoss = double(missing) > confirmFraction * double(listed.size());
     const bool otherReporter = !believedReporter.empty() && believedReporter != reading.reporter;
     return largeLoss || otherReporter;
 }
@@ -177,26 +177,26 @@
 SavedSource SourceRecord::save(const std::string &name) const {
     SavedSource saved;
     saved.name = name;
-    saved.from = believedReporter;
-    saved.at = lastReadAt;
+    saved.reporter = believedReporter;
+    saved.readAt = lastReadAt;
     saved.lifetime = lifetimeEnd - lastReadAt;
     for (const auto &[id, listing] : listed)
         saved.listed.emplace_back(listing.claim, listing.since);
     for (const auto &[id, stop] : stops)
-        saved.stops[id] = {stop.state, stop.since};
+        saved.stopNotices[id] = {stop.state, stop.since};
     saved.withdrawn = withdrawn;
     return saved;
 }
 
 void SourceRecord::restore(const SavedSource &saved) {
     hasReading = true;
-    lastReadAt = saved.at;
-    lifetimeEnd = saved.at;
-    believedReporter = saved.from;
+    lastReadAt = saved.readAt;
+    lifetimeEnd = saved.readAt;
+    believedReporter = saved.reporter;
     lastFault = "not read since the restart; saved list in use";
     for (const auto &[claim, since] : saved.listed)
         listed[claim.entry.id] = {claim, since};
-    for (const auto &[id, stop] : saved.stops)
+    for (const auto &[id, stop] : saved.stopNotices)
         stops[id] = {stop.first, stop.second};
     withdrawn = saved.withdrawn;
 }
--- a/src/membership/source_record.hpp
+++ b/src/membership/source_record.hpp
@@ -13,7 +13,7 @@
 namespace deckcart::membership {
 
 /// never: not read yet. stale: the lifetime of the last reading is over. failed: it has been over
-/// for longer than MergeRules::longestStale.
+/// for longer than MergeRules::maxStaleness.
 enum class SourceState { never, fresh, stale, failed };
 /// The name of the state in the gateway's API and logs.
 [[nodiscard]] const char *nameOf(SourceState state);
@@ -23,14 +23,14 @@
 struct SavedSource {
     std::string name;
     /// Reporter of the last reading that was believed.
-    std::string from;
+    std::string reporter;
     /// Time of the last reading.
-    TimePoint at{};
+    TimePoint readAt{};
     Duration lifetime{};
     /// Each claim, with the time since which it has been listed as active without interruption.
     std::vector<std::pair<Claim, TimePoint>> listed;
     /// Stop notices: draining or removed, and since when.
-    std::map<EndpointId, std::pair<EndpointState, TimePoint>> stops;
+    std::map<EndpointId, std::pair<EndpointState, TimePoint>> stopNotices;
     /// Endpoints that were listed before and have since been left out, with the time of that.
     std::map<EndpointId, TimePoint> withdrawn;
 };
@@ -62,9 +62,9 @@
     /// Records that a single attempt to read the source failed; its last reading is not affected.
     void recordFailedAttempt(const std::string &why) { lastFault = why; }
 
-    [[nodiscard]] SourceState stateAt(TimePoint now, Duration longestStale) const;
+    [[nodiscard]] SourceState stateAt(TimePoint now, Duration maxStaleness) const;
     /// When the source will count as failed, unless it is read again.
-    [[nodiscard]] TimePoint failsAt(Duration longestStale) const;
+    [[nodiscard]] TimePoint failsAt(Duration maxStaleness) const;
     [[nodiscard]] bool everRead() const { return hasReading; }
     [[nodiscard]] TimePoint readAt() const { return lastReadAt; }
     /// The end of the last reading's lifetime.
@@ -101,7 +101,7 @@
     void applyActive(TimePoint at, const Claim &claim, bool firstReading);
     [[nodiscard]] std::vector<EndpointId> missingFrom(const Reading &reading) const;
     [[nodiscard]] bool needsConfirmation(const Reading &reading, std::size_t missing,
-                                         double confirmShare) const;
+                                         double confirmFraction) const;
     [[nodiscard]] bool holdLoss(const EndpointId &id, TimePoint at, Duration confirmAfter);
     void withdraw(const EndpointId &id, TimePoint at);
 
--- a/src/settings/source_sections.cpp
+++ b/src/settings/source_sections.cpp
@@ -21,8 +21,8 @@
 constexpr std::string_view kSrvKind = "srv";
 
 void readMergeRules(SettingsReader &reader, const json &section, membership::MergeRules &merge) {
-    readField(section, "longestStalenessMs", merge.longestStale);
-    readField(section, "confirmShare", merge.confirmShare);
+    readField(section, "longestStalenessMs", merge.maxStaleness);
+    readField(section, "confirmShare", merge.confirmFraction);
     readField(section, "confirmAfterMs", merge.confirmAfter);
     readField(section, "graceMs", merge.grace);
     readField(section, "reserveBelow", merge.reserveBelow);
@@ -57,7 +57,7 @@
         readField(nodes[index], "cell", entry.cell);
         readField(nodes[index], "weight", entry.weight);
         entry.zone = reader.readZone(nodes[index], path);
-        claim.as = entry.id;
+        claim.listedAs = entry.id;
         for (const auto &other : sources.nodes)
             if (other.entry.id == entry.id)
                 reader.refuse(path + "/address",
--- a/tests/path/sources_test.cpp
+++ b/tests/path/sources_test.cpp
@@ -102,7 +102,7 @@
     const auto asked = servers[0]->asked();
     ASSERT_TRUE(until([&] { return servers[0]->asked() >= asked + 3; }));
     EXPECT_EQ(liveCount(), 4u);
-    EXPECT_EQ(gateway->endpointWatcher()->view().sources[0].held, 4u);
+    EXPECT_EQ(gateway->endpointWatcher()->view().sources[0].heldLosses, 4u);
     EXPECT_EQ(statusOf(ask("/x")), 200);
 }
 
--- a/tests/unit/claims_test.cpp
+++ b/tests/unit/claims_test.cpp
@@ -16,7 +16,7 @@
     addTarget({0, 0, 82, "c."}, {kIpv4});
     addTarget({5, 0, 83, "d."}, {kIpv4});
     const auto reading =
-        membership::readingOf({kName, 7, 0, 0}, found, seconds(1), seconds(9), "ns");
+        membership::makeReading({kName, 7, 0, 0}, found, seconds(1), seconds(9), "ns");
     ASSERT_EQ(reading.claims.size(), 5u);
     EXPECT_DOUBLE_EQ(reading.claims[0].entry.weight, 0.25);
     EXPECT_DOUBLE_EQ(reading.claims[2].entry.weight, 1);
--- a/tests/unit/membership_reference.hpp
+++ b/tests/unit/membership_reference.hpp
@@ -103,7 +103,7 @@
         for (const auto &model : models) {
             if (!model.read)
                 continue;
-            const bool isValid = now < model.freshUntil + rules.longestStale;
+            const bool isValid = now < model.freshUntil + rules.maxStaleness;
             (isValid ? ranking.valid : ranking.failed).push_back(&model);
         }
         ranking.all = ranking.valid;
@@ -206,7 +206,7 @@
                       [&](const auto &item) { return !byBuild.contains(item.first); });
         for (const auto &[build, classes] : byBuild) {
             std::set<int> ordered(classes.begin(), classes.end());
-            ordered.erase(membership::kNoClass);
+            ordered.erase(membership::kNoPriorityClass);
             if (ordered.empty())
                 continue;
             int &last = lastOpenClass.try_emplace(build, *ordered.begin()).first->second;
@@ -298,7 +298,7 @@
     // Rows 10 to 13. Returns whether any loss is held.
     bool replayLosses(SourceModel &model, const Reading &reading) const {
         const auto isMissing = [&](const EndpointId &id, const EndpointModel &endpoint) {
-            return endpoint.listed && !reading.unresolved.contains(endpoint.claim.as) &&
+            return endpoint.listed && !reading.unresolved.contains(endpoint.claim.listedAs) &&
                    std::ranges::none_of(reading.claims,
                                         [&](const Claim &claim) { return claim.entry.id == id; });
         };
@@ -310,7 +310,7 @@
         }
         const bool needsConfirmation =
             !reading.lossesConfirmed &&
-            (missing > rules.confirmShare * listedBefore ||
+            (missing > rules.confirmFraction * listedBefore ||
              (!model.believedReporter.empty() && model.believedReporter != reading.reporter));
         bool holdsAny = false;
         for (auto &[id, endpoint] : model.endpoints) {
--- a/tests/unit/merge_drawn_test.cpp
+++ b/tests/unit/merge_drawn_test.cpp
@@ -35,7 +35,7 @@
                        : variant < 58                ? EndpointState::draining
                                                      : EndpointState::removed;
     return makeClaim(encoded / 64, variant % 16 == 0 ? 2 : 1, state,
-                     controlPlane ? membership::kNoClass : (variant % 3) * 10);
+                     controlPlane ? membership::kNoPriorityClass : (variant % 3) * 10);
 }
 void runStep(CheckedMerge &checked, const Step &step, Duration &now, bool evaluate = true) {
     now += seconds(step.span);
@@ -85,17 +85,17 @@
                                  makeReading(now, claims, "ns" + std::to_string(random() % 2)));
         }
         for (const auto &[source, reading] : reports)
-            one.took(source, reading);
+            one.applyReading(source, reading);
         std::shuffle(reports.begin(), reports.end(), random);
         for (auto &[source, reading] : reports) {
             std::shuffle(reading.claims.begin(), reading.claims.end(), random);
-            other.took(source, reading);
+            other.applyReading(source, reading);
         }
         std::string ofOne, ofOther;
-        for (const auto &member : one.at(now).members)
+        for (const auto &member : one.evaluate(now).members)
             ofOne +=
                 CheckedMerge::describe(member.entry) + member.reason + (member.inSet ? "+" : "-");
-        for (const auto &member : other.at(now).members)
+        for (const auto &member : other.evaluate(now).members)
             ofOther +=
                 CheckedMerge::describe(member.entry) + member.reason + (member.inSet ? "+" : "-");
         RC_ASSERT(ofOne == ofOther);
--- a/tests/unit/merge_fixture.hpp
+++ b/tests/unit/merge_fixture.hpp
@@ -9,16 +9,16 @@
 namespace deckcart::test {
 
 using membership::Merge;
+using membership::MergeResult;
 using membership::SourceKind;
-using membership::View;
 using std::chrono::seconds;
 
 inline MergeRules makeRules() {
     MergeRules rules;
     rules.sources = {
         {"desk", SourceKind::controlPlane}, {"a.", SourceKind::srv}, {"b.", SourceKind::srv}};
-    rules.longestStale = seconds(60);
-    rules.confirmShare = 0.5;
+    rules.maxStaleness = seconds(60);
+    rules.confirmFraction = 0.5;
     rules.confirmAfter = seconds(5);
     rules.grace = seconds(10);
     rules.reserveBelow = 2;
@@ -33,7 +33,7 @@
     claim.entry.build = build;
     claim.entry.state = state;
     claim.priority = priority;
-    claim.as = "relay" + std::to_string(server);
+    claim.listedAs = "relay" + std::to_string(server);
     return claim;
 }
 inline Reading makeReading(Duration at, std::vector<Claim> claims, std::string from = "ns1",
@@ -51,7 +51,7 @@
 struct CheckedMerge {
     explicit CheckedMerge(const MergeRules &rules = makeRules()) : merge(rules), reference(rules) {}
     void applyReading(std::size_t source, const Reading &reading) {
-        merge.took(source, reading);
+        merge.applyReading(source, reading);
         reference.applyReading(source, reading);
     }
     void applyChanges(std::size_t source, Duration now, const std::vector<Claim> &claims) {
@@ -59,12 +59,12 @@
         reference.applyChanges(source, now, claims);
     }
     void markUnavailable(std::size_t source, Duration at) {
-        merge.lost(source, at, "unavailable");
+        merge.markUnavailable(source, at, "unavailable");
         reference.markUnavailable(source, at);
     }
     // Returns the routed set as text, for readable differences: "1 live b1; 2 draining b1; ".
     std::string evaluate(Duration now) {
-        view = merge.at(now);
+        view = merge.evaluate(now);
         std::string actual, expected;
         for (const auto &each : view.members)
             if (each.inSet)
@@ -95,7 +95,7 @@
     }
     Merge merge;
     Reference reference;
-    View view;
+    MergeResult view;
     bool matches = true;
 };
 
--- a/tests/unit/merge_test.cpp
+++ b/tests/unit/merge_test.cpp
@@ -63,8 +63,8 @@
     checked.evaluate(seconds(1));
     checked.applyReading(1, makeReading(seconds(2), {}));
     EXPECT_EQ(checked.evaluate(seconds(2)), "1 live b1; 2 live b1; 3 live b1; 4 live b1; ");
-    ASSERT_EQ(checked.view.confirm.size(), 1u);
-    EXPECT_EQ(checked.view.confirm[0].at, seconds(7));
+    ASSERT_EQ(checked.view.confirmations.size(), 1u);
+    EXPECT_EQ(checked.view.confirmations[0].readAt, seconds(7));
     checked.applyReading(1, makeReading(seconds(4), {}));  // too early to confirm
     checked.evaluate(seconds(4));
     EXPECT_EQ(checked.liveCount(), 4u);
@@ -122,7 +122,7 @@
 
 TEST(Merge, ClassesOpenAndCloseWithHysteresis) {
     auto rules = makeRules();
-    rules.confirmShare = 1;
+    rules.confirmFraction = 1;
     CheckedMerge checked(rules);
     const auto twoClasses = [&](int first) {
         std::vector<Claim> claims;
@@ -181,9 +181,9 @@
     checked.applyReading(1, makeReading(seconds(1), makeClaims(1, 4)));
     const auto before = checked.evaluate(seconds(2));
     Merge restored(makeRules());
-    restored.recall(checked.merge.saved());
+    restored.restore(checked.merge.save());
     std::string after;
-    const auto view = restored.at(seconds(2));
+    const auto view = restored.evaluate(seconds(2));
     for (const auto &member : view.members)
         if (member.inSet)
             after += CheckedMerge::describe(member.entry);
--- a/tests/unit/scripts_test.cpp
+++ b/tests/unit/scripts_test.cpp
@@ -70,10 +70,10 @@
             applyStep(script.steps[step]);
         if (now >= nextLookup)
             lookUp(now);
-        const auto view = merge.at(now);
-        for (const auto &[source, at] : view.confirm)
+        const auto view = merge.evaluate(now);
+        for (const auto &[source, at] : view.confirmations)
             nextLookup = std::min(nextLookup, std::max(at, now + 1s));
-        nextChange = view.changesAt.value_or(Duration::max());
+        nextChange = view.nextChangeAt.value_or(Duration::max());
         merged.clear();
         for (const auto &member : view.members)
             if (member.inSet)
@@ -90,8 +90,8 @@
     static MergeRules rules() {
         MergeRules rules;
         rules.sources = {{kName, membership::SourceKind::srv}};
-        rules.longestStale = 600s;
-        rules.confirmShare = 0.3;
+        rules.maxStaleness = 600s;
+        rules.confirmFraction = 0.3;
         rules.confirmAfter = 5s;
         rules.grace = 30s;
         rules.reserveBelow = 2;
@@ -134,9 +134,9 @@
             nextLookup = now + refresh.afterFailure();
             return;
         }
-        const auto reading = membership::readingOf({kName, 1, 0, 0}, found, now, lifetime,
-                                                   std::to_string(srvAnsweredBy));
-        merge.took(0, reading);
+        const auto reading = membership::makeReading({kName, 1, 0, 0}, found, now, lifetime,
+                                                     std::to_string(srvAnsweredBy));
+        merge.applyReading(0, reading);
         reference.applyReading(0, reading);
         nextLookup = now + refresh.afterAnswer(lifetime);
     }
--- a/tests/unit/state_store_test.cpp
+++ b/tests/unit/state_store_test.cpp
@@ -45,12 +45,12 @@
 
     membership::SavedSource source;
     source.name = "nodes";
-    source.at = 5s;
+    source.readAt = 5s;
     EXPECT_EQ(store.saveSources({source}, 8s), "");
     const auto sources = store.loadSources(60s);
     ASSERT_TRUE(sources);
     ASSERT_EQ(sources->sources.size(), 1u);
-    EXPECT_EQ(sources->sources[0].at, 57s - sources->age);
+    EXPECT_EQ(sources->sources[0].readAt, 57s - sources->age);
 }
 
 TEST_F(StateStoreTest, InvalidSettingsAreIgnored) {
--- a/tests/unit/stored_data_test.cpp
+++ b/tests/unit/stored_data_test.cpp
@@ -138,8 +138,8 @@
     const GatewaySettings read = settings("sources/settings.json");
     ASSERT_TRUE(read.sources);
     const auto &merge = read.sources->merge;
-    EXPECT_EQ(merge.longestStale, 1800000ms);
-    EXPECT_EQ(merge.confirmShare, 0.4);
+    EXPECT_EQ(merge.maxStaleness, 1800000ms);
+    EXPECT_EQ(merge.confirmFraction, 0.4);
     EXPECT_EQ(merge.confirmAfter, 4000ms);
     EXPECT_EQ(merge.grace, 20000ms);
     EXPECT_EQ(merge.reserveBelow, 2);
@@ -208,9 +208,9 @@
     };
     ASSERT_EQ(sources.size(), 2u);
     EXPECT_EQ(sources[0].name, "nodes");
-    EXPECT_EQ(sources[0].from, "settings");
-    EXPECT_EQ(sources[0].at, before(2652.352));
-    EXPECT_EQ(sources[0].lifetime, membership::kForever);
+    EXPECT_EQ(sources[0].reporter, "settings");
+    EXPECT_EQ(sources[0].readAt, before(2652.352));
+    EXPECT_EQ(sources[0].lifetime, membership::kUnlimitedLifetime);
     ASSERT_EQ(sources[0].listed.size(), 2u);
     {
         const auto &[claim, since] = sources[0].listed[0];
@@ -220,13 +220,13 @@
         EXPECT_EQ(claim.entry.build, 1);
         EXPECT_EQ(claim.entry.weight, 2.5);
         EXPECT_FALSE(claim.entry.startedAt);
-        EXPECT_EQ(claim.as, "127.0.0.1:9101");
-        EXPECT_EQ(claim.priority, membership::kNoClass);
+        EXPECT_EQ(claim.listedAs, "127.0.0.1:9101");
+        EXPECT_EQ(claim.priority, membership::kNoPriorityClass);
         EXPECT_EQ(since, before(2652.352));
     }
     EXPECT_EQ(sources[1].name, "desk");
-    EXPECT_EQ(sources[1].from, "desk");
-    EXPECT_EQ(sources[1].at, before(1131.996));
+    EXPECT_EQ(sources[1].reporter, "desk");
+    EXPECT_EQ(sources[1].readAt, before(1131.996));
     ASSERT_EQ(sources[1].listed.size(), 5u);
     {
         const auto &[claim, since] = sources[1].listed[0];
@@ -239,9 +239,9 @@
         EXPECT_EQ(claim.entry.state, EndpointState::draining);
         EXPECT_EQ(since, before(1131.996));
     }
-    ASSERT_EQ(sources[1].stops.size(), 1u);
+    ASSERT_EQ(sources[1].stopNotices.size(), 1u);
     {
-        const auto &[state, since] = sources[1].stops.at("127.0.0.1:9002");
+        const auto &[state, since] = sources[1].stopNotices.at("127.0.0.1:9002");
         EXPECT_EQ(state, EndpointState::draining);
         EXPECT_EQ(since, before(2255.421));
     }
