--- a/bench/sources_bench.cpp
+++ b/bench/sources_bench.cpp
@@ -29,13 +29,14 @@
         bool operator>(const Due &o) const { return at > o.at; }
     };
     std::priority_queue<Due, std::vector<Due>, std::greater<>> due;
-    std::vector<dns::Refresh> refresh;
+    std::vector<dns::RefreshSchedule> refresh;
     std::vector<int> perSecond(std::size_t(lasts / Duration{seconds(1)}) + 1);
-    dns::Found found;
-    found.kind = dns::LookupOutcome::servers, found.seconds = std::uint32_t(lifetimeS);
+    dns::LookupResult found;
+    found.outcome = dns::LookupOutcome::servers, found.ttlSeconds = std::uint32_t(lifetimeS);
     for (int g = 0; g < gateways; ++g) {
         refresh.emplace_back(dns::RefreshRules{}, std::uint32_t(g + 1));
-        due.push({atExpiry ? Duration{0} : refresh.back().first(false), g});  // all started at once
+        due.push(
+            {atExpiry ? Duration{0} : refresh.back().firstDelay(false), g});  // all started at once
     }
     while (due.top().at < lasts) {
         const Due now = due.top();
@@ -45,8 +46,8 @@
         auto &r = refresh[std::size_t(now.gateway)];
         const Duration lifetime = r.lifetime(found);
         const Duration in = atExpiry ? (fails ? Duration{seconds(1)} : lifetime)
-                            : fails  ? r.afterFailure()
-                                     : r.afterAnswer(lifetime);
+                            : fails  ? r.delayAfterFailure()
+                                     : r.delayAfterAnswer(lifetime);
         due.push({now.at + in, now.gateway});
     }
     // The first minute is the start that all share.
@@ -69,18 +70,18 @@
     std::minstd_rand chance(7);
     const auto part = [&] { return double(chance()) / double(std::minstd_rand::max()); };
     std::vector<double> shares;
-    dns::Found found;
-    found.kind = dns::LookupOutcome::servers, found.seconds = std::uint32_t(lifetimeS);
+    dns::LookupResult found;
+    found.outcome = dns::LookupOutcome::servers, found.ttlSeconds = std::uint32_t(lifetimeS);
     for (int run = 0; run < 20000; ++run) {
-        dns::Refresh r({}, std::uint32_t(run + 1));
+        dns::RefreshSchedule r({}, std::uint32_t(run + 1));
         const Duration lifetime = r.lifetime(found);
         const Duration change{std::int64_t(double(lifetime.count()) * (1 + part()))};
-        Duration at = r.first(false);
+        Duration at = r.firstDelay(false);
         while (true) {
             const bool fails = part() < lostPart;
             if (at >= change && !fails)
                 break;
-            at += fails ? r.afterFailure() : r.afterAnswer(lifetime);
+            at += fails ? r.delayAfterFailure() : r.delayAfterAnswer(lifetime);
         }
         shares.push_back(double((at - change).count()) / double(lifetime.count()));
     }
@@ -167,12 +168,11 @@
     std::size_t targets = 0;
     dns::ResolverSettings settings;
     settings.servers = {at}, settings.refresh.floor = std::chrono::milliseconds(20);
-    settings.refresh.ceiling = std::chrono::milliseconds(20), settings.questionsASecond = 10000;
+    settings.refresh.ceiling = std::chrono::milliseconds(20), settings.questionsPerSecond = 10000;
     dns::Resolver r(io, clock, settings, 1,
-                    [&](const std::string &, const dns::Found &found, Duration, std::size_t) {
-                        ++lookups, targets = found.targets.size();
-                    });
-    r.follow("_relay._tcp.example.org.", false);
+                    [&](const std::string &, const dns::LookupResult &found, Duration,
+                        std::size_t) { ++lookups, targets = found.targets.size(); });
+    r.watch("_relay._tcp.example.org.", false);
     const double before = cpu();
     io.run_for(std::chrono::milliseconds(std::int64_t(lasts * 1000)));
     const double used = cpu() - before;
--- a/src/dns/decode.cpp
+++ b/src/dns/decode.cpp
@@ -81,7 +81,7 @@
 std::optional<RecordData> readAlias(const RecordFields &fields) {
     if (!fields.field(0))
         return std::nullopt;
-    Alias alias{readName(fields.field(0))};
+    Cname alias{readName(fields.field(0))};
     if (alias.target.empty())
         return std::nullopt;
     return alias;
@@ -179,7 +179,7 @@
     std::string name = readName(ldns_rr_owner(record.get()));
     if (name.empty() || ldns_rr_get_class(record.get()) != LDNS_RR_CLASS_IN)
         return "the question has an unsupported name or class";
-    question = Question{std::move(name), static_cast<Type>(ldns_rr_get_type(record.get()))};
+    question = Question{std::move(name), static_cast<RecordType>(ldns_rr_get_type(record.get()))};
     return {};
 }
 
--- a/src/dns/encode.cpp
+++ b/src/dns/encode.cpp
@@ -36,7 +36,7 @@
     ldns_rr_push_rdf(record, nameField(srv.target));
 }
 
-void writeData(ldns_rr *record, const Alias &alias) {
+void writeData(ldns_rr *record, const Cname &alias) {
     ldns_rr_set_type(record, LDNS_RR_TYPE_CNAME);
     ldns_rr_push_rdf(record, nameField(alias.target));
 }
@@ -51,7 +51,7 @@
     ldns_rr_push_rdf(record, numberField(LDNS_RDF_TYPE_INT32, kSerial));
     for (int k = 0; k < 3; ++k)
         ldns_rr_push_rdf(record, numberField(LDNS_RDF_TYPE_PERIOD, kUnusedPeriod));
-    ldns_rr_push_rdf(record, numberField(LDNS_RDF_TYPE_PERIOD, soa.negativeSeconds));
+    ldns_rr_push_rdf(record, numberField(LDNS_RDF_TYPE_PERIOD, soa.negativeTtlSeconds));
 }
 
 template <class Address>
@@ -72,7 +72,7 @@
 RecordPointer writeRecord(const Record &record) {
     RecordPointer written(ldns_rr_new());
     ldns_rr_set_owner(written.get(), nameField(record.owner));
-    ldns_rr_set_ttl(written.get(), record.seconds);
+    ldns_rr_set_ttl(written.get(), record.ttlSeconds);
     ldns_rr_set_class(written.get(), LDNS_RR_CLASS_IN);
     std::visit([&](const auto &data) { writeData(written.get(), data); }, record.data);
     return written;
@@ -105,7 +105,7 @@
     ldns_pkt_set_rd(packet, message.recursionDesired);
     ldns_pkt_set_rcode(packet, message.code);
     if (edns)
-        ldns_pkt_set_edns_udp_size(packet, kUdpBytes);
+        ldns_pkt_set_edns_udp_size(packet, kMaxUdpMessageBytes);
     if (message.question)
         ldns_pkt_push_rr(packet, LDNS_SECTION_QUESTION, writeQuestion(*message.question).release());
     writeSection(packet, LDNS_SECTION_ANSWER, message.answers);
--- a/src/dns/lookup.cpp
+++ b/src/dns/lookup.cpp
@@ -10,32 +10,32 @@
 constexpr std::uint32_t kMaxTtlSeconds = 0x7fffffff;
 
 const char *codeName(std::uint8_t code) {
-    switch (static_cast<Code>(code)) {
-    case Code::noError:
+    switch (static_cast<ResponseCode>(code)) {
+    case ResponseCode::noError:
         return "NOERROR";
-    case Code::formErr:
+    case ResponseCode::formErr:
         return "FORMERR";
-    case Code::servFail:
+    case ResponseCode::servFail:
         return "SERVFAIL";
-    case Code::nxDomain:
+    case ResponseCode::nxDomain:
         return "NXDOMAIN";
-    case Code::notImp:
+    case ResponseCode::notImp:
         return "NOTIMP";
-    case Code::refused:
+    case ResponseCode::refused:
         return "REFUSED";
     }
     return "unknown response code";
 }
 
-bool hasCode(const Message &reply, Code code) {
+bool hasCode(const Message &reply, ResponseCode code) {
     return reply.code == std::uint8_t(code);
 }
 
 // TTL of a negative answer (RFC 2308, 5).
-std::uint32_t negativeSeconds(const Message &reply) {
+std::uint32_t negativeTtlSeconds(const Message &reply) {
     for (const auto &record : reply.authority)
         if (const auto *soa = std::get_if<Soa>(&record.data))
-            return std::min(record.seconds, soa->negativeSeconds);
+            return std::min(record.ttlSeconds, soa->negativeTtlSeconds);
     return 0;
 }
 
@@ -48,7 +48,7 @@
         if (!address || record.owner != name || address->is_v4() != ipv4)
             continue;
         out.addresses.push_back(*address);
-        out.seconds = std::min(out.seconds, record.seconds);
+        out.ttlSeconds = std::min(out.ttlSeconds, record.ttlSeconds);
     }
     return out;
 }
@@ -56,7 +56,7 @@
 // The CNAME record of `name` among the answers, or null.
 const Record *aliasOf(const Message &reply, const std::string &name) {
     for (const auto &record : reply.answers)
-        if (std::holds_alternative<Alias>(record.data) && record.owner == name)
+        if (std::holds_alternative<Cname>(record.data) && record.owner == name)
             return &record;
     return nullptr;
 }
@@ -69,8 +69,8 @@
 
 }  // namespace
 
-const char *nameOf(LookupOutcome kind) {
-    switch (kind) {
+const char *nameOf(LookupOutcome outcome) {
+    switch (outcome) {
     case LookupOutcome::servers:
         return "servers";
     case LookupOutcome::noData:
@@ -100,15 +100,15 @@
     const auto seconds =
         std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(passed).count());
     for (auto &[target, entry] : cache)
-        entry.seconds = entry.seconds > seconds ? entry.seconds - seconds : 0;
+        entry.ttlSeconds = entry.ttlSeconds > seconds ? entry.ttlSeconds - seconds : 0;
     return cache;
 }
 
 Lookup::Lookup(std::string serviceName, AddressCache cache, LookupBounds lookupBounds)
     : currentName(std::move(serviceName)), cached(std::move(cache)), bounds(lookupBounds) {
-    found.seconds = kMaxTtlSeconds;
+    found.ttlSeconds = kMaxTtlSeconds;
     aliasChain.insert(currentName);
-    pendingQuestions.push_back({currentName, Type::srv});
+    pendingQuestions.push_back({currentName, RecordType::srv});
 }
 
 std::vector<Question> Lookup::takeQuestions() {
@@ -118,7 +118,7 @@
 void Lookup::onFailure(const Question &question, const std::string &why) {
     if (done)
         return;
-    if (question.type == Type::srv)
+    if (question.type == RecordType::srv)
         fail(why);
     else
         resolveFromCache(question.name, why);
@@ -127,9 +127,9 @@
 void Lookup::onReply(const Question &question, const Message &reply) {
     if (done)
         return;
-    if (!hasCode(reply, Code::noError) && !hasCode(reply, Code::nxDomain))
+    if (!hasCode(reply, ResponseCode::noError) && !hasCode(reply, ResponseCode::nxDomain))
         onFailure(question, codeName(reply.code));
-    else if (question.type == Type::srv)
+    else if (question.type == RecordType::srv)
         onSrvReply(question, reply);
     else
         onAddressReply(question, reply);
@@ -158,7 +158,7 @@
 // failing the lookup for a loop or a chain that is too long.
 bool Lookup::followAliases(const Message &reply) {
     while (const Record *record = aliasOf(reply, currentName)) {
-        const std::string &target = std::get<Alias>(record->data).target;
+        const std::string &target = std::get<Cname>(record->data).target;
         if (!aliasChain.insert(target).second) {
             fail("alias loop");
             return false;
@@ -168,7 +168,7 @@
             return false;
         }
         currentName = target;
-        boundLifetime(record->seconds);
+        boundLifetime(record->ttlSeconds);
     }
     return true;
 }
@@ -180,7 +180,7 @@
         if (!srv || record.owner != currentName)
             continue;
         ++records.count;
-        boundLifetime(record.seconds);
+        boundLifetime(record.ttlSeconds);
         if (srv->target == ".")
             records.notOffered = true;
         else if (srv->port == 0)
@@ -202,14 +202,14 @@
 }
 
 void Lookup::onNoServers(const Question &question, const Message &reply) {
-    const bool noName = hasCode(reply, Code::nxDomain);
+    const bool noName = hasCode(reply, ResponseCode::nxDomain);
     // The end of an alias may be in a zone that this server does not serve, so it is queried for by
     // its own name. An empty reply to that question is a negative answer.
     if (!noName && currentName != question.name && reply.authority.empty()) {
-        pendingQuestions.push_back({currentName, Type::srv});
+        pendingQuestions.push_back({currentName, RecordType::srv});
         return;
     }
-    boundLifetime(negativeSeconds(reply));
+    boundLifetime(negativeTtlSeconds(reply));
     finishWith(noName ? LookupOutcome::noName : LookupOutcome::noData);
 }
 
@@ -240,28 +240,28 @@
     }
     const auto cachedEntry = cached.find(target);
     if (!additional.addresses.empty()) {
-        storeAddresses(target, std::move(additional.addresses), additional.seconds);
-    } else if (cachedEntry != cached.end() && cachedEntry->second.seconds > 0) {
-        storeAddresses(target, cachedEntry->second.addresses, cachedEntry->second.seconds);
+        storeAddresses(target, std::move(additional.addresses), additional.ttlSeconds);
+    } else if (cachedEntry != cached.end() && cachedEntry->second.ttlSeconds > 0) {
+        storeAddresses(target, cachedEntry->second.addresses, cachedEntry->second.ttlSeconds);
     } else {
         pendingTargets.insert(target);
-        pendingQuestions.push_back({target, Type::a});
+        pendingQuestions.push_back({target, RecordType::a});
     }
 }
 
 void Lookup::onAddressReply(const Question &question, const Message &reply) {
-    auto received = addressesOf(reply.answers, question.name, question.type == Type::a);
+    auto received = addressesOf(reply.answers, question.name, question.type == RecordType::a);
     if (const Record *alias = aliasOf(reply, question.name)) {
         found.notes.push_back(question.name +
                               ": is an alias; SRV targets must not be aliases (RFC 2782)");
-        storeAddresses(question.name, {}, alias->seconds);
+        storeAddresses(question.name, {}, alias->ttlSeconds);
     } else if (!received.addresses.empty()) {
-        storeAddresses(question.name, std::move(received.addresses), received.seconds);
-    } else if (question.type == Type::a && hasCode(reply, Code::noError)) {
-        pendingQuestions.push_back({question.name, Type::aaaa});
+        storeAddresses(question.name, std::move(received.addresses), received.ttlSeconds);
+    } else if (question.type == RecordType::a && hasCode(reply, ResponseCode::noError)) {
+        pendingQuestions.push_back({question.name, RecordType::aaaa});
     } else {
         found.notes.push_back(question.name + ": has no address");
-        storeAddresses(question.name, {}, negativeSeconds(reply));
+        storeAddresses(question.name, {}, negativeTtlSeconds(reply));
     }
     finishIfResolved();
 }
@@ -297,8 +297,8 @@
     finishWith(LookupOutcome::failed);
 }
 
-void Lookup::finishWith(LookupOutcome kind) {
-    found.kind = kind;
+void Lookup::finishWith(LookupOutcome outcome) {
+    found.outcome = outcome;
     done = true;
 }
 
@@ -307,7 +307,7 @@
         return;
     for (const auto &srv : srvs) {
         const auto &entry = resolved.at(srv.target);
-        boundLifetime(entry.seconds);
+        boundLifetime(entry.ttlSeconds);
         if (!entry.addresses.empty())
             found.targets.push_back({srv, entry.addresses});
     }
@@ -319,7 +319,7 @@
 }
 
 void Lookup::boundLifetime(std::uint32_t seconds) {
-    found.seconds = std::min(found.seconds, seconds);
+    found.ttlSeconds = std::min(found.ttlSeconds, seconds);
 }
 
 AddressCache Lookup::addresses() const {
--- a/src/dns/lookup.hpp
+++ b/src/dns/lookup.hpp
@@ -34,15 +34,15 @@
     failed       // no usable reply
 };
 /// The name of the outcome in logs.
-[[nodiscard]] const char *nameOf(LookupOutcome kind);
+[[nodiscard]] const char *nameOf(LookupOutcome outcome);
 
 /// The result of a lookup.
-struct Found {
-    LookupOutcome kind = LookupOutcome::failed;
+struct LookupResult {
+    LookupOutcome outcome = LookupOutcome::failed;
     std::vector<Target> targets;  // by priority, name, port
     /// The least TTL of all records used, in seconds. For a negative answer the lesser of the SOA
     /// record's TTL and its MINIMUM (RFC 2308, 5), or 0 without an SOA record. Not clamped.
-    std::uint32_t seconds = 0;
+    std::uint32_t ttlSeconds = 0;
     /// Targets for whose address no server gave a usable reply: they may still have one.
     std::vector<std::string> unresolved;
     /// Records that were ignored or replaced, with the reason.
@@ -56,7 +56,7 @@
 struct CachedAddresses {
     std::vector<asio::ip::address> addresses;
     /// Remaining TTL. 0: expired, used only if a question fails (RFC 8767).
-    std::uint32_t seconds = 0;
+    std::uint32_t ttlSeconds = 0;
 };
 /// By target name.
 using AddressCache = std::map<std::string, CachedAddresses>;
@@ -80,7 +80,7 @@
     void onFailure(const Question &question, const std::string &why);
     [[nodiscard]] bool finished() const { return done; }
     /// Valid once finished.
-    [[nodiscard]] const Found &result() const { return found; }
+    [[nodiscard]] const LookupResult &result() const { return found; }
     /// The addresses found, as the cache for the next lookup.
     [[nodiscard]] AddressCache addresses() const;
 
@@ -111,7 +111,7 @@
                         std::uint32_t seconds);
     void resolveFromCache(const std::string &target, const std::string &why);
     void fail(const std::string &why);
-    void finishWith(LookupOutcome kind);
+    void finishWith(LookupOutcome outcome);
     void finishIfResolved();
     void boundLifetime(std::uint32_t seconds);
 
@@ -124,7 +124,7 @@
     std::set<std::string> pendingTargets;  // targets with an outstanding address question
     AddressCache resolved;                 // targets without an address have an empty entry
     bool done = false;
-    Found found;
+    LookupResult found;
 };
 
 /// The domain of a service name: what follows its leading labels with an underscore. Addresses in
--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -12,17 +12,17 @@
 
 }  // namespace
 
-const char *nameOf(Type type) {
+const char *nameOf(RecordType type) {
     switch (type) {
-    case Type::a:
+    case RecordType::a:
         return "A";
-    case Type::cname:
+    case RecordType::cname:
         return "CNAME";
-    case Type::soa:
+    case RecordType::soa:
         return "SOA";
-    case Type::aaaa:
+    case RecordType::aaaa:
         return "AAAA";
-    case Type::srv:
+    case RecordType::srv:
         return "SRV";
     }
     return "?";
--- a/src/dns/message.hpp
+++ b/src/dns/message.hpp
@@ -15,14 +15,14 @@
 
 /// Largest message accepted over UDP, in bytes: is not fragmented on any usual path (DNS flag day
 /// 2020).
-constexpr std::uint16_t kUdpBytes = 1232;
+constexpr std::uint16_t kMaxUdpMessageBytes = 1232;
 /// Maximum number of records in a message: about five times what the largest site needs, which has
 /// 300 servers with two addresses each.
 constexpr std::size_t kMaxRecords = 4096;
 
 /// Supported record types (RFC 1035, 3.2.2; RFC 3596; RFC 2782).
-enum class Type : std::uint16_t { a = 1, cname = 5, soa = 6, aaaa = 28, srv = 33 };
-[[nodiscard]] const char *nameOf(Type type);
+enum class RecordType : std::uint16_t { a = 1, cname = 5, soa = 6, aaaa = 28, srv = 33 };
+[[nodiscard]] const char *nameOf(RecordType type);
 
 /// Data of an SRV record (RFC 2782).
 struct Srv {
@@ -34,36 +34,36 @@
 };
 
 /// Data of a CNAME record (RFC 1035, 3.3.1).
-struct Alias {
+struct Cname {
     std::string target;
-    bool operator==(const Alias &) const = default;
+    bool operator==(const Cname &) const = default;
 };
 
 /// The part of an SOA record that is used (RFC 1035, 3.3.13).
 struct Soa {
     /// MINIMUM, in seconds: upper limit of the TTL of negative answers (RFC 2308, 4).
-    std::uint32_t negativeSeconds = 0;
+    std::uint32_t negativeTtlSeconds = 0;
     bool operator==(const Soa &) const = default;
 };
 
-using RecordData = std::variant<Srv, Alias, Soa, asio::ip::address>;
+using RecordData = std::variant<Srv, Cname, Soa, asio::ip::address>;
 
 struct Record {
     std::string owner;
     /// TTL; one with the highest bit set is read as 0 (RFC 2181, 8).
-    std::uint32_t seconds = 0;
+    std::uint32_t ttlSeconds = 0;
     RecordData data;
     bool operator==(const Record &) const = default;
 };
 
 struct Question {
     std::string name;
-    Type type = Type::srv;
+    RecordType type = RecordType::srv;
     bool operator==(const Question &) const = default;
 };
 
 /// Response codes (RFC 1035, 4.1.1).
-enum class Code : std::uint8_t {
+enum class ResponseCode : std::uint8_t {
     noError = 0,
     formErr = 1,
     servFail = 2,
@@ -78,7 +78,7 @@
     bool truncated = false;
     bool authoritative = false;
     bool recursionDesired = true;
-    /// The response code: a value of Code, or any other that was received.
+    /// The response code: a value of ResponseCode, or any other that was received.
     std::uint8_t code = 0;
     std::optional<Question> question;
     std::vector<Record> answers;
@@ -95,7 +95,7 @@
 /// Whether `name` equals `zone` or is a subdomain of it; both canonical.
 [[nodiscard]] bool within(const std::string &name, const std::string &zone);
 
-/// Encodes a message. With EDNS (RFC 6891) it announces kUdpBytes as the payload size.
+/// Encodes a message. With EDNS (RFC 6891) it announces kMaxUdpMessageBytes as the payload size.
 /// @throws std::invalid_argument if a name can't be encoded, with the name in the text, or if ldns
 ///         can't encode the message.
 [[nodiscard]] std::vector<std::uint8_t> encode(const Message &message, bool edns = true);
--- a/src/dns/query_schedule.cpp
+++ b/src/dns/query_schedule.cpp
@@ -112,8 +112,9 @@
 }
 
 bool isServerFailure(const Message &reply) {
-    const auto code = static_cast<Code>(reply.code);
-    return code != Code::noError && code != Code::formErr && code != Code::notImp;
+    const auto code = static_cast<ResponseCode>(reply.code);
+    return code != ResponseCode::noError && code != ResponseCode::formErr &&
+           code != ResponseCode::notImp;
 }
 
 QueryAttempts::QueryAttempts(std::vector<std::size_t> servers, std::uint32_t seed)
@@ -135,13 +136,13 @@
         lastFault = "reply truncated and no reply over TCP";
         return ReplyUse::tryAgain;
     }
-    const auto code = static_cast<Code>(reply.code);
-    if (code == Code::noError || code == Code::nxDomain)
+    const auto code = static_cast<ResponseCode>(reply.code);
+    if (code == ResponseCode::noError || code == ResponseCode::nxDomain)
         return ReplyUse::answer;
     const std::string fault = "reply with response code " + std::to_string(reply.code);
     // A server without EDNS support replies with FORMERR or NOTIMP (RFC 6891, 7): retry once
     // without EDNS.
-    if ((code == Code::formErr || code == Code::notImp) && withEdns) {
+    if ((code == ResponseCode::formErr || code == ResponseCode::notImp) && withEdns) {
         withEdns = false;
         lastFault = fault;
     } else {
@@ -160,33 +161,33 @@
     }
 }
 
-Duration Refresh::lifetime(const Found &found) const {
-    const bool negative = found.kind != LookupOutcome::servers;
+Duration RefreshSchedule::lifetime(const LookupResult &found) const {
+    const bool negative = found.outcome != LookupOutcome::servers;
     const Duration ceiling = negative ? rules.negativeCeiling : rules.ceiling;
-    return std::clamp(Duration(seconds(found.seconds)), rules.floor,
+    return std::clamp(Duration(seconds(found.ttlSeconds)), rules.floor,
                       std::max(rules.floor, ceiling));
 }
 
-double Refresh::drawBetween(double from, double to) {
+double RefreshSchedule::drawBetween(double from, double to) {
     return from + (to - from) * double(random() - 1) / double(std::minstd_rand::max());
 }
 
-Duration Refresh::first(bool haveList) {
+Duration RefreshSchedule::firstDelay(bool haveList) {
     return scaled(haveList ? kMaxFirstDelayWithList : kMaxFirstDelay, drawBetween(0, 1));
 }
 
-Duration Refresh::afterAnswer(Duration lifetime) {
+Duration RefreshSchedule::delayAfterAnswer(Duration lifetime) {
     consecutiveFailures = 0;
     return scaled(lifetime, drawBetween(kMinRefreshFraction, kMaxRefreshFraction));
 }
 
-Duration Refresh::afterFailure() {
+Duration RefreshSchedule::delayAfterFailure() {
     const int previousFailures = consecutiveFailures++;
     return backedOff(kInitialRefreshBackoff, kMaxRefreshBackoff, previousFailures,
                      drawBetween(0.5, 1));
 }
 
-Duration Refresh::confirmationDelay(Duration minDelay) {
+Duration RefreshSchedule::confirmationDelay(Duration minDelay) {
     return scaled(minDelay, drawBetween(1, kMaxConfirmDelayFactor));
 }
 
--- a/src/dns/query_schedule.hpp
+++ b/src/dns/query_schedule.hpp
@@ -87,18 +87,18 @@
 
 /// When one name is looked up again. All results but lifetime() are delays from now, drawn at
 /// random in each call.
-class Refresh {
+class RefreshSchedule {
   public:
-    Refresh(RefreshRules limits, std::uint32_t seed) : rules(limits), random(seed) {}
+    RefreshSchedule(RefreshRules limits, std::uint32_t seed) : rules(limits), random(seed) {}
     /// The lifetime of a result, within the limits.
-    [[nodiscard]] Duration lifetime(const Found &found) const;
+    [[nodiscard]] Duration lifetime(const LookupResult &found) const;
     /// Delay of the first lookup; spread so that gateways started together don't query at once.
     /// @param haveList  there is an endpoint list to use until the first answer
-    [[nodiscard]] Duration first(bool haveList);
+    [[nodiscard]] Duration firstDelay(bool haveList);
     /// Delay after an answer: ends before its lifetime does.
-    [[nodiscard]] Duration afterAnswer(Duration lifetime);
+    [[nodiscard]] Duration delayAfterAnswer(Duration lifetime);
     /// Delay after a failure; grows with consecutive failures.
-    [[nodiscard]] Duration afterFailure();
+    [[nodiscard]] Duration delayAfterFailure();
     /// Delay of a lookup that confirms losses: at least `minDelay` and little longer.
     [[nodiscard]] Duration confirmationDelay(Duration minDelay);
 
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -27,7 +27,7 @@
         : name(std::move(watchedName)), refresh(rules, seed), timer(io) {}
 
     std::string name;
-    Refresh refresh;
+    RefreshSchedule refresh;
     asio::steady_timer timer;
     std::optional<Lookup> lookup;  // in progress
     std::size_t server = 0;        // sent the SRV reply
@@ -77,7 +77,7 @@
                    std::uint64_t seed, OnResult callback)
     : context(io), clock(loopClock), settings(std::move(resolverSettings)), random(seed),
       onResult(std::move(callback)), servers(settings.servers.size()),
-      rateLimiter(settings.questionsASecond), rateTimer(io) {}
+      rateLimiter(settings.questionsPerSecond), rateTimer(io) {}
 
 Resolver::~Resolver() {
     for (const auto &query : inFlight) {
@@ -86,16 +86,16 @@
     }
 }
 
-void Resolver::follow(const std::string &name, bool haveList) {
+void Resolver::watch(const std::string &name, bool haveList) {
     if (watchedNames.contains(name))
         return;
     auto &watched = watchedNames[name];
     watched =
         std::make_unique<WatchedName>(context, name, settings.refresh, std::uint32_t(random()));
-    scheduleLookup(*watched, watched->refresh.first(haveList));
+    scheduleLookup(*watched, watched->refresh.firstDelay(haveList));
 }
 
-void Resolver::refreshWithin(const std::string &name, Duration minDelay) {
+void Resolver::refreshAfter(const std::string &name, Duration minDelay) {
     const auto found = watchedNames.find(name);
     if (found == watchedNames.end() || found->second->lookup)
         return;
@@ -134,16 +134,16 @@
 }
 
 void Resolver::finishLookup(WatchedName &watched) {
-    const Found found = watched.lookup->result();
-    const bool failed = found.kind == LookupOutcome::failed;
+    const LookupResult found = watched.lookup->result();
+    const bool failed = found.outcome == LookupOutcome::failed;
     if (!failed) {
         watched.addresses = watched.lookup->addresses();
         watched.addressesAt = clock.now();
     }
     watched.lookup.reset();
     const Duration lifetime = watched.refresh.lifetime(found);
-    scheduleLookup(watched,
-                   failed ? watched.refresh.afterFailure() : watched.refresh.afterAnswer(lifetime));
+    scheduleLookup(watched, failed ? watched.refresh.delayAfterFailure()
+                                   : watched.refresh.delayAfterAnswer(lifetime));
     onResult(watched.name, found, lifetime, watched.server);
 }
 
@@ -295,10 +295,11 @@
 bool Resolver::onMessage(const QueryPointer &query, const std::uint8_t *bytes, std::size_t size) {
     const auto decoded = decode(bytes, size);
     const auto &message = decoded.message;
-    const bool isReply = message && message->reply && message->id == query->id &&
-                         (message->question == query->question ||
-                          // A server that could not parse the question may omit it (RFC 6891, 7).
-                          (!message->question && message->code == std::uint8_t(Code::formErr)));
+    const bool isReply =
+        message && message->reply && message->id == query->id &&
+        (message->question == query->question ||
+         // A server that could not parse the question may omit it (RFC 6891, 7).
+         (!message->question && message->code == std::uint8_t(ResponseCode::formErr)));
     if (!isReply) {
         ++counters.dropped;
         return false;
@@ -334,7 +335,7 @@
         if (found == watchedNames.end() || !found->second->lookup)
             continue;
         auto &watched = *found->second;
-        if (reply && query->question.type == Type::srv)
+        if (reply && query->question.type == RecordType::srv)
             watched.server = query->current.server;
         if (reply)
             watched.lookup->onReply(query->question, *reply);
--- a/src/dns/resolver.hpp
+++ b/src/dns/resolver.hpp
@@ -16,7 +16,7 @@
 struct ResolverSettings {
     std::vector<asio::ip::udp::endpoint> servers;  // queried over TCP at the same address
     RefreshRules refresh;
-    double questionsASecond = 50;
+    double questionsPerSecond = 50;
     /// Maximum number of questions in flight; further ones are queued.
     std::size_t inFlight = 16;
 };
@@ -36,7 +36,7 @@
   public:
     /// Called when a lookup has ended. `server` is the index in ResolverSettings::servers of the
     /// server that sent the SRV reply; meaningless if the lookup failed.
-    using OnResult = std::function<void(const std::string &name, const Found &found,
+    using OnResult = std::function<void(const std::string &name, const LookupResult &found,
                                         Duration lifetime, std::size_t server)>;
     Resolver(asio::io_context &context, const Clock &clock, ResolverSettings settings,
              std::uint64_t seed, OnResult onResult);
@@ -47,9 +47,9 @@
     /// Starts to look the name up, after a short random delay, and repeats that before each
     /// lifetime ends, as long as the resolver exists.
     /// @param haveList  there is an endpoint list to use until the first answer
-    void follow(const std::string &name, bool haveList);
+    void watch(const std::string &name, bool haveList);
     /// Looks the name up again after about `minDelay`, unless it is due earlier.
-    void refreshWithin(const std::string &name, Duration minDelay);
+    void refreshAfter(const std::string &name, Duration minDelay);
     [[nodiscard]] const ResolverCounts &counts() const { return counters; }
 
   private:
--- a/src/fakes/fleet_names.cpp
+++ b/src/fakes/fleet_names.cpp
@@ -68,7 +68,7 @@
 // takes; before that a gateway may hold the loss. One that turns up in a later reply than the first
 // has started then.
 void FleetNames::told(int gateway, const dns::Message &reply) {
-    if (!reply.question || reply.question->type != dns::Type::srv)
+    if (!reply.question || reply.question->type != dns::RecordType::srv)
         return;
     const Duration now = clock.now();
     auto &s = seen[{gateway, reply.question->name}];
--- a/src/fakes/name_server.cpp
+++ b/src/fakes/name_server.cpp
@@ -10,14 +10,14 @@
 using asio::ip::udp;
 using nlohmann::json;
 
-dns::Type typeOf(const dns::Record &r) {
+dns::RecordType typeOf(const dns::Record &r) {
     if (std::holds_alternative<dns::Srv>(r.data))
-        return dns::Type::srv;
-    if (std::holds_alternative<dns::Alias>(r.data))
-        return dns::Type::cname;
+        return dns::RecordType::srv;
+    if (std::holds_alternative<dns::Cname>(r.data))
+        return dns::RecordType::cname;
     if (std::holds_alternative<dns::Soa>(r.data))
-        return dns::Type::soa;
-    return std::get<asio::ip::address>(r.data).is_v4() ? dns::Type::a : dns::Type::aaaa;
+        return dns::RecordType::soa;
+    return std::get<asio::ip::address>(r.data).is_v4() ? dns::RecordType::a : dns::RecordType::aaaa;
 }
 
 dns::Record recordIn(const json &from) {
@@ -34,7 +34,7 @@
                           from.value<std::uint16_t>("weight", 0),
                           from.at("port").get<std::uint16_t>(), name("target")};
     else if (type == "CNAME")
-        r.data = dns::Alias{name("target")};
+        r.data = dns::Cname{name("target")};
     else if (type == "SOA")
         r.data = dns::Soa{from.value("negativeSeconds", 5u)};
     else {
@@ -170,10 +170,10 @@
     m.recursionDesired = question.recursionDesired;
     const auto lifetime = [&](dns::Record r) {
         if (faults.seconds)
-            r.seconds = *faults.seconds;
+            r.ttlSeconds = *faults.seconds;
         if (faults.shrinksFor > Duration{0}) {
             const Duration left = faults.shrinksFor - (clock.now() - setAt) % faults.shrinksFor;
-            r.seconds =
+            r.ttlSeconds =
                 std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(left).count());
         }
         return r;
@@ -188,12 +188,12 @@
             for (const auto &r : records)
                 if (r.owner == at && typeOf(r) == question.question->type)
                     m.answers.push_back(lifetime(r));
-            if (!m.answers.empty() && typeOf(m.answers.back()) != dns::Type::cname)
+            if (!m.answers.empty() && typeOf(m.answers.back()) != dns::RecordType::cname)
                 break;
             for (const auto &r : records)
-                if (r.owner == at && typeOf(r) == dns::Type::cname) {
+                if (r.owner == at && typeOf(r) == dns::RecordType::cname) {
                     m.answers.push_back(lifetime(r));
-                    at = std::get<dns::Alias>(r.data).target, moved = true;
+                    at = std::get<dns::Cname>(r.data).target, moved = true;
                     break;
                 }
         }
@@ -207,11 +207,11 @@
                     m.additional.push_back(lifetime(r));
         if (m.answers.empty() &&
             std::ranges::none_of(records, [&](const auto &r) { return r.owner == at; }))
-            m.code = std::uint8_t(dns::Code::nxDomain);
+            m.code = std::uint8_t(dns::ResponseCode::nxDomain);
     }
     if (m.answers.empty())
         for (const auto &r : records)
-            if (typeOf(r) == dns::Type::soa)
+            if (typeOf(r) == dns::RecordType::soa)
                 m.authority.push_back(lifetime(r));
     auto bytes = dns::encode(m);
     const auto cut = [&] {
@@ -220,7 +220,7 @@
     };
     if (!overTcp && faults.cutInside)
         bytes[2] |= 0x02, bytes.resize(bytes.size() * 2 / 3);
-    else if (!overTcp && (faults.truncated || bytes.size() > dns::kUdpBytes))
+    else if (!overTcp && (faults.truncated || bytes.size() > dns::kMaxUdpMessageBytes))
         cut();
     if (faults.loops && bytes.size() > 14)
         bytes[12] = 0xc0, bytes[13] = 12;
@@ -258,7 +258,7 @@
         return;
     const auto got = dns::decode(bytes.data(), bytes.size());
     if (got.message && !got.message->truncated &&
-        got.message->code != std::uint8_t(dns::Code::servFail))
+        got.message->code != std::uint8_t(dns::ResponseCode::servFail))
         onTold(*got.message);
 }
 
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -66,12 +66,12 @@
         servers.push_back(format(asio::ip::tcp::endpoint(server.address(), server.port())));
     resolver = std::make_unique<dns::Resolver>(
         context, steadyClock, sourceSettings.resolver, seed,
-        [this](const std::string &name, const dns::Found &found, Duration lifetime,
+        [this](const std::string &name, const dns::LookupResult &found, Duration lifetime,
                std::size_t server) { onLookup(name, found, lifetime, server); });
     const auto merged = view();
     for (const auto &[name, watched] : watchedNames) {
         const bool known = merged.sources[watched.source].state != membership::SourceState::never;
-        resolver->follow(name, known);
+        resolver->watch(name, known);
     }
 }
 
@@ -97,11 +97,11 @@
     update(PublishMode::ifChanged);
 }
 
-void EndpointWatcher::onLookup(const std::string &name, const dns::Found &found, Duration lifetime,
-                               std::size_t server) {
+void EndpointWatcher::onLookup(const std::string &name, const dns::LookupResult &found,
+                               Duration lifetime, std::size_t server) {
     logLookup(name, found);
     const auto &watched = watchedNames.at(name);
-    if (found.kind == dns::LookupOutcome::failed)
+    if (found.outcome == dns::LookupOutcome::failed)
         merge.recordFailedAttempt(watched.source, found.fault);
     else
         merge.applyReading(watched.source, membership::makeReading(watched.srv, found, clock(),
@@ -109,14 +109,14 @@
     sourceRead();
 }
 
-void EndpointWatcher::logLookup(const std::string &name, const dns::Found &found) {
+void EndpointWatcher::logLookup(const std::string &name, const dns::LookupResult &found) {
     std::string error = found.fault;
     for (const auto &note : found.notes)
         error += (error.empty() ? "" : "; ") + note;
     std::string &logged = lastLookupErrors[name];
     if (error != logged)
         log.warn("srv", {{"name", name},
-                         {"found", nameOf(found.kind)},
+                         {"found", nameOf(found.outcome)},
                          {"targets", found.targets.size()},
                          {"says", error}});
     logged = error;
@@ -169,7 +169,7 @@
     for (const auto &[source, due] : merged.confirmations) {
         const auto &rule = rules.sources[source];
         if (rule.kind == membership::SourceKind::srv && resolver)
-            resolver->refreshWithin(rule.name, std::max(Duration{0}, due - now));
+            resolver->refreshAfter(rule.name, std::max(Duration{0}, due - now));
         if (rule.kind == membership::SourceKind::controlPlane && now >= due)
             handler(EndpointListFailed{});  // makes the decision module request the list again
     }
--- a/src/gateway/endpoint_watcher.hpp
+++ b/src/gateway/endpoint_watcher.hpp
@@ -71,9 +71,9 @@
     void addSources(const SourceSettings &sourceSettings);
     void watchNames(const SourceSettings &sourceSettings, asio::io_context &context,
                     const Clock &steadyClock, std::uint64_t seed);
-    void onLookup(const std::string &name, const dns::Found &found, Duration lifetime,
+    void onLookup(const std::string &name, const dns::LookupResult &found, Duration lifetime,
                   std::size_t server);
-    void logLookup(const std::string &name, const dns::Found &found);
+    void logLookup(const std::string &name, const dns::LookupResult &found);
     void sourceRead();
     void update(PublishMode mode);
     void publishList(PublishMode mode, const membership::MergeResult &view);
--- a/src/membership/claims.cpp
+++ b/src/membership/claims.cpp
@@ -36,8 +36,8 @@
 
 }  // namespace
 
-Reading makeReading(const SrvName &name, const dns::Found &found, TimePoint at, Duration lifetime,
-                    std::string from) {
+Reading makeReading(const SrvName &name, const dns::LookupResult &found, TimePoint at,
+                    Duration lifetime, std::string from) {
     Reading reading{at, lifetime, std::move(from), {}, false, {}};
     std::map<int, ClassWeights> classes;
     for (const auto &target : found.targets)
--- a/src/membership/claims.hpp
+++ b/src/membership/claims.hpp
@@ -19,7 +19,7 @@
 /// Weights (RFC 2782) are relative to the greatest weight of the priority class, or 1 for all if no
 /// target has one. A target with weight 0 beside others gets a hundredth of their least weight ("a
 /// very small chance"). The addresses of a target share its weight. The results are in 0.001 to 1.
-[[nodiscard]] Reading makeReading(const SrvName &name, const dns::Found &found, TimePoint at,
+[[nodiscard]] Reading makeReading(const SrvName &name, const dns::LookupResult &found, TimePoint at,
                                   Duration lifetime, std::string from);
 
 }  // namespace deckcart::membership
--- a/src/settings/source_sections.cpp
+++ b/src/settings/source_sections.cpp
@@ -109,7 +109,7 @@
     readField(srv, "lifetimeFloorMs", resolver.refresh.floor);
     readField(srv, "lifetimeCeilingMs", resolver.refresh.ceiling);
     readField(srv, "negativeCeilingMs", resolver.refresh.negativeCeiling);
-    readField(srv, "questionsASecond", resolver.questionsASecond);
+    readField(srv, "questionsASecond", resolver.questionsPerSecond);
     readField(srv, "questionsInFlight", resolver.inFlight);
     if (resolver.refresh.floor > resolver.refresh.ceiling)
         reader.refuse("/sources/srv/lifetimeFloorMs",
--- a/tests/path/sources_test.cpp
+++ b/tests/path/sources_test.cpp
@@ -189,7 +189,7 @@
     addServer().serve(records({0}));
     addServer().serve(records({0}));
     dns::Message question;
-    question.question = dns::Question{kName, dns::Type::srv};
+    question.question = dns::Question{kName, dns::RecordType::srv};
     const auto whole = servers[0]->reply(question, true).size() + 2;
     // The first server's TCP stream ends after each byte in turn; the second server answers.
     for (std::size_t cut = 0; cut < whole; cut += 1) {
@@ -243,7 +243,7 @@
     servers[0]->misbehave({.delay = std::chrono::milliseconds(150)});
     int targetQuestions = 0;
     servers[0]->onAsked = [&](const dns::Question &question) {
-        targetQuestions += question.type == dns::Type::a;
+        targetQuestions += question.type == dns::RecordType::a;
     };
     startGateway();
     ASSERT_TRUE(until([&] {
--- a/tests/unit/claims_test.cpp
+++ b/tests/unit/claims_test.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 TEST(DnsClaims, WeightsAreRelativeAndSharedByAddresses) {
-    Found found;
-    found.kind = LookupOutcome::servers;
+    LookupResult found;
+    found.outcome = LookupOutcome::servers;
     const auto addTarget = [&](Srv record, std::vector<asio::ip::address> addresses) {
         found.targets.push_back({std::move(record), std::move(addresses)});
     };
--- a/tests/unit/dns_fixture.hpp
+++ b/tests/unit/dns_fixture.hpp
@@ -17,7 +17,7 @@
 inline const asio::ip::address kIpv6 = asio::ip::make_address("2001:db8::1");
 
 inline Message reply(std::vector<Record> answers, std::vector<Record> additional = {},
-                     Code code = Code::noError) {
+                     ResponseCode code = ResponseCode::noError) {
     Message message;
     message.reply = true;
     message.code = std::uint8_t(code);
@@ -29,7 +29,7 @@
                   std::uint16_t port = 80, std::uint32_t ttl = 30) {
     return {kName, ttl, Srv{priority, weight, port, target}};
 }
-inline Question askedFor(const std::string &name, Type type) {
+inline Question askedFor(const std::string &name, RecordType type) {
     return {name, type};
 }
 
--- a/tests/unit/dns_lookup_test.cpp
+++ b/tests/unit/dns_lookup_test.cpp
@@ -6,26 +6,28 @@
 
 TEST(DnsLookup, TrustsAdditionalAddressesWithinTheDomainOnly) {
     Lookup lookup(kName);
-    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor(kName, Type::srv)});
-    lookup.onReply(askedFor(kName, Type::srv),
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor(kName, RecordType::srv)});
+    lookup.onReply(askedFor(kName, RecordType::srv),
                    reply({srv("in.example.org."), srv("out.example.com.")},
                          {{"in.example.org.", 20, kIpv4}, {"out.example.com.", 20, kOtherIpv4}}));
-    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("out.example.com.", Type::a)});
-    lookup.onReply(askedFor("out.example.com.", Type::a), reply({{"out.example.com.", 10, kIpv4}}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("out.example.com.", RecordType::a)});
+    lookup.onReply(askedFor("out.example.com.", RecordType::a),
+                   reply({{"out.example.com.", 10, kIpv4}}));
     ASSERT_TRUE(lookup.finished());
-    EXPECT_EQ(lookup.result().kind, LookupOutcome::servers);
+    EXPECT_EQ(lookup.result().outcome, LookupOutcome::servers);
     EXPECT_EQ(lookup.result().targets.size(), 2u);
-    EXPECT_EQ(lookup.result().seconds, 10u) << "the least TTL of all records used";
+    EXPECT_EQ(lookup.result().ttlSeconds, 10u) << "the least TTL of all records used";
 }
 
 TEST(DnsLookup, QueriesForIpv6OnlyWithoutIpv4) {
     Lookup lookup(kName);
     lookup.takeQuestions();
-    lookup.onReply(askedFor(kName, Type::srv), reply({srv("r.example.com.")}));
-    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("r.example.com.", Type::a)});
-    lookup.onReply(askedFor("r.example.com.", Type::a), reply({}));
-    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("r.example.com.", Type::aaaa)});
-    lookup.onReply(askedFor("r.example.com.", Type::aaaa), reply({{"r.example.com.", 10, kIpv6}}));
+    lookup.onReply(askedFor(kName, RecordType::srv), reply({srv("r.example.com.")}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("r.example.com.", RecordType::a)});
+    lookup.onReply(askedFor("r.example.com.", RecordType::a), reply({}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("r.example.com.", RecordType::aaaa)});
+    lookup.onReply(askedFor("r.example.com.", RecordType::aaaa),
+                   reply({{"r.example.com.", 10, kIpv6}}));
     ASSERT_TRUE(lookup.finished());
     EXPECT_EQ(lookup.result().targets[0].addresses, std::vector{kIpv6});
 }
@@ -33,51 +35,54 @@
 TEST(DnsLookup, FollowsAliasesOfTheOwnerUpToALimit) {
     Lookup lookup(kName);
     lookup.takeQuestions();
-    lookup.onReply(askedFor(kName, Type::srv), reply({{kName, 7, Alias{"else.example.org."}}}));
-    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("else.example.org.", Type::srv)});
-    lookup.onReply(askedFor("else.example.org.", Type::srv),
+    lookup.onReply(askedFor(kName, RecordType::srv),
+                   reply({{kName, 7, Cname{"else.example.org."}}}));
+    EXPECT_EQ(lookup.takeQuestions(), std::vector{askedFor("else.example.org.", RecordType::srv)});
+    lookup.onReply(askedFor("else.example.org.", RecordType::srv),
                    reply({{"else.example.org.", 30, Srv{0, 0, 80, "r.else.example.org."}}},
                          {{"r.else.example.org.", 30, kIpv4}}));
     ASSERT_TRUE(lookup.finished());
     EXPECT_EQ(lookup.result().targets.size(), 1u);
-    EXPECT_EQ(lookup.result().seconds, 7u);
+    EXPECT_EQ(lookup.result().ttlSeconds, 7u);
 
     Lookup loop(kName);
     loop.takeQuestions();
-    loop.onReply(askedFor(kName, Type::srv),
-                 reply({{kName, 7, Alias{"b.org."}}, {"b.org.", 7, Alias{kName}}}));
+    loop.onReply(askedFor(kName, RecordType::srv),
+                 reply({{kName, 7, Cname{"b.org."}}, {"b.org.", 7, Cname{kName}}}));
     EXPECT_EQ(loop.result().fault, "alias loop");
 
     Lookup chain(kName);
     chain.takeQuestions();
-    std::vector<Record> links{{kName, 7, Alias{"n0.org."}}};
+    std::vector<Record> links{{kName, 7, Cname{"n0.org."}}};
     for (int k = 0; k < 10; ++k)
         links.push_back(
-            {"n" + std::to_string(k) + ".org.", 7, Alias{"n" + std::to_string(k + 1) + ".org."}});
-    chain.onReply(askedFor(kName, Type::srv), reply(links));
+            {"n" + std::to_string(k) + ".org.", 7, Cname{"n" + std::to_string(k + 1) + ".org."}});
+    chain.onReply(askedFor(kName, RecordType::srv), reply(links));
     EXPECT_EQ(chain.result().fault, "alias chain too long");
 }
 
 TEST(DnsLookup, AnAliasWithoutRecordsEndsTheLookup) {
     Lookup lookup(kName);
     lookup.takeQuestions();
-    lookup.onReply(askedFor(kName, Type::srv), reply({{kName, 7, Alias{"else.example.org."}}}));
+    lookup.onReply(askedFor(kName, RecordType::srv),
+                   reply({{kName, 7, Cname{"else.example.org."}}}));
     EXPECT_EQ(lookup.takeQuestions().size(), 1u);
-    lookup.onReply(askedFor("else.example.org.", Type::srv), reply({}));  // without an SOA record
+    lookup.onReply(askedFor("else.example.org.", RecordType::srv),
+                   reply({}));  // without an SOA record
     EXPECT_TRUE(lookup.takeQuestions().empty()) << "the same question must not be repeated forever";
     ASSERT_TRUE(lookup.finished());
-    EXPECT_EQ(lookup.result().kind, LookupOutcome::noData);
+    EXPECT_EQ(lookup.result().outcome, LookupOutcome::noData);
 }
 
 TEST(DnsLookup, AnAliasAsTargetIsAnErrorOfThatTarget) {
     Lookup lookup(kName);
     lookup.takeQuestions();
     lookup.onReply(
-        askedFor(kName, Type::srv),
+        askedFor(kName, RecordType::srv),
         reply({srv("bad.example.com."), srv("r.example.org.")}, {{"r.example.org.", 9, kIpv4}}));
     lookup.takeQuestions();
-    lookup.onReply(askedFor("bad.example.com.", Type::a),
-                   reply({{"bad.example.com.", 5, Alias{"r2.example.com."}},
+    lookup.onReply(askedFor("bad.example.com.", RecordType::a),
+                   reply({{"bad.example.com.", 5, Cname{"r2.example.com."}},
                           {"r2.example.com.", 5, kOtherIpv4}}));
     ASSERT_TRUE(lookup.finished());
     ASSERT_EQ(lookup.result().targets.size(), 1u);
@@ -89,18 +94,18 @@
     const auto resultOf = [](const Message &message) {
         Lookup lookup(kName);
         lookup.takeQuestions();
-        lookup.onReply(askedFor(kName, Type::srv), message);
+        lookup.onReply(askedFor(kName, RecordType::srv), message);
         EXPECT_TRUE(lookup.finished());
         return lookup.result();
     };
-    EXPECT_EQ(resultOf(reply({srv(".")})).kind, LookupOutcome::notOffered);
+    EXPECT_EQ(resultOf(reply({srv(".")})).outcome, LookupOutcome::notOffered);
     auto empty = reply({});
     empty.authority = {{"example.org.", 20, Soa{7}}};
-    EXPECT_EQ(resultOf(empty).kind, LookupOutcome::noData);
-    EXPECT_EQ(resultOf(empty).seconds, 7u) << "the lesser of TTL and MINIMUM";
-    empty.code = std::uint8_t(Code::nxDomain);
-    EXPECT_EQ(resultOf(empty).kind, LookupOutcome::noName);
-    EXPECT_EQ(resultOf(reply({srv("r.example.org.", 0, 0, 0)})).kind, LookupOutcome::noData)
+    EXPECT_EQ(resultOf(empty).outcome, LookupOutcome::noData);
+    EXPECT_EQ(resultOf(empty).ttlSeconds, 7u) << "the lesser of TTL and MINIMUM";
+    empty.code = std::uint8_t(ResponseCode::nxDomain);
+    EXPECT_EQ(resultOf(empty).outcome, LookupOutcome::noName);
+    EXPECT_EQ(resultOf(reply({srv("r.example.org.", 0, 0, 0)})).outcome, LookupOutcome::noData)
         << "port 0 is not valid";
 }
 
@@ -109,12 +114,12 @@
                   {{"far.example.com.", {{kIpv4}, 12}}, {"old.example.com.", {{kOtherIpv4}, 0}}});
     lookup.takeQuestions();
     lookup.onReply(
-        askedFor(kName, Type::srv),
+        askedFor(kName, RecordType::srv),
         reply({srv("far.example.com."), srv("old.example.com."), srv("new.example.com.")}));
     EXPECT_EQ(lookup.takeQuestions().size(), 2u)
         << "none for the target with a valid cached address";
-    lookup.onFailure(askedFor("old.example.com.", Type::a), "no answer in time");
-    lookup.onFailure(askedFor("new.example.com.", Type::a), "no answer in time");
+    lookup.onFailure(askedFor("old.example.com.", RecordType::a), "no answer in time");
+    lookup.onFailure(askedFor("new.example.com.", RecordType::a), "no answer in time");
     ASSERT_TRUE(lookup.finished());
     EXPECT_EQ(lookup.result().targets.size(), 2u);
     EXPECT_EQ(lookup.result().unresolved, std::vector<std::string>{"new.example.com."});
@@ -123,7 +128,7 @@
 TEST(DnsLookup, LimitsTargetsAndAddresses) {
     Lookup lookup(kName, {}, {.targets = 2, .aliases = 8, .addresses = 1});
     lookup.takeQuestions();
-    lookup.onReply(askedFor(kName, Type::srv),
+    lookup.onReply(askedFor(kName, RecordType::srv),
                    reply({srv("a.example.org."), srv("b.example.org."), srv("c.example.org.")},
                          {{"a.example.org.", 9, kIpv4},
                           {"a.example.org.", 9, kOtherIpv4},
--- a/tests/unit/dns_message_test.cpp
+++ b/tests/unit/dns_message_test.cpp
@@ -6,9 +6,9 @@
 
 TEST(DnsMessage, DecodesWhatWasEncoded) {
     Message message = reply(
-        {srv("r1.example.org.", 1, 2, 3), {"alias.example.org.", 5, Alias{"r1.example.org."}}},
+        {srv("r1.example.org.", 1, 2, 3), {"alias.example.org.", 5, Cname{"r1.example.org."}}},
         {{"r1.example.org.", 60, kIpv4}, {"r1.example.org.", 60, kIpv6}});
-    message.id = 77, message.question = Question{kName, Type::srv};
+    message.id = 77, message.question = Question{kName, RecordType::srv};
     message.authority = {{"example.org.", 9, Soa{4}}};
     const auto bytes = encode(message);
     const auto decoded = decode(bytes.data(), bytes.size());
@@ -22,7 +22,7 @@
 
 TEST(DnsMessage, AMessageCutAtAnyByteIsAFault) {
     Message message = reply({srv("r1.example.org.")}, {{"r1.example.org.", 60, kIpv4}});
-    message.question = Question{kName, Type::srv};
+    message.question = Question{kName, RecordType::srv};
     const auto bytes = encode(message);
     for (std::size_t k = 0; k < bytes.size(); ++k) {
         const auto decoded = decode(bytes.data(), k);
@@ -39,9 +39,9 @@
 
 TEST(DnsMessage, ATtlWithTheHighestBitIsZero) {
     auto message = reply({srv("r1.example.org.")});
-    message.answers[0].seconds = 0x80000001u;
+    message.answers[0].ttlSeconds = 0x80000001u;
     const auto bytes = encode(message);
-    EXPECT_EQ(decode(bytes.data(), bytes.size()).message->answers[0].seconds, 0u);
+    EXPECT_EQ(decode(bytes.data(), bytes.size()).message->answers[0].ttlSeconds, 0u);
 }
 
 TEST(DnsMessage, NamesAreCanonicalOrEmpty) {
--- a/tests/unit/dns_query_schedule_test.cpp
+++ b/tests/unit/dns_query_schedule_test.cpp
@@ -21,7 +21,8 @@
     attempt = attempts.next();
     EXPECT_EQ(attempt->server, 0u);
     EXPECT_FALSE(attempt->tcp) << "the next server is tried over UDP first";
-    EXPECT_EQ(attempts.onReply(reply({}, {}, Code::servFail)), QueryAttempts::ReplyUse::tryAgain);
+    EXPECT_EQ(attempts.onReply(reply({}, {}, ResponseCode::servFail)),
+              QueryAttempts::ReplyUse::tryAgain);
     attempt = attempts.next();
     EXPECT_EQ(attempt->server, 2u) << "the second round";
     EXPECT_GE(attempt->timeout, milliseconds(800));
@@ -31,7 +32,8 @@
 TEST(DnsQuerySchedule, EndsAndRetriesWithoutEdnsIfItIsNotSupported) {
     QueryAttempts attempts({0}, 1);
     EXPECT_TRUE(attempts.next()->edns);
-    EXPECT_EQ(attempts.onReply(reply({}, {}, Code::formErr)), QueryAttempts::ReplyUse::tryAgain);
+    EXPECT_EQ(attempts.onReply(reply({}, {}, ResponseCode::formErr)),
+              QueryAttempts::ReplyUse::tryAgain);
     EXPECT_FALSE(attempts.next()->edns);
     attempts.onFailure("no answer in time");
     int more = 0;
@@ -61,19 +63,19 @@
 }
 
 TEST(DnsQuerySchedule, ClampsLifetimesAndRefreshesBeforeTheirEnd) {
-    Refresh refresh({seconds(5), seconds(600), seconds(60)}, 1);
-    Found found;
-    found.kind = LookupOutcome::servers;
+    RefreshSchedule refresh({seconds(5), seconds(600), seconds(60)}, 1);
+    LookupResult found;
+    found.outcome = LookupOutcome::servers;
     for (const auto &[ttl, expected] : std::vector<std::pair<std::uint32_t, Duration>>{
              {0, seconds(5)}, {30, seconds(30)}, {0x7fffffff, seconds(600)}}) {
-        found.seconds = ttl;
+        found.ttlSeconds = ttl;
         EXPECT_EQ(refresh.lifetime(found), expected);
     }
-    found.kind = LookupOutcome::noName;
+    found.outcome = LookupOutcome::noName;
     EXPECT_EQ(refresh.lifetime(found), seconds(60));
     Duration least = seconds(100), most{};
     for (int k = 0; k < 1000; ++k) {
-        const Duration delay = refresh.afterAnswer(seconds(100));
+        const Duration delay = refresh.delayAfterAnswer(seconds(100));
         least = std::min(least, delay), most = std::max(most, delay);
     }
     EXPECT_GE(least, seconds(70));
@@ -82,7 +84,7 @@
     EXPECT_GT(most, seconds(89));
     Duration last{};
     for (int k = 0; k < 12; ++k)
-        last = refresh.afterFailure();
+        last = refresh.delayAfterFailure();
     EXPECT_GE(last, seconds(15));
     EXPECT_LE(last, seconds(30));
 }
--- a/tests/unit/scripts_test.cpp
+++ b/tests/unit/scripts_test.cpp
@@ -114,7 +114,7 @@
     }
     void answer(dns::Lookup &lookup, const dns::Question &question, Duration now) {
         const auto reply = query(question, servers, faults, ranking, now, answeredBy);
-        if (question.type == dns::Type::srv)
+        if (question.type == dns::RecordType::srv)
             srvAnsweredBy = answeredBy;
         if (reply)
             lookup.onReply(question, *reply);
@@ -130,15 +130,15 @@
         ASSERT_TRUE(lookup.finished());
         const auto &found = lookup.result();
         const Duration lifetime = refresh.lifetime(found);
-        if (found.kind == dns::LookupOutcome::failed) {
-            nextLookup = now + refresh.afterFailure();
+        if (found.outcome == dns::LookupOutcome::failed) {
+            nextLookup = now + refresh.delayAfterFailure();
             return;
         }
         const auto reading = membership::makeReading({kName, 1, 0, 0}, found, now, lifetime,
                                                      std::to_string(srvAnsweredBy));
         merge.applyReading(0, reading);
         reference.applyReading(0, reading);
-        nextLookup = now + refresh.afterAnswer(lifetime);
+        nextLookup = now + refresh.delayAfterAnswer(lifetime);
     }
 
     const fakes::NameScript &script;
@@ -147,7 +147,7 @@
     std::vector<fakes::NameFaults> faults;
     membership::Merge merge{rules()};
     Reference reference{rules()};
-    dns::Refresh refresh{{}, 7};
+    dns::RefreshSchedule refresh{{}, 7};
     dns::ServerRanking ranking;
     std::size_t step = 0;
     std::size_t answeredBy = 0;
--- a/tests/unit/stored_data_test.cpp
+++ b/tests/unit/stored_data_test.cpp
@@ -167,7 +167,7 @@
     EXPECT_EQ(resolver.refresh.floor, 2000ms);
     EXPECT_EQ(resolver.refresh.ceiling, 400000ms);
     EXPECT_EQ(resolver.refresh.negativeCeiling, 30000ms);
-    EXPECT_EQ(resolver.questionsASecond, 20);
+    EXPECT_EQ(resolver.questionsPerSecond, 20);
     EXPECT_EQ(resolver.inFlight, 16);
 }
 
