--- a/src/control_plane/control_plane_client.hpp
+++ b/src/control_plane/control_plane_client.hpp
@@ -16,7 +16,7 @@
     /// True: fetches the full list, then watches for changes from its version. False: ends the
     /// watch. A failed list or watch is reported as EndpointListFailed; the client does not retry
     /// it.
-    virtual void follow(bool active) = 0;
+    virtual void setSubscribed(bool active) = 0;
     /// Casts a vote. Its reply or failure is reported as a RolloutUpdate with isVoteReply set.
     /// @param timeout  for the reply
     virtual void vote(const Vote &vote, Duration timeout) = 0;
@@ -24,13 +24,13 @@
 
 /// Callbacks of a client's owner.
 struct ControlPlaneObserver {
-    std::function<TimePoint()> now;   ///< the gateway's clock
-    std::function<void(Event)> tell;  ///< receives each update
+    std::function<TimePoint()> now;      ///< the gateway's clock
+    std::function<void(Event)> onEvent;  ///< receives each update
 };
 
 /// The update for a vote without a usable reply.
 /// @param outcome  why; with Outcome::timeout the vote may have been counted
-[[nodiscard]] inline RolloutUpdate voteFailed(Outcome outcome) {
+[[nodiscard]] inline RolloutUpdate failedVoteUpdate(Outcome outcome) {
     return {true, outcome, 0, 0, RolloutPhase::canary, 0, {}};
 }
 
--- a/src/control_plane/documents.cpp
+++ b/src/control_plane/documents.cpp
@@ -82,7 +82,7 @@
     return wireNameOf(kPhases, phase);
 }
 
-std::optional<Verdict> verdictNamed(const std::string &name) {
+std::optional<Verdict> parseVerdict(const std::string &name) {
     return valueNamed(kVerdicts, name);
 }
 
@@ -116,7 +116,7 @@
     return endpoint;
 }
 
-EndpointEntry entryOf(const ListedEndpoint &endpoint, const GatewaySettings &settings) {
+EndpointEntry toEndpointEntry(const ListedEndpoint &endpoint, const GatewaySettings &settings) {
     return {endpoint.id,
             settings.zoneIndex(endpoint.zone),
             endpoint.cell,
@@ -126,8 +126,8 @@
             {}};
 }
 
-ListedEndpoint listedOf(const EndpointEntry &entry, const std::vector<std::string> &zones,
-                        TimePoint now) {
+ListedEndpoint toListedEndpoint(const EndpointEntry &entry, const std::vector<std::string> &zones,
+                                TimePoint now) {
     ListedEndpoint endpoint;
     endpoint.id = entry.id;
     endpoint.cell = entry.cell;
--- a/src/control_plane/documents.hpp
+++ b/src/control_plane/documents.hpp
@@ -33,13 +33,13 @@
 
 /// Converts to an entry for the decision module. Leaves startedAt empty, since it is a time on the
 /// reader's clock.
-[[nodiscard]] EndpointEntry entryOf(const ListedEndpoint &endpoint,
-                                    const GatewaySettings &settings);
+[[nodiscard]] EndpointEntry toEndpointEntry(const ListedEndpoint &endpoint,
+                                            const GatewaySettings &settings);
 /// Converts an entry back, with the endpoint's age at `now`. The incarnation is empty, since
 /// entries don't hold it.
 /// @param zones  names by zone number; for a number beyond the end the zone is left empty
-[[nodiscard]] ListedEndpoint listedOf(const EndpointEntry &entry,
-                                      const std::vector<std::string> &zones, TimePoint now);
+[[nodiscard]] ListedEndpoint toListedEndpoint(const EndpointEntry &entry,
+                                              const std::vector<std::string> &zones, TimePoint now);
 
 /// The stage that the rollout of a build has reached.
 struct RolloutStage {
@@ -65,7 +65,7 @@
 /// The name of the value in documents, also used in logs.
 [[nodiscard]] const char *nameOf(RolloutPhase phase);
 /// Empty if no verdict has this name.
-[[nodiscard]] std::optional<Verdict> verdictNamed(const std::string &name);
+[[nodiscard]] std::optional<Verdict> parseVerdict(const std::string &name);
 
 /// Reads a required field. Throws ParseError if it is missing or of another type.
 template <class Value>
--- a/src/control_plane/http_control_plane_client.cpp
+++ b/src/control_plane/http_control_plane_client.cpp
@@ -45,7 +45,7 @@
     stopCalls();
 }
 
-void HttpControlPlaneClient::follow(bool active) {
+void HttpControlPlaneClient::setSubscribed(bool active) {
     stopCalls();
     if (active)
         startList();
@@ -74,10 +74,10 @@
 void HttpControlPlaneClient::startList() {
     if (!settings.controlPlane)
         return;
-    listCall = http::Fetch::start(context, settings.controlPlane->address,
-                                  requestHead("GET", listTarget()), {},
-                                  settings.controlPlane->answerWithin,
-                                  [this](const http::Fetched &response) { onList(response); });
+    listCall =
+        http::Fetch::start(context, settings.controlPlane->address,
+                           requestHead("GET", listTarget()), {}, settings.controlPlane->listTimeout,
+                           [this](const http::Fetched &response) { onList(response); });
 }
 
 void HttpControlPlaneClient::onList(const http::Fetched &response) {
@@ -101,7 +101,7 @@
     watchCall = http::Fetch::start(
         context, settings.controlPlane->address,
         requestHead("GET", listTarget() + "&watch=" + std::to_string(listVersion)), {},
-        settings.controlPlane->silentFor,
+        settings.controlPlane->watchSilenceTimeout,
         // Any end of the watch, status 410 included, requires a new list.
         [this](const http::Fetched &) { reportListFailure(); },
         [this](std::string_view line) {
@@ -133,7 +133,7 @@
         startTimes.clear();
     for (const auto &document : entries) {
         const ListedEndpoint endpoint = readListedEndpoint(document);
-        EndpointEntry entry = entryOf(endpoint, settings);
+        EndpointEntry entry = toEndpointEntry(endpoint, settings);
         if (endpoint.age)
             entry.startedAt = startTimeOf(endpoint, *endpoint.age);
         update.entries.push_back(std::move(entry));
@@ -185,7 +185,7 @@
             outcome = Outcome::timeout;  // counted, but its result is unreadable
         }
     }
-    handler(voteFailed(outcome));
+    handler(failedVoteUpdate(outcome));
 }
 
 }  // namespace deckcart
--- a/src/control_plane/http_control_plane_client.hpp
+++ b/src/control_plane/http_control_plane_client.hpp
@@ -35,7 +35,7 @@
     HttpControlPlaneClient(const HttpControlPlaneClient &) = delete;
     HttpControlPlaneClient &operator=(const HttpControlPlaneClient &) = delete;
 
-    void follow(bool active) override;
+    void setSubscribed(bool active) override;
     void vote(const Vote &vote, Duration timeout) override;
 
   private:
--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -250,7 +250,7 @@
         return answer(*exchange, 400, json::object());
     if (const auto before = answered.find(*key); before != answered.end())
         return answer(*exchange, 200, before->second);
-    const auto verdict = verdictNamed(said.value("verdict", ""));
+    const auto verdict = parseVerdict(said.value("verdict", ""));
     if (!verdict)
         return answer(*exchange, 400, json::object());
     if (still && !stillCounts)
--- a/src/gateway/api.cpp
+++ b/src/gateway/api.cpp
@@ -146,7 +146,8 @@
     if (!parsed.settings)
         return respondWithProblem(exchange, 422, "settings rejected; nothing has changed",
                                   toJson(parsed.refused));
-    const bool policyChanged = settingsDocument.empty() || !sameModule(settingsDocument, requested);
+    const bool policyChanged =
+        settingsDocument.empty() || !samePolicySettings(settingsDocument, requested);
     if (policyChanged && !settingsDocument.empty() && !gateway.mayRestartPolicy())
         return respondWithProblem(
             exchange, 409,
--- a/src/gateway/endpoint_documents.cpp
+++ b/src/gateway/endpoint_documents.cpp
@@ -11,7 +11,7 @@
 
 /// An entry without the incarnation, which only a control plane provides.
 json toJson(const EndpointEntry &entry, const std::vector<std::string> &zones, TimePoint now) {
-    json document = toJson(listedOf(entry, zones, now));
+    json document = toJson(toListedEndpoint(entry, zones, now));
     document.erase("incarnation");
     return document;
 }
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -47,14 +47,14 @@
             merge.applyReading(index, {clock(),
                                        membership::kUnlimitedLifetime,
                                        "settings",
-                                       sourceSettings.nodes,
+                                       sourceSettings.staticEndpoints,
                                        true,
                                        {}});
             break;
         case membership::SourceKind::srv:
-            watchedNames[source.name] = {
-                index,
-                *std::ranges::find(sourceSettings.names, source.name, &membership::SrvName::name)};
+            watchedNames[source.name] = {index,
+                                         *std::ranges::find(sourceSettings.srvNames, source.name,
+                                                            &membership::SrvName::name)};
             break;
         }
     }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -76,7 +76,7 @@
              clock.countSocketEvent();
              clock.runAfterStall([this, event = std::move(event)] { onControlPlaneEvent(event); });
          }});
-    policy.start(activeSettings.module);
+    policy.start(activeSettings.policy);
     startWatcher({});
     sweep();
 }
@@ -88,7 +88,7 @@
 void Gateway::restoreEndpoints(const std::vector<ListedEndpoint> &saved) {
     EndpointListUpdate update{true, {}};
     for (const ListedEndpoint &endpoint : saved) {
-        EndpointEntry entry = entryOf(endpoint, activeSettings);
+        EndpointEntry entry = toEndpointEntry(endpoint, activeSettings);
         if (endpoint.age)
             entry.startedAt = clock.tick() - *endpoint.age;
         update.entries.push_back(std::move(entry));
@@ -129,12 +129,12 @@
     if (sourcesChanged)
         startWatcher({});
     if (controlPlaneMoved || (sourcesChanged && !watcher))
-        controlPlane->follow(true);
+        controlPlane->setSubscribed(true);
 }
 
 void Gateway::restartPolicy() {
     const GatewayId previous = policy.currentGeneration();
-    policy.start(activeSettings.module);
+    policy.start(activeSettings.policy);
     const GatewayId current = policy.currentGeneration();
     policy.notify(EndpointListUpdate{true, endpoints.entries()}, current);
     if (const auto &stage = rollout.stage())
@@ -213,7 +213,7 @@
 std::vector<ListedEndpoint> Gateway::endpointList() const {
     std::vector<ListedEndpoint> list;
     for (const EndpointEntry &entry : endpoints.entries())
-        list.push_back(listedOf(entry, activeSettings.zones, clock.lastTick()));
+        list.push_back(toListedEndpoint(entry, activeSettings.zones, clock.lastTick()));
     return list;
 }
 
@@ -266,7 +266,7 @@
 void Gateway::watchEndpoints(GatewayId generation, const WatchEndpoints &action) {
     if (generation != policy.currentGeneration())
         return;
-    controlPlane->follow(action.active);
+    controlPlane->setSubscribed(action.active);
     if (watcher && action.active)
         watcher->republish();
 }
@@ -276,7 +276,7 @@
         return;  // a gateway has one vote, cast by the current generation
     log.info("vote",
              {{"build", action.build}, {"step", action.step}, {"verdict", nameOf(action.verdict)}});
-    controlPlane->vote(action, activeSettings.module.voteTimeout);
+    controlPlane->vote(action, activeSettings.policy.voteTimeout);
 }
 
 // ---- maintenance ----
--- a/src/gateway/http_transport.cpp
+++ b/src/gateway/http_transport.cpp
@@ -20,7 +20,7 @@
 std::unique_ptr<ControlPlaneClient>
 HttpTransport::controlPlane(const GatewaySettings &settings, ControlPlaneObserver observer) const {
     return std::make_unique<HttpControlPlaneClient>(context, settings, std::move(observer.now),
-                                                    std::move(observer.tell));
+                                                    std::move(observer.onEvent));
 }
 
 }  // namespace deckcart
--- a/src/gateway/http_upstream.cpp
+++ b/src/gateway/http_upstream.cpp
@@ -35,7 +35,7 @@
     for (const http::Header &header : received.headers) {
         const auto &[field, value] = header;
         if (http::travels(received, field) &&
-            !http::equalFieldNames(field, settings.headers.remaining))
+            !http::equalFieldNames(field, settings.headers.remainingTime))
             forwarded.headers.push_back(header);
     }
     if (!received.find(settings.headers.requestId))
@@ -45,11 +45,11 @@
     const Duration remaining = preSendCheck().value_or(Duration{0});
     const auto remainingMs =
         std::chrono::duration_cast<std::chrono::milliseconds>(remaining).count();
-    forwarded.headers.emplace_back(settings.headers.remaining, std::to_string(remainingMs));
+    forwarded.headers.emplace_back(settings.headers.remainingTime, std::to_string(remainingMs));
     forwarded.headers.emplace_back("Via", "1.1 deckcart");
     if (!httpRequest.body().empty() || received.length || received.chunked)
         forwarded.length = httpRequest.body().size();
-    connection->call(*parseAddress(endpoint), settings.upstream.connectWithin,
+    connection->call(*parseAddress(endpoint), settings.upstream.connectTimeout,
                      http::write(forwarded) + httpRequest.body(), received.method == "HEAD", this);
 }
 
@@ -84,7 +84,8 @@
     if (callEnd == http::CallEnd::complete) {
         if (head.status < kFirstServerError)
             return Outcome::ok;
-        const bool overloaded = head.status == kUnavailable && head.find(settings.headers.full);
+        const bool overloaded =
+            head.status == kUnavailable && head.find(settings.headers.overloaded);
         return overloaded ? Outcome::overloaded : Outcome::error;
     }
     // A reused connection that the endpoint closes while the request is being written has taken
@@ -115,7 +116,7 @@
     head.method = "GET";
     head.target = settings.upstream.probePath;
     probes.add(
-        http::Fetch::start(context, *address, head, {}, settings.upstream.probeWithin,
+        http::Fetch::start(context, *address, head, {}, settings.upstream.probeTimeout,
                            [this, done = std::move(done)](const http::Fetched &fetched) {
                                const std::string *report = fetched.head.find(settings.headers.load);
                                done(report ? parseLoadReport(*report) : std::vector<double>{});
--- a/src/gateway/loop_clock.cpp
+++ b/src/gateway/loop_clock.cpp
@@ -12,7 +12,7 @@
 
 TimePoint LoopClock::tick() {
     const TimePoint now = clock.now();
-    if (const auto length = detector.observe(now, settings.standstill)) {
+    if (const auto length = detector.observe(now, settings.stallThreshold)) {
         onStall({now, *length});
         waitUntilQuiet();
     }
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -13,7 +13,8 @@
     });
     if (!connection) {
         const auto found = inUse.find(endpoint);
-        if ((found == inUse.end() ? 0 : found->second) >= settings.upstream.connections)
+        if ((found == inUse.end() ? 0 : found->second) >=
+            settings.upstream.maxConnectionsPerEndpoint)
             return nullptr;
         connection = std::make_shared<http::ClientConnection>(context, settings.listener.headBytes);
     }
--- a/src/gateway/pool.hpp
+++ b/src/gateway/pool.hpp
@@ -26,7 +26,7 @@
                   const std::shared_ptr<http::ClientConnection> &connection, TimePoint now);
     void closeIdle(const EndpointId &endpoint) { idle.close(endpoint); }
     /// Closes connections that have been idle for too long.
-    void sweep(TimePoint now) { idle.sweep(now, settings.upstream.idleFor); }
+    void sweep(TimePoint now) { idle.sweep(now, settings.upstream.idleTimeout); }
 
   private:
     asio::io_context &context;
--- a/src/gateway/request_handler.cpp
+++ b/src/gateway/request_handler.cpp
@@ -33,7 +33,7 @@
     if (deps.clock.lastTick() >= request.policyDeadline) {
         // No attempt was sent, so the request is shed rather than failed: the client may safely
         // retry.
-        deps.requests.shed(request, deps.settings.module.maxRetryAfter);
+        deps.requests.shed(request, deps.settings.policy.maxRetryAfter);
         return deps.requests.removeIfFinished(request);
     }
     request.downstream->onClientDisconnected = [this, id = request.id] {
@@ -109,7 +109,7 @@
     if (now < request->policyDeadline)
         return scheduleDeadlineCheck(*request, request->policyDeadline - deps.clock.lastTick());
     // The policy is given the first half of the answer margin to answer by itself.
-    const TimePoint fallbackTime = request->policyDeadline + deps.settings.answerMargin / 2;
+    const TimePoint fallbackTime = request->policyDeadline + deps.settings.responseMargin / 2;
     if (now < fallbackTime)
         return scheduleDeadlineCheck(*request, fallbackTime - now);
     // Protects the client from a policy that fails to answer in time, which should never happen.
--- a/src/gateway/request_table.cpp
+++ b/src/gateway/request_table.cpp
@@ -29,7 +29,7 @@
     const RequestAttributes &attributes = request.downstream->attributes;
     request.arrivedAt = arrivedAt;
     request.clientDeadline = arrivedAt + attributes.timeout;
-    request.policyDeadline = request.clientDeadline - deps.settings.answerMargin;
+    request.policyDeadline = request.clientDeadline - deps.settings.responseMargin;
     request.clientRequestId = attributes.requestId;
     if (request.clientRequestId.empty())
         request.clientRequestId = deps.settings.id + "-" + std::to_string(id);
--- a/src/platform/platform_control_plane.cpp
+++ b/src/platform/platform_control_plane.cpp
@@ -65,12 +65,12 @@
 
 void PlatformControlPlaneClient::onRolloutEvent(const ServerSentEvent &event) {
     if (event.type == "news")
-        observer.tell(parseRolloutUpdate(parseForm(event.data)));
+        observer.onEvent(parseRolloutUpdate(parseForm(event.data)));
     else if (event.type == "counts")
-        observer.tell(parseUsageReport(parseForm(event.data), settings.routes));
+        observer.onEvent(parseUsageReport(parseForm(event.data), settings.routes));
 }
 
-void PlatformControlPlaneClient::follow(bool) {}
+void PlatformControlPlaneClient::setSubscribed(bool) {}
 
 void PlatformControlPlaneClient::setAddresses(const PlatformAddresses &changed) {
     if (changed.discovery != addresses.discovery)
@@ -85,7 +85,7 @@
         return;  // a newer list has been applied already
     generation = list.generation;
     directory.apply(list);
-    observer.tell(toEndpointListUpdate(list));
+    observer.onEvent(toEndpointListUpdate(list));
 }
 
 void PlatformControlPlaneClient::vote(const Vote &vote, Duration within) {
@@ -95,9 +95,10 @@
     head.headers = {{"Content-Type", "application/x-www-form-urlencoded"}};
     const auto onReply = [this](const http::Fetched &reply) {
         if (reply.inTime && reply.outcome == CallEnd::complete)
-            return observer.tell(parseVoteReply(reply.head.status, reply.body));
+            return observer.onEvent(parseVoteReply(reply.head.status, reply.body));
         // The vote cannot have counted if nothing was sent; otherwise it may have.
-        observer.tell(voteFailed(reply.startedSending ? Outcome::timeout : Outcome::error));
+        observer.onEvent(
+            failedVoteUpdate(reply.startedSending ? Outcome::timeout : Outcome::error));
     };
     voteCalls.add(
         http::Fetch::start(context, addresses.control, head, formatVote(vote), within, onReply));
--- a/src/platform/platform_control_plane.hpp
+++ b/src/platform/platform_control_plane.hpp
@@ -36,7 +36,7 @@
                                std::int64_t knownGeneration, ControlPlaneObserver observer);
 
     /// Does nothing: both watches are always open, and the platform pushes updates unasked.
-    void follow(bool active) override;
+    void setSubscribed(bool active) override;
     /// Sends the vote once, without retries. The result is reported as a RolloutUpdate:
     /// Outcome::error if nothing was sent, Outcome::timeout if the vote may have counted.
     void vote(const Vote &vote, Duration within) override;
--- a/src/platform/rollout_documents.cpp
+++ b/src/platform/rollout_documents.cpp
@@ -73,7 +73,7 @@
         update.isVoteReply = true;
         return update;
     } catch (const ParseError &) {
-        return voteFailed(Outcome::timeout);
+        return failedVoteUpdate(Outcome::timeout);
     }
 }
 
@@ -118,16 +118,17 @@
 
 RolloutUpdate parseVoteReply(int status, const std::string &body) {
     if (status == kHttpServerError)
-        return voteFailed(Outcome::error);
+        return failedVoteUpdate(Outcome::error);
     pugi::xml_document document;
     const bool wellFormed =
         document.load_buffer(body.data(), body.size(), pugi::parse_default, pugi::encoding_utf8);
     if (!wellFormed)
-        return voteFailed(Outcome::timeout);
+        return failedVoteUpdate(Outcome::timeout);
     if (status == kHttpBadRequest)
-        return voteFailed(outcomeOfErrorCode(document.child("Error").child("Code").text().get()));
+        return failedVoteUpdate(
+            outcomeOfErrorCode(document.child("Error").child("Code").text().get()));
     if (status != kHttpOk)
-        return voteFailed(Outcome::timeout);
+        return failedVoteUpdate(Outcome::timeout);
     return parseAcceptedVote(document);
 }
 
--- a/src/platform/transport.cpp
+++ b/src/platform/transport.cpp
@@ -40,10 +40,10 @@
     const simulator::DeploymentSettings &deployment = configuration.settings;
     GatewaySettings settings;
     settings.id = configuration.name;
-    settings.module = deployment.policy;
+    settings.policy = deployment.policy;
     settings.tenants = deployment.tenants;
     settings.zones = deployment.zones;
-    settings.module.maxSendDelay = deployment.connectTimeout;
+    settings.policy.maxSendDelay = deployment.connectTimeout;
     for (std::size_t route = 0; route < deployment.routes.size(); ++route)
         settings.routes.push_back(
             {deployment.routes[route], "", "", deployment.routeTimeouts[route]});
--- a/src/settings/gateway_settings.cpp
+++ b/src/settings/gateway_settings.cpp
@@ -37,7 +37,7 @@
     return parsed;
 }
 
-bool sameModule(const json &left, const json &right) {
+bool samePolicySettings(const json &left, const json &right) {
     for (const char *path : {"/gateway", "/zones", "/routes", "/accounts", "/allowed", "/rules",
                              "/release", "/upstream/connectWithinMs"}) {
         const json::json_pointer pointer(path);
--- a/src/settings/gateway_settings.hpp
+++ b/src/settings/gateway_settings.hpp
@@ -29,33 +29,33 @@
 
 /// The names of the HTTP fields that carry input of the decision module.
 struct HeaderNames {
-    std::string key = "X-Key";                 ///< affinity and idempotency key
-    std::string tenant = "X-Account";          ///< tenant whose quota the request counts against
-    std::string remaining = "X-Remaining-Ms";  ///< milliseconds until the client gives up
-    std::string requestId = "X-Request-Id";    ///< request id chosen by the client
-    std::string full = "X-Instance-Full";      ///< in a response: the endpoint is overloaded
-    std::string load = "X-Load";               ///< in the response to a probe: the load report
+    std::string key = "X-Key";         ///< affinity and idempotency key
+    std::string tenant = "X-Account";  ///< tenant whose quota the request counts against
+    std::string remainingTime = "X-Remaining-Ms";  ///< milliseconds until the client gives up
+    std::string requestId = "X-Request-Id";        ///< request id chosen by the client
+    std::string overloaded = "X-Instance-Full";    ///< in a response: the endpoint is overloaded
+    std::string load = "X-Load";                   ///< in the response to a probe: the load report
 };
 
 /// How the control plane is reached over HTTP.
 struct ControlPlaneSettings {
     asio::ip::tcp::endpoint address;
-    Duration answerWithin{};  ///< timeout of a list call; for votes see PolicySettings::voteTimeout
-    Duration silentFor{};     ///< a watch without a line for this long has failed
+    Duration listTimeout{};  ///< timeout of a list call; for votes see PolicySettings::voteTimeout
+    Duration watchSilenceTimeout{};  ///< a watch without a line for this long has failed
 };
 
 /// Limits on connections and calls to endpoints.
 struct UpstreamLimits {
     /// Per endpoint; an attempt beyond this number counts as a failed connect.
-    std::size_t connections = 256;
-    Duration connectWithin = std::chrono::milliseconds(250);
-    Duration idleFor = std::chrono::seconds(15);  ///< an idle connection is kept for this long
+    std::size_t maxConnectionsPerEndpoint = 256;
+    Duration connectTimeout = std::chrono::milliseconds(250);
+    Duration idleTimeout = std::chrono::seconds(15);  ///< an idle connection is kept for this long
     /// In bytes. A response up to this size is forwarded only once it is complete, so that the
     /// client never gets a truncated one.
     std::size_t bufferedResponseBytes = std::size_t{64} * 1024;
     /// The longest pause in a response that has begun.
     Duration streamStallTimeout = std::chrono::seconds(10);
-    Duration probeWithin = std::chrono::milliseconds(500);
+    Duration probeTimeout = std::chrono::milliseconds(500);
     std::string probePath = "/probe";
 };
 
@@ -63,17 +63,17 @@
 /// list is used as received.
 struct SourceSettings {
     membership::MergeRules merge;
-    std::vector<membership::Claim> nodes;    ///< listed in the settings document
-    std::vector<membership::SrvName> names;  ///< looked up by DNS
-    dns::ResolverSettings resolver;          ///< for `names`
+    std::vector<membership::Claim> staticEndpoints;  ///< listed in the settings document
+    std::vector<membership::SrvName> srvNames;       ///< looked up by DNS
+    dns::ResolverSettings resolver;                  ///< for `srvNames`
 };
 
 /// All settings of one gateway.
 struct GatewaySettings {
     std::string id = "gateway";
-    PolicySettings module;  ///< all but the seed, which is drawn at each start
+    PolicySettings policy;  ///< all but the seed, which is drawn at each start
     std::vector<RouteRule> routes;
-    std::vector<std::string> tenants;  ///< in the order of module.tenantQuotas
+    std::vector<std::string> tenants;  ///< in the order of policy.tenantQuotas
     std::vector<std::string> zones;    ///< names; a zone's number is its index
     HeaderNames headers;
     http::ListenerLimits listener;
@@ -81,9 +81,9 @@
     /// Retry-After of a request that is rejected because of maxRequestsInFlight.
     Duration rejectedRetryAfter = std::chrono::seconds(1);
     /// Final responses are due this long before the client's deadline.
-    Duration answerMargin = std::chrono::milliseconds(30);
+    Duration responseMargin = std::chrono::milliseconds(30);
     /// A turn of the event loop that is late by more than this counts as a stall of the process.
-    Duration standstill = std::chrono::milliseconds(200);
+    Duration stallThreshold = std::chrono::milliseconds(200);
     UpstreamLimits upstream;
     std::optional<ControlPlaneSettings> controlPlane;
     std::optional<SourceSettings> sources;
@@ -113,6 +113,6 @@
 [[nodiscard]] ParsedSettings parseSettings(const nlohmann::json &document);
 /// Whether both documents give the decision module the same settings, so that one can replace the
 /// other without restarting the module.
-[[nodiscard]] bool sameModule(const nlohmann::json &left, const nlohmann::json &right);
+[[nodiscard]] bool samePolicySettings(const nlohmann::json &left, const nlohmann::json &right);
 
 }  // namespace deckcart
--- a/src/settings/policy_sections.cpp
+++ b/src/settings/policy_sections.cpp
@@ -29,7 +29,7 @@
 }
 
 void checkStages(SettingsReader &reader) {
-    const PolicySettings &policy = reader.settings.module;
+    const PolicySettings &policy = reader.settings.policy;
     if (policy.exposureLimits.size() != policy.stageShares.size())
         reader.refuse("/release/caps", "must have as many stages as /release/shares");
     if (!std::ranges::is_sorted(policy.exposureLimits))
@@ -39,7 +39,7 @@
 }
 
 void checkVotes(SettingsReader &reader) {
-    const PolicySettings &policy = reader.settings.module;
+    const PolicySettings &policy = reader.settings.policy;
     if (policy.voteTimeout >= policy.voteLifetime)
         reader.refuse(
             "/release/voteAnswerWithinMs",
@@ -53,7 +53,7 @@
 }  // namespace
 
 void readAllowed(SettingsReader &reader) {
-    PolicySettings &policy = reader.settings.module;
+    PolicySettings &policy = reader.settings.policy;
     policy.cancellationAllowed = true;
     policy.maxAttempts = 4;
     policy.maxRetryAfter = std::chrono::seconds(1);
@@ -73,7 +73,7 @@
 }
 
 void readRules(SettingsReader &reader) {
-    PolicySettings &policy = reader.settings.module;
+    PolicySettings &policy = reader.settings.policy;
     policy.initialCapacity = 0.3;
     policy.warmUpTime = std::chrono::seconds(5);
     policy.overloadMultiple = 2;
@@ -99,7 +99,7 @@
             reader.refuse(elementPath("/accounts", index) + "/name",
                           "is used by an earlier account: names must be unique");
         tenants.push_back(name);
-        reader.settings.module.tenantQuotas.push_back(share);
+        reader.settings.policy.tenantQuotas.push_back(share);
         sum += share;
     }
     if (sum > kMaxShareSum)
@@ -107,7 +107,7 @@
 }
 
 void readRelease(SettingsReader &reader) {
-    PolicySettings &policy = reader.settings.module;
+    PolicySettings &policy = reader.settings.policy;
     setReleaseDefaults(policy);
     const json &section = reader.section("release");
     readEnum(section, "gate", kPromotionRules, policy.promotionRule);
--- a/src/settings/request_sections.cpp
+++ b/src/settings/request_sections.cpp
@@ -48,7 +48,7 @@
             parsed.path + "/latencyObjectiveMs",
             "must not exceed routeTimeoutMs of the route: a response within the objective could "
             "be too late for the client");
-    if (parsed.rule.routeTimeout <= 2 * reader.settings.answerMargin)
+    if (parsed.rule.routeTimeout <= 2 * reader.settings.responseMargin)
         reader.refuse(
             parsed.path + "/routeTimeoutMs",
             "must be more than twice /limits/answerMarginMs: no time would be left for an attempt");
@@ -92,9 +92,9 @@
 constexpr std::array kHeaderFields{
     HeaderField{"key", &HeaderNames::key},
     HeaderField{"account", &HeaderNames::tenant},
-    HeaderField{"remaining", &HeaderNames::remaining},
+    HeaderField{"remaining", &HeaderNames::remainingTime},
     HeaderField{"reqId", &HeaderNames::requestId},
-    HeaderField{"full", &HeaderNames::full},
+    HeaderField{"full", &HeaderNames::overloaded},
     HeaderField{"load", &HeaderNames::load},
 };
 
@@ -130,12 +130,12 @@
     GatewaySettings &settings = reader.settings;
     const json &section = reader.section("gateway");
     readField(section, "id", settings.id);
-    readField(section, "count", settings.module.gateways);
+    readField(section, "count", settings.policy.gateways);
     readField(reader.document, "zones", settings.zones);
     const std::set<std::string> distinctZones(settings.zones.begin(), settings.zones.end());
     if (distinctZones.size() != settings.zones.size())
         reader.refuse("/zones", "names must be unique");
-    settings.module.zone = reader.readZone(section, "/gateway");
+    settings.policy.zone = reader.readZone(section, "/gateway");
 }
 
 void readLimits(SettingsReader &reader) {
@@ -151,21 +151,21 @@
     readField(section, "messageWithinMs", listener.messageWithin);
     readField(section, "clientIdleMs", listener.idleFor);
     readField(section, "slowPeerMs", listener.slowPeerFor);
-    readField(section, "answerMarginMs", settings.answerMargin);
-    readField(section, "standstillMs", settings.standstill);
+    readField(section, "answerMarginMs", settings.responseMargin);
+    readField(section, "standstillMs", settings.stallThreshold);
 }
 
 void readUpstream(SettingsReader &reader) {
     UpstreamLimits &upstream = reader.settings.upstream;
     const json &section = reader.section("upstream");
-    readField(section, "connections", upstream.connections);
-    readField(section, "connectWithinMs", upstream.connectWithin);
-    readField(section, "idleMs", upstream.idleFor);
+    readField(section, "connections", upstream.maxConnectionsPerEndpoint);
+    readField(section, "connectWithinMs", upstream.connectTimeout);
+    readField(section, "idleMs", upstream.idleTimeout);
     readField(section, "stalledMs", upstream.streamStallTimeout);
     readField(section, "heldAnswerBytes", upstream.bufferedResponseBytes);
-    readField(section, "probeWithinMs", upstream.probeWithin);
+    readField(section, "probeWithinMs", upstream.probeTimeout);
     readField(section, "probePath", upstream.probePath);
-    reader.settings.module.maxSendDelay = upstream.connectWithin;
+    reader.settings.policy.maxSendDelay = upstream.connectTimeout;
 }
 
 void readRoutes(SettingsReader &reader) {
@@ -176,7 +176,7 @@
         checkDeduplication(reader, parsed);
         checkReachable(reader, parsed);
         reader.settings.routes.push_back(parsed.rule);
-        reader.settings.module.routes.push_back(parsed.route);
+        reader.settings.policy.routes.push_back(parsed.route);
     }
 }
 
--- a/src/settings/source_sections.cpp
+++ b/src/settings/source_sections.cpp
@@ -58,11 +58,11 @@
         readField(nodes[index], "weight", entry.weight);
         entry.zone = reader.readZone(nodes[index], path);
         claim.listedAs = entry.id;
-        for (const auto &other : sources.nodes)
+        for (const auto &other : sources.staticEndpoints)
             if (other.entry.id == entry.id)
                 reader.refuse(path + "/address",
                               "is used by an earlier node: addresses must be unique");
-        sources.nodes.push_back(std::move(claim));
+        sources.staticEndpoints.push_back(std::move(claim));
     }
 }
 
@@ -76,10 +76,10 @@
         readField(names[index], "build", srv.build);
         readField(names[index], "cell", srv.cell);
         srv.zone = reader.readZone(names[index], path);
-        for (const auto &other : sources.names)
+        for (const auto &other : sources.srvNames)
             if (other.name == srv.name)
                 reader.refuse(path + "/name", "is used by an earlier entry: names must be unique");
-        sources.names.push_back(std::move(srv));
+        sources.srvNames.push_back(std::move(srv));
     }
 }
 
@@ -133,10 +133,10 @@
     auto &rules = sources.merge.sources;
     if (kind == kControlPlaneKind && controlPlaneListed)
         rules.push_back({kind, SourceKind::controlPlane});
-    if (kind == kNodesKind && !sources.nodes.empty())
+    if (kind == kNodesKind && !sources.staticEndpoints.empty())
         rules.push_back({kind, SourceKind::nodes});
     if (kind == kSrvKind)
-        for (const auto &srv : sources.names)
+        for (const auto &srv : sources.srvNames)
             rules.push_back({srv.name, SourceKind::srv});
 }
 
@@ -149,8 +149,8 @@
     const auto address = reader.readAddress(*found, "address", "/desk/address");
     ControlPlaneSettings settings{address.value_or(asio::ip::tcp::endpoint{}), kDefaultListTimeout,
                                   kDefaultWatchSilence};
-    readField(*found, "answerWithinMs", settings.answerWithin);
-    readField(*found, "silentForMs", settings.silentFor);
+    readField(*found, "answerWithinMs", settings.listTimeout);
+    readField(*found, "silentForMs", settings.watchSilenceTimeout);
     reader.settings.controlPlane = settings;
 }
 
--- a/tests/unit/control_plane_documents_test.cpp
+++ b/tests/unit/control_plane_documents_test.cpp
@@ -138,10 +138,10 @@
 
 TEST(ControlPlaneDocuments, EveryVerdictHasAName) {
     for (const auto verdict : {Verdict::none, Verdict::promote, Verdict::hold, Verdict::rollBack})
-        EXPECT_EQ(verdictNamed(nameOf(verdict)), verdict);
+        EXPECT_EQ(parseVerdict(nameOf(verdict)), verdict);
     EXPECT_STREQ(nameOf(Verdict::promote), "on");
     EXPECT_STREQ(nameOf(Verdict::rollBack), "back");
-    EXPECT_FALSE(verdictNamed("promote"));
+    EXPECT_FALSE(parseVerdict("promote"));
 }
 
 }  // namespace
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -26,11 +26,11 @@
 TEST(Settings, ValidDocumentIsRead) {
     const auto read = parseSettings(settings());
     ASSERT_TRUE(read.settings);
-    EXPECT_EQ(read.settings->module.routes.at(1).idempotency, Idempotency::withKey);
-    EXPECT_EQ(read.settings->module.routes.at(1).deduplicationWindow, std::chrono::seconds(5));
+    EXPECT_EQ(read.settings->policy.routes.at(1).idempotency, Idempotency::withKey);
+    EXPECT_EQ(read.settings->policy.routes.at(1).deduplicationWindow, std::chrono::seconds(5));
     EXPECT_EQ(read.settings->routes.at(0).routeTimeout, std::chrono::milliseconds(2500));
-    EXPECT_EQ(read.settings->module.gateways, 3);
-    EXPECT_TRUE(read.settings->module.subscriptionRequired);
+    EXPECT_EQ(read.settings->policy.gateways, 3);
+    EXPECT_TRUE(read.settings->policy.subscriptionRequired);
 }
 
 TEST(Settings, InvalidFieldsAreRefusedWithTheirPath) {
@@ -119,15 +119,15 @@
 TEST(Settings, OnlyChangesToPolicySettingsRequireANewModule) {
     json other = settings();
     other["limits"] = {{"reqsInHand", 10}};
-    EXPECT_TRUE(sameModule(settings(), other));
+    EXPECT_TRUE(samePolicySettings(settings(), other));
     other["upstream"]["idleMs"] = 100;
-    EXPECT_TRUE(sameModule(settings(), other));
+    EXPECT_TRUE(samePolicySettings(settings(), other));
     other["upstream"]["connectWithinMs"] = 100;
-    EXPECT_FALSE(sameModule(settings(), other))
+    EXPECT_FALSE(samePolicySettings(settings(), other))
         << "the decision module reserves this time before a retry";
     other = settings();
     other["release"]["spareTries"] = 7;
-    EXPECT_FALSE(sameModule(settings(), other));
+    EXPECT_FALSE(samePolicySettings(settings(), other));
 }
 
 TEST(Settings, AllViolationsAreReported) {
@@ -155,7 +155,7 @@
     document.erase("release");
     const auto parsed = parseSettings(document);
     ASSERT_TRUE(parsed.settings);
-    const PolicySettings &module = parsed.settings->module;
+    const PolicySettings &module = parsed.settings->policy;
     EXPECT_EQ(module.promotionRule, PromotionRule::quorum);
     EXPECT_EQ(module.exposureLimits, (std::vector<double>{0.1, 0.4, 1}));
     EXPECT_EQ(module.stageShares, (std::vector<double>{0.1, 0.4, 1}));
@@ -164,9 +164,9 @@
     EXPECT_EQ(module.maxAttempts, 4);
     EXPECT_TRUE(module.cancellationAllowed);
     EXPECT_EQ(module.initialCapacity, 0.3);
-    EXPECT_EQ(module.maxSendDelay, parsed.settings->upstream.connectWithin);
-    EXPECT_EQ(parsed.settings->controlPlane->answerWithin, std::chrono::seconds(1));
-    EXPECT_EQ(parsed.settings->controlPlane->silentFor, std::chrono::seconds(3));
+    EXPECT_EQ(module.maxSendDelay, parsed.settings->upstream.connectTimeout);
+    EXPECT_EQ(parsed.settings->controlPlane->listTimeout, std::chrono::seconds(1));
+    EXPECT_EQ(parsed.settings->controlPlane->watchSilenceTimeout, std::chrono::seconds(3));
 }
 
 TEST(Settings, KindsLeftOutOfPrecedenceComeLast) {
--- a/tests/unit/stored_data_test.cpp
+++ b/tests/unit/stored_data_test.cpp
@@ -63,9 +63,9 @@
     EXPECT_EQ(read.tenants, (std::vector<std::string>{"alpha", "beta"}));
     EXPECT_EQ(read.headers.key, "X-Sticky");
     EXPECT_EQ(read.headers.tenant, "X-Tenant");
-    EXPECT_EQ(read.headers.remaining, "X-Left-Ms");
+    EXPECT_EQ(read.headers.remainingTime, "X-Left-Ms");
     EXPECT_EQ(read.headers.requestId, "X-Id");
-    EXPECT_EQ(read.headers.full, "X-Full");
+    EXPECT_EQ(read.headers.overloaded, "X-Full");
     EXPECT_EQ(read.headers.load, "X-Load-Now");
     EXPECT_EQ(read.listener.connections, 500u);
     EXPECT_EQ(read.maxRequestsInFlight, 2000u);
@@ -76,25 +76,25 @@
     EXPECT_EQ(read.listener.messageWithin, 9000ms);
     EXPECT_EQ(read.listener.idleFor, 30000ms);
     EXPECT_EQ(read.listener.slowPeerFor, 8000ms);
-    EXPECT_EQ(read.answerMargin, 40ms);
-    EXPECT_EQ(read.standstill, 250ms);
-    EXPECT_EQ(read.upstream.connections, 64u);
-    EXPECT_EQ(read.upstream.connectWithin, 200ms);
-    EXPECT_EQ(read.upstream.idleFor, 12000ms);
+    EXPECT_EQ(read.responseMargin, 40ms);
+    EXPECT_EQ(read.stallThreshold, 250ms);
+    EXPECT_EQ(read.upstream.maxConnectionsPerEndpoint, 64u);
+    EXPECT_EQ(read.upstream.connectTimeout, 200ms);
+    EXPECT_EQ(read.upstream.idleTimeout, 12000ms);
     EXPECT_EQ(read.upstream.streamStallTimeout, 9000ms);
     EXPECT_EQ(read.upstream.bufferedResponseBytes, 32768u);
-    EXPECT_EQ(read.upstream.probeWithin, 400ms);
+    EXPECT_EQ(read.upstream.probeTimeout, 400ms);
     EXPECT_EQ(read.upstream.probePath, "/health");
     ASSERT_TRUE(read.controlPlane);
     EXPECT_EQ(read.controlPlane->address.port(), 39871);
-    EXPECT_EQ(read.controlPlane->answerWithin, 700ms);
-    EXPECT_EQ(read.controlPlane->silentFor, 2500ms);
+    EXPECT_EQ(read.controlPlane->listTimeout, 700ms);
+    EXPECT_EQ(read.controlPlane->watchSilenceTimeout, 2500ms);
     EXPECT_EQ(read.requestLogSample, 0.5);
     EXPECT_FALSE(read.sources);
 }
 
 TEST_F(StoredData, SettingsOfTheDecisionModule) {
-    const PolicySettings module = settings("list/settings.json").module;
+    const PolicySettings module = settings("list/settings.json").policy;
     EXPECT_EQ(module.gateways, 3);
     EXPECT_EQ(module.zone, 1);
     ASSERT_EQ(module.routes.size(), 3u);
@@ -148,7 +148,7 @@
     EXPECT_EQ(merge.sources[0].kind, membership::SourceKind::nodes);
     EXPECT_EQ(merge.sources[1].kind, membership::SourceKind::controlPlane);
     EXPECT_EQ(merge.sources[2].kind, membership::SourceKind::srv);
-    const auto &nodes = read.sources->nodes;
+    const auto &nodes = read.sources->staticEndpoints;
     ASSERT_EQ(nodes.size(), 2u);
     EXPECT_EQ(nodes[0].entry.id, "127.0.0.1:9101");
     EXPECT_EQ(nodes[0].entry.zone, 1);
@@ -156,7 +156,7 @@
     EXPECT_EQ(nodes[0].entry.weight, 2.5);
     EXPECT_EQ(nodes[1].entry.id, "[::1]:9102");
     EXPECT_EQ(nodes[1].entry.build, 2);
-    const auto &names = read.sources->names;
+    const auto &names = read.sources->srvNames;
     ASSERT_EQ(names.size(), 1u);
     EXPECT_EQ(names[0].name, merge.sources[2].name);
     EXPECT_EQ(names[0].cell, 4);
