--- a/src/base/back_off.hpp
+++ b/src/base/back_off.hpp
@@ -16,8 +16,8 @@
 /// @param failures  number of consecutive failures before this one, 0 or more
 /// @param jitter  0 to 1: the delay is multiplied by it. The caller draws it at random, so that
 ///                many clients don't retry at the same time.
-[[nodiscard]] inline Duration backedOff(Duration initialDelay, Duration maxDelay, int failures,
-                                        double jitter) {
+[[nodiscard]] inline Duration backoffDelay(Duration initialDelay, Duration maxDelay, int failures,
+                                           double jitter) {
     const Duration delay =
         std::min(maxDelay, initialDelay * (1 << std::min(failures, kMaxDoublings)));
     return Duration{std::llround(double(delay.count()) * jitter)};
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -4,12 +4,12 @@
 
 namespace deckcart {
 
-Log::Log(LogForm logForm, std::string writer) : form(logForm), writerName(std::move(writer)) {
-    if (form == LogForm::none)
+Log::Log(LogFormat logForm, std::string writer) : form(logForm), writerName(std::move(writer)) {
+    if (form == LogFormat::none)
         return;
     logger = std::make_shared<spdlog::logger>(writerName,
                                               std::make_shared<spdlog::sinks::stderr_sink_st>());
-    logger->set_pattern(form == LogForm::json ? "%v" : "%Y-%m-%dT%H:%M:%S.%e %L %v");
+    logger->set_pattern(form == LogFormat::json ? "%v" : "%Y-%m-%dT%H:%M:%S.%e %L %v");
     logger->flush_on(spdlog::level::warn);
 }
 
@@ -25,7 +25,7 @@
     if (!logger)
         return;
     std::string line;
-    if (form == LogForm::json) {
+    if (form == LogFormat::json) {
         const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
         nlohmann::json document = fields;
         document["t_ms"] =
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -9,25 +9,25 @@
 
 namespace deckcart {
 
-enum class LogForm { text, json, none };
+enum class LogFormat { text, json, none };
 
 /// Copies share one spdlog logger. Not thread-safe. Each line is flushed at once.
 class Log {
   public:
     /// @param writer  name of the component, written in each line (JSON field "writer"); empty:
     ///                left out
-    explicit Log(LogForm logForm = LogForm::none, std::string writer = {});
+    explicit Log(LogFormat logForm = LogFormat::none, std::string writer = {});
     /// @param fields  a JSON object; its fields are written in the order of their names
     void info(const char *event, const nlohmann::json &fields = nlohmann::json::object()) const;
     /// Parameters as for info().
     void warn(const char *event, const nlohmann::json &fields = nlohmann::json::object()) const;
     /// Whether lines are written, so that callers can skip building the fields.
-    [[nodiscard]] bool on() const { return form != LogForm::none; }
+    [[nodiscard]] bool isEnabled() const { return form != LogFormat::none; }
 
   private:
     void write(spdlog::level::level_enum level, const char *event,
                const nlohmann::json &fields) const;
-    LogForm form;
+    LogFormat form;
     std::string writerName;
     std::shared_ptr<spdlog::logger> logger;
 };
--- a/src/base/number.hpp
+++ b/src/base/number.hpp
@@ -11,7 +11,7 @@
 /// Parses a text that consists of one number only. Empty if the text holds anything else, or a
 /// number that is not finite.
 [[nodiscard]] inline std::optional<double>
-wholeNumber(std::string_view text, std::chars_format format = std::chars_format::general) {
+parseNumber(std::string_view text, std::chars_format format = std::chars_format::general) {
     double value = 0;
     const char *last = text.data() + text.size();
     const auto [end, error] = std::from_chars(text.data(), last, value, format);
--- a/src/base/parse_error.hpp
+++ b/src/base/parse_error.hpp
@@ -12,13 +12,13 @@
     /// @param where  the field, JSON pointer or line that is invalid; empty: the whole document
     /// @param message  for operators: what is wrong, including the place
     ParseError(std::string where, const std::string &message)
-        : std::invalid_argument(message), location(std::move(where)) {}
+        : std::invalid_argument(message), errorLocation(std::move(where)) {}
 
     /// The field, JSON pointer or line that is invalid; empty: the whole document.
-    [[nodiscard]] const std::string &place() const { return location; }
+    [[nodiscard]] const std::string &location() const { return errorLocation; }
 
   private:
-    std::string location;
+    std::string errorLocation;
 };
 
 }  // namespace deckcart
--- a/src/base/schema.cpp
+++ b/src/base/schema.cpp
@@ -28,9 +28,9 @@
 
 /// Whether the refusal only repeats that of a nested field. valijson reports an error in a nested
 /// field again for each enclosing level, with this text; the innermost report is the most specific.
-bool isRepeated(const Refusal &refusal, const std::vector<Refusal> &refused) {
+bool isRepeated(const ValidationError &refusal, const std::vector<ValidationError> &refused) {
     return refusal.reason.starts_with("Failed to validate") &&
-           std::ranges::any_of(refused, [&](const Refusal &other) {
+           std::ranges::any_of(refused, [&](const ValidationError &other) {
                return other.path.size() > refusal.path.size() &&
                       other.path.starts_with(refusal.path + "/");
            });
@@ -38,7 +38,8 @@
 
 }  // namespace
 
-std::vector<Refusal> checkSchema(const nlohmann::json &schema, const nlohmann::json &document) {
+std::vector<ValidationError> checkSchema(const nlohmann::json &schema,
+                                         const nlohmann::json &document) {
     valijson::Schema parsedSchema;
     valijson::SchemaParser parser;
     try {
@@ -50,18 +51,18 @@
     valijson::ValidationResults results;
     if (validator.validate(parsedSchema, Adapter(document), &results))
         return {};
-    std::vector<Refusal> refused;
+    std::vector<ValidationError> refused;
     Error error;
     while (results.popError(error))
         refused.push_back({pointerTo(error), error.description});
-    std::vector<Refusal> distinct;
+    std::vector<ValidationError> distinct;
     for (const auto &refusal : refused)
         if (!isRepeated(refusal, refused))
             distinct.push_back(refusal);
     return distinct;
 }
 
-nlohmann::json toJson(const std::vector<Refusal> &refused) {
+nlohmann::json toJson(const std::vector<ValidationError> &refused) {
     auto list = nlohmann::json::array();
     for (const auto &refusal : refused)
         list.push_back({{"path", refusal.path}, {"reason", refusal.reason}});
--- a/src/base/schema.hpp
+++ b/src/base/schema.hpp
@@ -9,16 +9,16 @@
 namespace deckcart {
 
 /// One violation in a document.
-struct Refusal {
+struct ValidationError {
     std::string path;    ///< JSON pointer to the invalid field; empty: the whole document
     std::string reason;  ///< what is wrong, for operators
 };
 
 /// Returns the violations; empty if the document matches. Throws std::logic_error if the schema
 /// itself is invalid, since schemas are part of the program.
-[[nodiscard]] std::vector<Refusal> checkSchema(const nlohmann::json &schema,
-                                               const nlohmann::json &document);
+[[nodiscard]] std::vector<ValidationError> checkSchema(const nlohmann::json &schema,
+                                                       const nlohmann::json &document);
 /// An array of {"path", "reason"} objects.
-[[nodiscard]] nlohmann::json toJson(const std::vector<Refusal> &refused);
+[[nodiscard]] nlohmann::json toJson(const std::vector<ValidationError> &refused);
 
 }  // namespace deckcart
--- a/src/base/snapshot.cpp
+++ b/src/base/snapshot.cpp
@@ -49,13 +49,13 @@
 }
 
 std::string writeFile(const std::filesystem::path &path, const std::string &bytes,
-                      Durable durability) {
+                      Durability durability) {
     const FileDescriptor file(path, O_WRONLY | O_CREAT | O_TRUNC);
     if (!file.isOpen())
         return systemError("open", path);
     if (!file.write(bytes))
         return systemError("write", path);
-    if (durability == Durable::yes && !file.sync())
+    if (durability == Durability::synced && !file.sync())
         return systemError("sync", path);
     return {};
 }
@@ -70,17 +70,17 @@
 
 }  // namespace
 
-std::string writeWhole(const std::filesystem::path &path, const std::string &bytes,
-                       Durable durability) {
+std::string writeFileAtomically(const std::filesystem::path &path, const std::string &bytes,
+                                Durability durability) {
     const std::filesystem::path temporaryPath = path.string() + ".new";
     if (auto error = writeFile(temporaryPath, bytes, durability); !error.empty())
         return error;
     if (::rename(temporaryPath.c_str(), path.c_str()) != 0)
         return systemError("rename", temporaryPath);
-    return durability == Durable::yes ? syncFolder(path.parent_path()) : std::string{};
+    return durability == Durability::synced ? syncFolder(path.parent_path()) : std::string{};
 }
 
-std::optional<std::string> readWhole(const std::filesystem::path &path) {
+std::optional<std::string> readFile(const std::filesystem::path &path) {
     const std::ifstream file(path, std::ios::binary);
     if (!file)
         return std::nullopt;
@@ -91,15 +91,15 @@
 
 SnapshotResult readSnapshot(const std::filesystem::path &path, int format) {
     SnapshotResult snapshot;
-    const auto bytes = readWhole(path);
+    const auto bytes = readFile(path);
     if (!bytes)
         return snapshot;
     auto document = nlohmann::json::parse(*bytes, nullptr, false);
     if (document.is_discarded() || !document.is_object())
-        snapshot.fault = path.string() + " is damaged";
+        snapshot.error = path.string() + " is damaged";
     else if (document.value("format", nlohmann::json{}) != format)
-        snapshot.fault = path.string() + " has an unsupported format";
-    if (snapshot.fault.empty()) {
+        snapshot.error = path.string() + " has an unsupported format";
+    if (snapshot.error.empty()) {
         snapshot.document = std::move(document);
         return snapshot;
     }
--- a/src/base/socket.cpp
+++ b/src/base/socket.cpp
@@ -14,19 +14,19 @@
     acceptor.non_blocking(true);
 }
 
-void settle(tcp::socket &socket) {
+void configureSocket(tcp::socket &socket) {
     asio::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.non_blocking(true, ignored);
 }
 
-Unread peek(tcp::socket &socket) {
+ReadState peekReadState(tcp::socket &socket) {
     char byte = 0;
     asio::error_code error;
     socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
     if (!error)
-        return Unread::bytes;
-    return error == asio::error::would_block ? Unread::nothing : Unread::end;
+        return ReadState::bytes;
+    return error == asio::error::would_block ? ReadState::nothing : ReadState::end;
 }
 
 void connectWithin(tcp::socket &socket, asio::steady_timer &timer, const tcp::endpoint &to,
@@ -43,7 +43,7 @@
         timer.cancel();
         if (error || late)
             return done(false);
-        settle(socket);
+        configureSocket(socket);
         done(true);
     });
 }
--- a/src/base/socket.hpp
+++ b/src/base/socket.hpp
@@ -10,26 +10,26 @@
 
 /// How a call on an outgoing connection has ended.
 enum class CallEnd {
-    complete,       ///< the whole response was received
-    connectFailed,  ///< no connection was established, and nothing was sent
-    broken,         ///< the connection failed or was closed before the end of the response
-    garbage         ///< the response is malformed
+    complete,        ///< the whole response was received
+    connectFailed,   ///< no connection was established, and nothing was sent
+    connectionLost,  ///< the connection failed or was closed before the end of the response
+    malformed        ///< the response is malformed
 };
 
 /// Opens the acceptor in non-blocking mode, binds it and listens. Throws std::system_error.
 void listenAt(asio::ip::tcp::acceptor &acceptor, const asio::ip::tcp::endpoint &address);
 
 /// Sets the options of a connected socket: TCP_NODELAY and non-blocking mode.
-void settle(asio::ip::tcp::socket &socket);
+void configureSocket(asio::ip::tcp::socket &socket);
 
 /// What can be read from a socket. `end`: the peer has closed the connection, or it has failed.
-enum class Unread { nothing, bytes, end };
+enum class ReadState { nothing, bytes, end };
 /// Checks a connected, non-blocking socket for unread bytes without consuming them.
-[[nodiscard]] Unread peek(asio::ip::tcp::socket &socket);
+[[nodiscard]] ReadState peekReadState(asio::ip::tcp::socket &socket);
 
-/// Connects within a time limit and sets the socket's options by settle(). `done` may be called
-/// twice, the second time with false; its owner has to ignore calls that it no longer expects.
-/// `done` must keep the owner of the socket and the timer alive.
+/// Connects within a time limit and sets the socket's options by configureSocket(). `done` may be
+/// called twice, the second time with false; its owner has to ignore calls that it no longer
+/// expects. `done` must keep the owner of the socket and the timer alive.
 void connectWithin(asio::ip::tcp::socket &socket, asio::steady_timer &timer,
                    const asio::ip::tcp::endpoint &to, Duration within,
                    std::function<void(bool connected)> done);
--- a/src/cli/gateway_command.cpp
+++ b/src/cli/gateway_command.cpp
@@ -11,9 +11,9 @@
 namespace deckcart::cli {
 namespace {
 
-const std::map<std::string, LogForm> &logForms() {
-    static const std::map<std::string, LogForm> byName{
-        {"text", LogForm::text}, {"json", LogForm::json}, {"none", LogForm::none}};
+const std::map<std::string, LogFormat> &logForms() {
+    static const std::map<std::string, LogFormat> byName{
+        {"text", LogFormat::text}, {"json", LogFormat::json}, {"none", LogFormat::none}};
     return byName;
 }
 
@@ -22,7 +22,7 @@
     std::string api;
     std::string state;
     std::string readyFile;
-    LogForm logs = LogForm::text;
+    LogFormat logs = LogFormat::text;
     std::vector<std::string> shellFaults;
     bool platform = false;
     double requestLogSample = 0;
--- a/src/cli/scenario_command.cpp
+++ b/src/cli/scenario_command.cpp
@@ -102,8 +102,8 @@
     bool saveRecords(const scenarios::Records &records) const {
         if (options.records.empty())
             return true;
-        const auto fault =
-            writeWhole(options.records, toJson(records).dump() + "\n", Durable::atLeisure);
+        const auto fault = writeFileAtomically(options.records, toJson(records).dump() + "\n",
+                                               Durability::notSynced);
         if (!fault.empty())
             std::cerr << fault << '\n';
         return fault.empty();
--- a/src/dns/query_schedule.cpp
+++ b/src/dns/query_schedule.cpp
@@ -183,8 +183,8 @@
 
 Duration RefreshSchedule::delayAfterFailure() {
     const int previousFailures = consecutiveFailures++;
-    return backedOff(kInitialRefreshBackoff, kMaxRefreshBackoff, previousFailures,
-                     drawBetween(0.5, 1));
+    return backoffDelay(kInitialRefreshBackoff, kMaxRefreshBackoff, previousFailures,
+                        drawBetween(0.5, 1));
 }
 
 Duration RefreshSchedule::confirmationDelay(Duration minDelay) {
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -37,7 +37,7 @@
     std::size_t record = 0;
     int gateway = 0;
     bool timedOut = false;
-    http::CallEnd ended = http::CallEnd::broken;
+    http::CallEnd ended = http::CallEnd::connectionLost;
     http::ResponseHead answer;
     std::shared_ptr<http::ClientConnection> connection;
     asio::steady_timer timer;
--- a/src/fakes/name_server.hpp
+++ b/src/fakes/name_server.hpp
@@ -50,7 +50,7 @@
 };
 struct NameScriptRead {
     std::optional<NameScript> script;
-    std::vector<Refusal> refused;
+    std::vector<ValidationError> refused;
 };
 const nlohmann::json &nameScriptSchema();
 NameScriptRead readNameScript(const nlohmann::json &document);
--- a/src/gateway/http_downstream.cpp
+++ b/src/gateway/http_downstream.cpp
@@ -69,7 +69,7 @@
     attributes.requestId = headerText(head, settings.headers.requestId);
     attributes.tenant = tenantIndex(settings.tenants, headerText(head, settings.headers.tenant));
     attributes.timeout = settings.routes[route].routeTimeout;
-    const auto remaining = wholeNumber(headerText(head, settings.headers.remainingTime));
+    const auto remaining = parseNumber(headerText(head, settings.headers.remainingTime));
     if (remaining && *remaining >= 0) {
         const double bounded = std::min(*remaining, kMaxRemainingMs);
         const Duration remainingTime{std::llround(bounded * kMicrosecondsPerMillisecond)};
--- a/src/gateway/http_upstream.cpp
+++ b/src/gateway/http_upstream.cpp
@@ -92,7 +92,7 @@
     // some of its bytes, so the request may have run and the outcome is not connectFailed.
     if (callEnd == http::CallEnd::connectFailed || !connection->startedSending())
         return Outcome::connectFailed;
-    return callEnd == http::CallEnd::garbage ? Outcome::malformed : Outcome::reset;
+    return callEnd == http::CallEnd::malformed ? Outcome::malformed : Outcome::reset;
 }
 
 HttpUpstreamPool::HttpUpstreamPool(asio::io_context &ioContext,
--- a/src/gateway/request_log.cpp
+++ b/src/gateway/request_log.cpp
@@ -36,7 +36,7 @@
     : log(std::move(target)), settings(gatewaySettings), random(randomSource) {}
 
 void RequestLog::write(const RequestContext &request, const char *end, TimePoint now) {
-    if (!log.on() || settings.requestLogSample <= 0 ||
+    if (!log.isEnabled() || settings.requestLogSample <= 0 ||
         std::generate_canonical<double, 32>(random) >= settings.requestLogSample)
         return;
     nlohmann::json attempts = nlohmann::json::array();
--- a/src/gateway/service.cpp
+++ b/src/gateway/service.cpp
@@ -67,7 +67,8 @@
         log.info("ready", ready);
         if (options.readyFile.empty())
             return true;
-        const auto error = writeWhole(options.readyFile, ready.dump() + "\n", Durable::atLeisure);
+        const auto error =
+            writeFileAtomically(options.readyFile, ready.dump() + "\n", Durability::notSynced);
         if (!error.empty())
             log.warn("ready-file", {{"fault", error}});
         return error.empty();
--- a/src/gateway/service.hpp
+++ b/src/gateway/service.hpp
@@ -17,7 +17,7 @@
     std::filesystem::path state;     ///< state folder; empty: no state is kept
     /// both addresses are written to this file once they accept connections; empty: none
     std::filesystem::path readyFile;
-    LogForm logs = LogForm::text;
+    LogFormat logs = LogFormat::text;
     DataPathFaults faults;
 };
 
--- a/src/gateway/state_store.cpp
+++ b/src/gateway/state_store.cpp
@@ -51,8 +51,8 @@
     if (!keepsState())
         return std::nullopt;
     auto snapshot = readSnapshot(folder / name, format);
-    if (!snapshot.fault.empty())
-        log.warn("set-aside", {{"fault", snapshot.fault}});
+    if (!snapshot.error.empty())
+        log.warn("set-aside", {{"fault", snapshot.error}});
     return std::move(snapshot.document);
 }
 
@@ -76,7 +76,7 @@
     if (!keepsState())
         return {};
     const json snapshot{{"format", kSettingsFormat}, {"settings", document}};
-    return writeWhole(folder / kSettingsFile, snapshot.dump(2) + "\n", Durable::yes);
+    return writeFileAtomically(folder / kSettingsFile, snapshot.dump(2) + "\n", Durability::synced);
 }
 
 std::optional<StoredEndpointList> StateStore::loadEndpointList() const {
@@ -97,7 +97,7 @@
 std::string StateStore::saveEndpointList(const std::vector<ListedEndpoint> &endpoints) const {
     const json snapshot{
         {"format", kListFormat}, {"savedMs", wallMilliseconds()}, {"instances", toJson(endpoints)}};
-    return writeWhole(folder / kListFile, snapshot.dump() + "\n", Durable::atLeisure);
+    return writeFileAtomically(folder / kListFile, snapshot.dump() + "\n", Durability::notSynced);
 }
 
 std::optional<StoredSources> StateStore::loadSources(TimePoint now) const {
@@ -115,7 +115,8 @@
     const json snapshot{{"format", kSourcesFormat},
                         {"savedMs", wallMilliseconds()},
                         {"sources", toJson(sources, now)}};
-    return writeWhole(folder / kSourcesFile, snapshot.dump() + "\n", Durable::atLeisure);
+    return writeFileAtomically(folder / kSourcesFile, snapshot.dump() + "\n",
+                               Durability::notSynced);
 }
 
 json toJson(const std::vector<ListedEndpoint> &endpoints) {
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -40,7 +40,7 @@
     asio::error_code fault;
     const auto taken = stream.socket.write_some(asio::buffer(outgoing), fault);
     if (fault && fault != asio::error::would_block) {
-        stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::broken); });
+        stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::connectionLost); });
         return;
     }
     handedBytes += taken;
@@ -70,14 +70,14 @@
         return;
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
-            return self->finish(CallEnd::broken);
+            return self->finish(CallEnd::connectionLost);
         if (!self->paused)
             self->readable();
     });
 }
 
 void ClientConnection::readable() {
-    std::array<char, net::kReadAtOnce> buffer;
+    std::array<char, net::kMaxReadBytes> buffer;
     asio::error_code fault;
     const auto size = stream.socket.read_some(asio::buffer(buffer), fault);
     if (fault == asio::error::would_block)
@@ -91,7 +91,7 @@
     }
     std::string_view bytes(buffer.data(), size);
     if (!readResponse(bytes))
-        return finish(CallEnd::garbage);
+        return finish(CallEnd::malformed);
     if (stream.isClosed())
         return;
     if (!parser.done())
@@ -107,7 +107,7 @@
 void ClientConnection::onReadFault(asio::error_code fault) {
     const bool ended = handler && fault == asio::error::eof && parser.begun() && parser.finish();
     tainted = true;
-    finish(ended ? CallEnd::complete : CallEnd::broken);
+    finish(ended ? CallEnd::complete : CallEnd::connectionLost);
 }
 
 // Takes bytes up to the end of the response, past interim ones; false if they are none.
@@ -160,7 +160,7 @@
 }
 
 void ClientConnection::shut() {
-    if (stream.shut() && onIdleClosed)
+    if (stream.closeAndEndCall() && onIdleClosed)
         stream.post(std::exchange(onIdleClosed, nullptr));
 }
 
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -85,7 +85,7 @@
     if (!peer)
         return;
     if (counted && owed > 0)
-        return peer->shut(net::Closing::reset);  // less than was stated: only a cut shows it
+        return peer->shut(net::CloseMode::reset);  // less than was stated: only a cut shows it
     if (chunked)
         peer->write("0\r\n\r\n");
     peer->onAnswerEnd(peer->closesAfter(head));
@@ -100,7 +100,7 @@
     onGone = nullptr;
     onDrained = nullptr;
     if (peer)
-        peer->shut(net::Closing::reset);
+        peer->shut(net::CloseMode::reset);
 }
 
 void Exchange::writeAfterEnd(std::string_view bytes) {
--- a/src/http/fetch.cpp
+++ b/src/http/fetch.cpp
@@ -83,7 +83,7 @@
 }
 
 void Fetch::fail() {
-    result.outcome = CallEnd::garbage;
+    result.outcome = CallEnd::malformed;
     finish();
 }
 
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -81,7 +81,7 @@
 void Listener::close() {
     drain();
     for (ServerConnection *connection : std::set<ServerConnection *>(core->open))
-        connection->shut(net::Closing::reset);
+        connection->shut(net::CloseMode::reset);
     core->handler = [](const std::shared_ptr<Exchange> &) {};
 }
 
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -7,7 +7,7 @@
 namespace deckcart::http {
 
 using asio::ip::tcp;
-using net::Closing;
+using net::CloseMode;
 
 namespace {
 
@@ -20,7 +20,7 @@
 ServerConnection::ServerConnection(std::shared_ptr<Listener::Core> owner, tcp::socket accepted)
     : listener(std::move(owner)), stream(std::move(accepted)), timer(stream.socket.get_executor()),
       parser(Parser::Kind::request, listener->limits.headBytes, *this) {
-    settle(stream.socket);
+    configureSocket(stream.socket);
 }
 
 void ServerConnection::start() {
@@ -66,10 +66,10 @@
 
 void ServerConnection::drain() {
     if (!current && !parser.begun() && !answerWritten)
-        shut(Closing::orderly);
+        shut(CloseMode::graceful);
 }
 
-void ServerConnection::shut(Closing how) {
+void ServerConnection::shut(CloseMode how) {
     if (!stream.close(how))
         return;
     const auto self = shared_from_this();
@@ -84,7 +84,7 @@
 
 // Not from within the writer's own call: it would be notified before its call returns.
 void ServerConnection::shutLater() {
-    stream.post([self = shared_from_this()] { self->shut(Closing::orderly); });
+    stream.post([self = shared_from_this()] { self->shut(CloseMode::graceful); });
 }
 
 void ServerConnection::read() {
@@ -94,7 +94,7 @@
         return;  // goes on with the next request
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
-            return self->shut(Closing::orderly);
+            return self->shut(CloseMode::graceful);
         self->readable();
     });
 }
@@ -110,7 +110,7 @@
     // The peer closing its side ends what it asked for: a client that is gone is not worth an
     // attempt.
     if (fault)
-        return shut(Closing::orderly);
+        return shut(CloseMode::graceful);
     consume({listener->buffer.data(), size});
     read();
 }
@@ -214,7 +214,7 @@
             if (!fault)
                 self->stream.socket.read_some(asio::buffer(self->listener->buffer), fault);
             if (fault && fault != asio::error::would_block)
-                return self->shut(Closing::orderly);
+                return self->shut(CloseMode::graceful);
             self->discardInput();
         });
 }
@@ -250,7 +250,7 @@
                           if (self->stream.isClosed())
                               return;
                           if (fault)
-                              return self->shut(Closing::orderly);
+                              return self->shut(CloseMode::graceful);
                           self->onFlushed();
                       });
 }
@@ -285,7 +285,7 @@
         return;
     if (parser.begun() && !current && !refused && !writing)
         return refuse(408, "request not complete in time");
-    shut(writing ? Closing::reset : Closing::orderly);
+    shut(writing ? CloseMode::reset : CloseMode::graceful);
 }
 
 }  // namespace deckcart::http
--- a/src/http/server_connection.hpp
+++ b/src/http/server_connection.hpp
@@ -25,7 +25,7 @@
     // For the listener.
     /// Closes it if it is idle.
     void drain();
-    void shut(net::Closing how);
+    void shut(net::CloseMode how);
 
   private:
     bool onHead() override;
--- a/src/net/client_socket.cpp
+++ b/src/net/client_socket.cpp
@@ -4,8 +4,8 @@
 
 ClientSocket::ClientSocket(asio::io_context &context) : StreamSocket(context), timer(context) {}
 
-bool ClientSocket::shut() {
-    if (!close(Closing::orderly))
+bool ClientSocket::closeAndEndCall() {
+    if (!close(CloseMode::graceful))
         return false;
     connected = false;
     ++currentCall;
--- a/src/net/client_socket.hpp
+++ b/src/net/client_socket.hpp
@@ -11,7 +11,7 @@
 
 /// The most bytes that are read from one connection per turn of the event loop, so that it doesn't
 /// delay other connections.
-constexpr std::size_t kReadAtOnce = 16 * 1024;
+constexpr std::size_t kMaxReadBytes = 16 * 1024;
 
 /// As for StreamSocket, handlers must keep the owner alive.
 class ClientSocket : public StreamSocket {
@@ -48,7 +48,7 @@
     }
 
     /// Closes the socket and ends the present call. Returns false if it was closed before.
-    bool shut();
+    bool closeAndEndCall();
 
   private:
     asio::steady_timer timer;
--- a/src/net/stream_socket.cpp
+++ b/src/net/stream_socket.cpp
@@ -2,12 +2,12 @@
 
 namespace deckcart::net {
 
-bool StreamSocket::close(Closing how) {
+bool StreamSocket::close(CloseMode how) {
     if (closed)
         return false;
     closed = true;
     asio::error_code ignored;
-    if (how == Closing::reset)
+    if (how == CloseMode::reset)
         socket.set_option(asio::socket_base::linger(true, 0), ignored);
     socket.close(ignored);
     return true;
--- a/src/net/stream_socket.hpp
+++ b/src/net/stream_socket.hpp
@@ -7,9 +7,9 @@
 
 namespace deckcart::net {
 
-/// How a connection is closed. `orderly`: written bytes are still sent before it ends. `reset`: it
+/// How a connection is closed. `graceful`: written bytes are still sent before it ends. `reset`: it
 /// ends at once, and the peer is sent a reset (RST).
-enum class Closing { orderly, reset };
+enum class CloseMode { graceful, reset };
 
 /// The socket of one connection and its state. Handlers must keep the owner of the socket alive
 /// (std::enable_shared_from_this). Not thread-safe.
@@ -46,7 +46,7 @@
     }
 
     /// Closes the socket. Returns false if it was closed before.
-    bool close(Closing how);
+    bool close(CloseMode how);
 
     asio::ip::tcp::socket socket;
 
--- a/src/platform/commands.cpp
+++ b/src/platform/commands.cpp
@@ -47,7 +47,7 @@
 
 // Accepts no exponent.
 std::optional<double> parseDecimal(std::string_view text) {
-    return wholeNumber(text, std::chars_format::fixed);
+    return parseNumber(text, std::chars_format::fixed);
 }
 
 ErrorText checkArguments(const std::vector<std::string> &arguments) {
--- a/src/platform/form.cpp
+++ b/src/platform/form.cpp
@@ -55,7 +55,7 @@
 }
 
 double Form::number(const char *name, double minimum, double maximum) const {
-    const auto number = wholeNumber(text(name));
+    const auto number = parseNumber(text(name));
     if (!number || !(*number >= minimum && *number <= maximum))
         throwFieldError(name, "is out of range");
     return *number;
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -19,7 +19,7 @@
 constexpr int kExitBadConfiguration = 2;
 
 PlatformConfiguration readConfiguration(const std::string &file) {
-    const auto text = readWhole(file);
+    const auto text = readFile(file);
     if (!text)
         throw ParseError({}, "the file cannot be read");
     return parseConfiguration(*text);
@@ -27,7 +27,7 @@
 
 class Service {
   public:
-    Service(std::string file, LogForm logs, double logSample)
+    Service(std::string file, LogFormat logs, double logSample)
         : configurationFile(std::move(file)), requestLogSample(logSample), log(logs, "gateway"),
           signals(context, SIGTERM, SIGINT, SIGHUP), firstListTimer(context),
           shutdownSequence(context), countersLogTimer(context) {}
@@ -183,7 +183,7 @@
 
 }  // namespace
 
-int runGateway(const std::string &configurationFile, LogForm logs, double requestLogSample) {
+int runGateway(const std::string &configurationFile, LogFormat logs, double requestLogSample) {
     return Service(configurationFile, logs, requestLogSample).run();
 }
 
--- a/src/platform/service.hpp
+++ b/src/platform/service.hpp
@@ -14,6 +14,6 @@
 /// @param requestLogSample  fraction of the requests that are logged, from 0 to 1
 /// @return the exit status: 0 after a shutdown; 1 if it cannot listen; 2 if the configuration is
 ///   missing or invalid, with a log line that names the field
-int runGateway(const std::string &configurationFile, LogForm logs, double requestLogSample);
+int runGateway(const std::string &configurationFile, LogFormat logs, double requestLogSample);
 
 }  // namespace deckcart::platform
--- a/src/platform/upstream_pool.cpp
+++ b/src/platform/upstream_pool.cpp
@@ -54,7 +54,7 @@
     }
     // A reply that breaks off counts as malformed.
     Outcome outcomeOfFailure(CallEnd end) const {
-        if (end == CallEnd::garbage || connection->answerBegun())
+        if (end == CallEnd::malformed || connection->answerBegun())
             return Outcome::malformed;
         return connection->startedSending() ? Outcome::reset : Outcome::connectFailed;
     }
--- a/src/platform/watch_stream.cpp
+++ b/src/platform/watch_stream.cpp
@@ -121,7 +121,7 @@
     if (!pendingConnection)
         return activeConnection->lastActivityAt + timeouts.silence;
     return pendingConnection->lastActivityAt +
-           backedOff(timeouts.firstMessage, timeouts.silence, consecutiveTimeouts, 1);
+           backoffDelay(timeouts.firstMessage, timeouts.silence, consecutiveTimeouts, 1);
 }
 
 // Opens another connection after a silence. The active one is kept, since it may deliver first.
@@ -144,8 +144,8 @@
     const double randomFraction = double(random()) / 4294967296.0;
     const double backoffFraction = kMinBackoffFraction + (1 - kMinBackoffFraction) * randomFraction;
     const WatchTimeouts &timeouts = options.timeouts;
-    reconnectTimer.expires_after(backedOff(timeouts.minBackoff, timeouts.maxBackoff,
-                                           consecutiveFailures++, backoffFraction));
+    reconnectTimer.expires_after(backoffDelay(timeouts.minBackoff, timeouts.maxBackoff,
+                                              consecutiveFailures++, backoffFraction));
     reconnectTimer.async_wait(callbacks.wrap([this](asio::error_code error) {
         if (!error && !pendingConnection)
             connect();
--- a/src/resp/client.cpp
+++ b/src/resp/client.cpp
@@ -20,7 +20,7 @@
         return begin();
     stream.connect(to, within, [self = shared_from_this()](bool connected) {
         // What comes before anything was asked would be taken for the answer.
-        if (!connected || peek(self->stream.socket) != Unread::nothing)
+        if (!connected || peekReadState(self->stream.socket) != ReadState::nothing)
             return self->finish(CallEnd::connectFailed);
         self->begin();
     });
@@ -41,7 +41,7 @@
             asio::buffer(outgoing.data() + writtenBytes, outgoing.size() - writtenBytes), fault);
     awaitRead();
     if (fault && fault != asio::error::would_block) {
-        stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::broken); });
+        stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::connectionLost); });
         return;
     }
     if (!startedSending())
@@ -55,7 +55,7 @@
             if (self->stream.isClosed() || self->stream.callNumber() != began)
                 return;
             if (fault)
-                return self->finish(CallEnd::broken);
+                return self->finish(CallEnd::connectionLost);
             self->send();
         });
 }
@@ -65,24 +65,24 @@
         return;
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
-            return self->finish(CallEnd::broken);
+            return self->finish(CallEnd::connectionLost);
         self->readable();
     });
 }
 
 void ClientConnection::readable() {
-    std::array<char, net::kReadAtOnce> buffer;
+    std::array<char, net::kMaxReadBytes> buffer;
     asio::error_code fault;
     const auto size = stream.socket.read_some(asio::buffer(buffer), fault);
     if (fault == asio::error::would_block)
         return awaitRead();
     if (fault)
-        return finish(CallEnd::broken);
+        return finish(CallEnd::connectionLost);
     if (!done)
         return shut();  // an idle peer that speaks is out of step
     const auto used = parser.feed({buffer.data(), size});
     if (parser.faulty())
-        return finish(CallEnd::garbage);
+        return finish(CallEnd::malformed);
     if (!parser.done())
         return awaitRead();
     if (used < size)
@@ -100,7 +100,7 @@
 }
 
 bool ClientConnection::stillQuiet() {
-    if (peek(stream.socket) == Unread::nothing)
+    if (peekReadState(stream.socket) == ReadState::nothing)
         return true;
     drop();
     return false;
@@ -124,7 +124,7 @@
 }
 
 void ClientConnection::shut() {
-    if (stream.shut() && onIdleClosed)
+    if (stream.closeAndEndCall() && onIdleClosed)
         stream.post(std::exchange(onIdleClosed, nullptr));
 }
 
--- a/src/resp/exchange.cpp
+++ b/src/resp/exchange.cpp
@@ -30,7 +30,7 @@
 void Exchange::abort() {
     answered = true;
     if (const auto peer = connection.lock())
-        peer->shut(net::Closing::reset);
+        peer->shut(net::CloseMode::reset);
 }
 
 }  // namespace deckcart::resp
--- a/src/resp/listener.cpp
+++ b/src/resp/listener.cpp
@@ -97,7 +97,7 @@
     while (const auto connection = leastNeeded(now)) {
         if (connection->hasUnread())
             continue;
-        connection->shut(net::Closing::orderly);
+        connection->shut(net::CloseMode::graceful);
         return true;
     }
     return false;
@@ -140,7 +140,7 @@
     core->retry.cancel();
     core->sweeper.cancel();
     core->forEachConnection(
-        [](ServerConnection &connection) { connection.shut(net::Closing::orderly); });
+        [](ServerConnection &connection) { connection.shut(net::CloseMode::graceful); });
 }
 
 tcp::endpoint Listener::address() const {
--- a/src/resp/server_connection.cpp
+++ b/src/resp/server_connection.cpp
@@ -7,7 +7,7 @@
 namespace deckcart::resp {
 
 using asio::ip::tcp;
-using net::Closing;
+using net::CloseMode;
 
 namespace {
 
@@ -26,7 +26,7 @@
 ServerConnection::ServerConnection(std::shared_ptr<Listener::Core> owner, tcp::socket accepted)
     : listener(std::move(owner)), stream(std::move(accepted)),
       parser(Parser::What::command, listener->limits.message), activeSince(steadyNow()) {
-    settle(stream.socket);
+    configureSocket(stream.socket);
 }
 
 void ServerConnection::read() {
@@ -36,7 +36,7 @@
         return;
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
-            return self->shut(Closing::orderly);
+            return self->shut(CloseMode::graceful);
         self->readable();
     });
 }
@@ -61,12 +61,12 @@
 }
 
 bool ServerConnection::hasUnread() {
-    unread = pipeline.empty() && !lingering && peek(stream.socket) == Unread::bytes;
+    unread = pipeline.empty() && !lingering && peekReadState(stream.socket) == ReadState::bytes;
     return unread;
 }
 
 bool ServerConnection::peerThere() {
-    if (stream.isClosed() || peek(stream.socket) != Unread::end)
+    if (stream.isClosed() || peekReadState(stream.socket) != ReadState::end)
         return !stream.isClosed();
     shutLater();
     return false;
@@ -77,7 +77,7 @@
         return;
     if (!endsInDrain(state(steadyNow()), listener->limits))
         return;
-    if (peek(stream.socket) != Unread::bytes)
+    if (peekReadState(stream.socket) != ReadState::bytes)
         linger();
 }
 
@@ -88,22 +88,22 @@
     case TimeoutAction::sendError:
         return sendDueError();
     case TimeoutAction::reset:
-        return shut(Closing::reset);
+        return shut(CloseMode::reset);
     case TimeoutAction::close:
-        return shut(Closing::orderly);
+        return shut(CloseMode::graceful);
     // What has come meanwhile crosses the time that is up, and is served.
     case TimeoutAction::linger:
-        if (peek(stream.socket) != Unread::bytes)
+        if (peekReadState(stream.socket) != ReadState::bytes)
             linger();
         return;
     case TimeoutAction::failIncomplete:
-        if (peek(stream.socket) != Unread::bytes)
+        if (peekReadState(stream.socket) != ReadState::bytes)
             fail("the command is not complete in time");
         return;
     }
 }
 
-void ServerConnection::shut(Closing how) {
+void ServerConnection::shut(CloseMode how) {
     if (!stream.close(how))
         return;
     const auto self = shared_from_this();
@@ -119,7 +119,7 @@
 
 // Not from within the writer's own call: it would be notified before its call returns.
 void ServerConnection::shutLater() {
-    stream.post([self = shared_from_this()] { self->shut(Closing::orderly); });
+    stream.post([self = shared_from_this()] { self->shut(CloseMode::graceful); });
 }
 
 void ServerConnection::onAnswered() {
@@ -159,7 +159,7 @@
     if (lingering || faulty) {
         discardedBytes += size;
         if (discardedBytes > kMaxDiscardedBytes && lingering)
-            return shut(Closing::orderly);
+            return shut(CloseMode::graceful);
         return read();
     }
     if (!readAhead.empty() || !mayTakeUp()) {
@@ -182,7 +182,7 @@
     if (fault == asio::error::eof && errorWaits)
         peerEnded = true;
     else
-        shut(Closing::orderly);
+        shut(CloseMode::graceful);
 }
 
 std::shared_ptr<Exchange> ServerConnection::addExchange() {
@@ -278,7 +278,7 @@
     if (outgoing.capacity() > kKeptBufferBytes)
         outgoing.shrink_to_fit();
     if (pipeline.empty() && peerEnded)
-        return shut(Closing::orderly);
+        return shut(CloseMode::graceful);
     if (pipeline.empty() && faulty)
         return linger();
     read();
@@ -295,7 +295,7 @@
                                  if (self->stream.isClosed())
                                      return;
                                  if (fault)
-                                     return self->shut(Closing::orderly);
+                                     return self->shut(CloseMode::graceful);
                                  self->write();
                              });
 }
--- a/src/resp/server_connection.hpp
+++ b/src/resp/server_connection.hpp
@@ -22,7 +22,7 @@
     /// The first command that waits for its error gets it after the stated time.
     void onRefused();
     bool peerThere();
-    void shut(net::Closing how);
+    void shut(net::CloseMode how);
 
     // For the listener.
     ConnectionState state(SteadyTime now) const;
--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -105,7 +105,7 @@
 
 struct ParsedScenario {
     std::optional<Scenario> day;
-    std::vector<Refusal> refused;
+    std::vector<ValidationError> refused;
 };
 const nlohmann::json &scenarioSchema();
 ParsedScenario parseScenario(const nlohmann::json &document);
--- a/src/settings/gateway_settings.hpp
+++ b/src/settings/gateway_settings.hpp
@@ -103,7 +103,7 @@
 /// The result of parsing a settings document.
 struct ParsedSettings {
     std::optional<GatewaySettings> settings;  ///< empty if anything was refused
-    std::vector<Refusal> refused;             ///< each with the path of the field
+    std::vector<ValidationError> refused;     ///< each with the path of the field
 };
 
 /// The JSON schema (draft 7) of the settings document.
--- a/src/settings/settings_reader.hpp
+++ b/src/settings/settings_reader.hpp
@@ -20,8 +20,8 @@
     explicit SettingsReader(const nlohmann::json &settingsDocument) : document(settingsDocument) {}
 
     const nlohmann::json &document;
-    GatewaySettings settings;      ///< the values read so far
-    std::vector<Refusal> refused;  ///< the violations found so far
+    GatewaySettings settings;              ///< the values read so far
+    std::vector<ValidationError> refused;  ///< the violations found so far
 
     /// Records a violation.
     /// @param path  JSON pointer to the field that has to be changed
--- a/src/simulator/json_fields.hpp
+++ b/src/simulator/json_fields.hpp
@@ -13,7 +13,8 @@
 
 namespace deckcart::simulator {
 
-/// Input that violates the simulator's protocol; place() is the name of the invalid field, if any.
+/// Input that violates the simulator's protocol; location() is the name of the invalid field, if
+/// any.
 class MalformedInput : public ParseError {
   public:
     using ParseError::ParseError;
--- a/tests/unit/control_plane_documents_test.cpp
+++ b/tests/unit/control_plane_documents_test.cpp
@@ -24,7 +24,7 @@
     try {
         (void)read(document);
     } catch (const ParseError &error) {
-        place = error.place();
+        place = error.location();
         return error.what();
     }
     return "read";
--- a/tests/unit/documents_test.cpp
+++ b/tests/unit/documents_test.cpp
@@ -33,7 +33,7 @@
         json document = good;
         document[json::json_pointer(pointer)] = value;
         const auto refused = scenarios::parseScenario(document).refused;
-        EXPECT_NE(std::ranges::find(refused, expectedPath, &Refusal::path), refused.end())
+        EXPECT_NE(std::ranges::find(refused, expectedPath, &ValidationError::path), refused.end())
             << pointer << toJson(refused);
     }
 }
--- a/tests/unit/settings_test.cpp
+++ b/tests/unit/settings_test.cpp
@@ -102,7 +102,7 @@
         }
         EXPECT_FALSE(read.settings) << pointer << " " << value;
         EXPECT_TRUE(std::ranges::any_of(read.refused,
-                                        [&](const Refusal &refusal) {
+                                        [&](const ValidationError &refusal) {
                                             return refusal.path == path && !refusal.reason.empty();
                                         }))
             << pointer << " " << value << " gave " << toJson(read.refused);
--- a/tests/unit/snapshot_test.cpp
+++ b/tests/unit/snapshot_test.cpp
@@ -16,17 +16,17 @@
     std::filesystem::create_directories(folder);
     const auto path = folder / "one.json";
     EXPECT_FALSE(readSnapshot(path, 1).document);
-    EXPECT_EQ(writeWhole(path, R"({"format": 1, "n": 1})", Durable::yes), "");
+    EXPECT_EQ(writeFileAtomically(path, R"({"format": 1, "n": 1})", Durability::synced), "");
     EXPECT_EQ(readSnapshot(path, 1).document->at("n"), 1);
     std::ofstream(path.string() + ".new")
         << R"({"format": 1, "n")";  // the process was killed during the next write
     EXPECT_EQ(readSnapshot(path, 1).document->at("n"), 1);
-    EXPECT_NE(readSnapshot(path, 2).fault, "");
+    EXPECT_NE(readSnapshot(path, 2).error, "");
     EXPECT_TRUE(std::filesystem::exists(path.string() + ".bad"));
     std::ofstream(path) << R"({"format": 1, "n")";
-    EXPECT_NE(readSnapshot(path, 1).fault, "");
+    EXPECT_NE(readSnapshot(path, 1).error, "");
     EXPECT_FALSE(readSnapshot(path, 1).document);
-    EXPECT_NE(writeWhole(folder / "no" / "one.json", "x", Durable::yes), "");
+    EXPECT_NE(writeFileAtomically(folder / "no" / "one.json", "x", Durability::synced), "");
     std::filesystem::remove_all(folder);
 }
 
@@ -42,34 +42,34 @@
 
 TEST_F(SnapshotFile, RejectedFileIsRenamedWithItsContent) {
     const std::string bytes = R"({"format": 7, "n": 1})";
-    ASSERT_EQ(writeWhole(path, bytes, Durable::atLeisure), "");
+    ASSERT_EQ(writeFileAtomically(path, bytes, Durability::notSynced), "");
     const auto snapshot = readSnapshot(path, 1);
     EXPECT_FALSE(snapshot.document);
-    EXPECT_EQ(snapshot.fault, path.string() + " has an unsupported format");
+    EXPECT_EQ(snapshot.error, path.string() + " has an unsupported format");
     EXPECT_FALSE(std::filesystem::exists(path));
-    EXPECT_EQ(readWhole(path.string() + ".bad"), bytes);
+    EXPECT_EQ(readFile(path.string() + ".bad"), bytes);
 }
 
 TEST_F(SnapshotFile, OnlyAJsonObjectIsAccepted) {
     for (const char *bytes : {"", "[]", "1", R"({"format": 1)"}) {
         std::ofstream(path) << bytes;
-        EXPECT_EQ(readSnapshot(path, 1).fault, path.string() + " is damaged") << bytes;
+        EXPECT_EQ(readSnapshot(path, 1).error, path.string() + " is damaged") << bytes;
     }
 }
 
 TEST_F(SnapshotFile, FailedWriteNamesTheFileAndKeepsTheOldOne) {
-    ASSERT_EQ(writeWhole(path, "old", Durable::yes), "");
+    ASSERT_EQ(writeFileAtomically(path, "old", Durability::synced), "");
     std::filesystem::create_directory(path.string() + ".new");
-    EXPECT_EQ(writeWhole(path, "new", Durable::yes),
+    EXPECT_EQ(writeFileAtomically(path, "new", Durability::synced),
               "open " + path.string() + ".new: Is a directory");
-    EXPECT_EQ(readWhole(path), "old");
+    EXPECT_EQ(readFile(path), "old");
 }
 
 TEST_F(SnapshotFile, MissingFileIsNoError) {
-    EXPECT_FALSE(readWhole(path));
+    EXPECT_FALSE(readFile(path));
     const auto snapshot = readSnapshot(path, 1);
     EXPECT_FALSE(snapshot.document);
-    EXPECT_EQ(snapshot.fault, "");
+    EXPECT_EQ(snapshot.error, "");
 }
 
 }  // namespace
--- a/tests/unit/state_store_test.cpp
+++ b/tests/unit/state_store_test.cpp
@@ -67,7 +67,7 @@
         (void)store.loadEndpointList();
         FAIL() << "an invalid list was loaded";
     } catch (const ParseError &error) {
-        EXPECT_EQ(error.place(), "id");
+        EXPECT_EQ(error.location(), "id");
     }
 }
 
--- a/tests/unit/stored_data_test.cpp
+++ b/tests/unit/stored_data_test.cpp
@@ -32,7 +32,7 @@
 
     json read(const char *name) {
         const auto snapshot = readSnapshot(folder / name, kFormat);
-        EXPECT_EQ(snapshot.fault, "") << name;
+        EXPECT_EQ(snapshot.error, "") << name;
         return snapshot.document.value_or(json::object());
     }
     GatewaySettings settings(const char *name) {
