--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -39,13 +39,13 @@
                        {"release", 1}}}}}
             .dump(indent);
     }
-    SlowToConnect &slowToConnect(const EndpointId &id) {
+    FullBacklogListener &slowToConnect(const EndpointId &id) {
         auto &made = slows.emplace_back(io);
         fakePlatform.listEndpoint(id, made.address());
         return made;
     }
     std::chrono::steady_clock::time_point silentSince{};
-    std::deque<SlowToConnect> slows;
+    std::deque<FullBacklogListener> slows;
 };
 
 // ---- lists ----
@@ -152,7 +152,7 @@
     startGateway();
     auto &c = client();
     c.send(request("a"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; }));
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; }));
     bool done = false;
     gateway->drain([&] { done = true; });
     settleDown();
@@ -167,12 +167,12 @@
     startGateway();
     auto &c = client();
     c.send(request("a"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; }));
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; }));
     gateway->failRequestsInFlight();
     c.send(request("b"));
     EXPECT_TRUE(until([&] { return c.in.find("-BUSY") != std::string::npos; }, 1s)) << c.in;
     EXPECT_TRUE(c.in.starts_with("-ERR failed\r\n-BUSY"));
-    EXPECT_EQ(attempts(), 1u);
+    EXPECT_EQ(receivedCommandCount(), 1u);
 }
 
 TEST_F(Crossing, AnIdleTimeThatEndsAsARequestComesServesTheRequest) {
@@ -204,7 +204,7 @@
     startGateway();
     auto &c = client();
     c.send(request("a"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; }));
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; }));
     auto &sound = endpoint(echo);
     ASSERT_TRUE(until([&] { return gateway->endpointList().size() == 2; }));
     endpoints[0].send("-ERR failed\r\n");  // ready first, so read first
@@ -234,7 +234,7 @@
 }
 
 TEST_F(Crossing, ACloseWhileItsAttemptConnectsEndsItThoughNothingMayBeCancelled) {
-    limits = {{"Cancel", false}, {"ConnectTimeoutS", 3}};
+    limitsOverrides = {{"Cancel", false}, {"ConnectTimeoutS", 3}};
     auto &slow = slowToConnect("slow");
     startGateway();
     auto &c = client();
@@ -249,7 +249,7 @@
 }
 
 TEST_F(Crossing, AnAttemptThatConnectsToAFormerAddressIsNotSentThere) {
-    limits = {{"ConnectTimeoutS", 3}};
+    limitsOverrides = {{"ConnectTimeoutS", 3}};
     auto &slow = slowToConnect("s");
     startGateway();
     auto &c = client();
@@ -294,7 +294,7 @@
 }
 
 TEST_F(Crossing, WhatAnEndpointSendsBeforeItsRequestIsNoAnswer) {
-    limits = {{"MostTries", 100}};
+    limitsOverrides = {{"MostTries", 100}};
     tcp::acceptor early(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     fakePlatform.listEndpoint("early", format(early.local_endpoint()));
     startGateway();
@@ -307,7 +307,7 @@
     early.close();
     endpoint(echo);
     EXPECT_TRUE(until([&] { return c.in == resp::bulk("of a"); })) << c.in;
-    EXPECT_EQ(attempts(), 1u);
+    EXPECT_EQ(receivedCommandCount(), 1u);
 }
 
 // ---- idle connections ----
@@ -315,13 +315,13 @@
 TEST_F(Crossing, AConnectionThatHasStoodIdleTooLongIsNotTakenBeforeTheSweep) {
     auto &one = endpoint(echo);
     startGateway();
-    EXPECT_EQ(ask("a"), resp::bulk("of a"));
-    const auto before = one.opened;
-    clock.ahead += 8s;  // over half of the time that endpoints keep one
-    ask("stale");  // came during what looks like a standstill: it is shed, and nothing is sent for
-                   // it
-    EXPECT_EQ(ask("b"), resp::bulk("of b"));
-    EXPECT_EQ(one.opened, before + 1);
+    EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a"));
+    const auto before = one.acceptedConnections;
+    clock.ahead += 8s;           // over half of the time that endpoints keep one
+    sendAndAwaitReply("stale");  // came during what looks like a standstill: it is shed, and
+                                 // nothing is sent for it
+    EXPECT_EQ(sendAndAwaitReply("b"), resp::bulk("of b"));
+    EXPECT_EQ(one.acceptedConnections, before + 1);
 }
 
 TEST_F(Crossing, ASecondAnswerThatComesLateMeetsNoRequest) {
@@ -332,25 +332,25 @@
     });
     startGateway();
     clock.held = clock.now();
-    EXPECT_EQ(ask("a"), resp::bulk("of a"));
+    EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a"));
     *clock.held += 9ms;
-    EXPECT_EQ(ask("b", "once"), resp::bulk("of b"));
+    EXPECT_EQ(sendAndAwaitReply("b", "once"), resp::bulk("of b"));
     *clock.held += 10ms;
-    EXPECT_EQ(ask("c", "once"), resp::bulk("of c"));
-    EXPECT_EQ(endpoints[0].opened, 2u) << "one that has rested is used again";
+    EXPECT_EQ(sendAndAwaitReply("c", "once"), resp::bulk("of c"));
+    EXPECT_EQ(endpoints[0].acceptedConnections, 2u) << "one that has rested is used again";
 }
 
 TEST_F(Crossing, AnEndpointsCloseThatIsUnreadWhenItsConnectionIsTakenCostsNoRequest) {
     auto &one = endpoint(echo);
     startGateway(256, 0s);
-    EXPECT_EQ(ask("a"), resp::bulk("of a"));
-    const auto before = one.opened;
+    EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a"));
+    const auto before = one.acceptedConnections;
     auto &c = client();
     c.send(request("b", "once"));  // ready first, so read first
     one.closeLatest();
     EXPECT_TRUE(until([&] { return !c.in.empty(); }));
     EXPECT_EQ(c.in, resp::bulk("of b"));
-    EXPECT_EQ(one.opened, before + 1);
+    EXPECT_EQ(one.acceptedConnections, before + 1);
 }
 
 TEST_F(Crossing, PlacesHeldByIdleConnectionsToOthersAreFreed) {
@@ -358,7 +358,8 @@
         endpoint(echo);
     startGateway(64, 0s);
     for (int k = 0; k < 120; ++k)
-        ASSERT_EQ(ask("r" + std::to_string(k)), resp::bulk("of r" + std::to_string(k)));
+        ASSERT_EQ(sendAndAwaitReply("r" + std::to_string(k)),
+                  resp::bulk("of r" + std::to_string(k)));
     EXPECT_LE(transport->upstreamPool->connections(), 20u);
 }
 
--- a/tests/path/platform_fixture.hpp
+++ b/tests/path/platform_fixture.hpp
@@ -39,7 +39,7 @@
         latestPeer->socket.close(ignored);
     }
     std::vector<std::vector<std::string>> commands;
-    std::size_t opened = 0;
+    std::size_t acceptedConnections = 0;
 
   private:
     struct Peer {
@@ -52,7 +52,7 @@
         acceptor.async_accept([this](asio::error_code error, tcp::socket socket) {
             if (error)
                 return;
-            ++opened;
+            ++acceptedConnections;
             read(std::make_shared<Peer>(std::move(socket)));
             accept();
         });
@@ -184,9 +184,9 @@
 
 // A listener whose backlog is full: a connection to it is established only after acceptAll(), about
 // a second later.
-class SlowToConnect {
+class FullBacklogListener {
   public:
-    explicit SlowToConnect(asio::io_context &io)
+    explicit FullBacklogListener(asio::io_context &io)
         : acceptor(io, {asio::ip::address_v4::loopback(), 0}) {
         acceptor.listen(0);
         for (int filler = 0; filler < 4; ++filler) {
@@ -256,7 +256,7 @@
           "Limits": {"KeepaliveS": 15, "ConnectTimeoutS": 0.25, "MostTries": 4, "MostHeld": 1000, "Cancel": true,
                      "RetryAfter": true, "MaxRetryAfterS": 0.5},
           "Safety": {"TipMultiple": 2.5, "OverloadForS": 3}, "Discovery": "automatic"})")}};
-        document["settings"]["Limits"].update(limits);
+        document["settings"]["Limits"].update(limitsOverrides);
         return document;
     }
     // `reuseDelay` overrides that of the resource limits, so that a test with many requests is not
@@ -291,20 +291,20 @@
         parser.feed(bytes);
         return parser.done();
     }
-    std::string ask(const std::string &id, const std::string &route = "any") {
+    std::string sendAndAwaitReply(const std::string &id, const std::string &route = "any") {
         auto &connection = client();
         connection.send(request(id, route));
         EXPECT_TRUE(until([&] { return isWholeReply(connection.in) || connection.closed; }));
         return connection.in;
     }
     // Number of commands that have reached an endpoint.
-    std::size_t attempts() const {
+    std::size_t receivedCommandCount() const {
         std::size_t count = 0;
         for (const auto &scripted : endpoints)
             count += scripted.commands.size();
         return count;
     }
-    json limits = json::object();  // overrides for "Limits" in the settings
+    json limitsOverrides = json::object();  // overrides for "Limits" in the settings
     FakePlatform fakePlatform;
     platform::PlatformConfiguration configuration;
     std::unique_ptr<platform::PlatformTransport> transport;
--- a/tests/path/platform_test.cpp
+++ b/tests/path/platform_test.cpp
@@ -18,9 +18,11 @@
     connection.send(commands);
     EXPECT_TRUE(until([&] { return connection.in.size() >= expectedReplies.size(); }));
     EXPECT_EQ(connection.in, expectedReplies);
-    EXPECT_EQ(attempts(), 200u);
+    EXPECT_EQ(receivedCommandCount(), 200u);
     EXPECT_EQ(gateway->counts().completed, 200u);
-    EXPECT_LE(endpoints[0].opened + endpoints[1].opened + endpoints[2].opened, 110u)
+    EXPECT_LE(endpoints[0].acceptedConnections + endpoints[1].acceptedConnections +
+                  endpoints[2].acceptedConnections,
+              110u)
         << "connections are reused";
 }
 
@@ -48,14 +50,16 @@
     startGateway();
     for (; row < rows.size(); ++row) {
         failNext = true;
-        EXPECT_EQ(ask("a" + std::to_string(row)), resp::bulk("of a" + std::to_string(row)))
+        EXPECT_EQ(sendAndAwaitReply("a" + std::to_string(row)),
+                  resp::bulk("of a" + std::to_string(row)))
             << rows[row].name;
         failNext = true;
-        const std::size_t before = attempts();
-        const std::string nonIdempotentReply = ask("o" + std::to_string(row), "once");
+        const std::size_t before = receivedCommandCount();
+        const std::string nonIdempotentReply = sendAndAwaitReply("o" + std::to_string(row), "once");
         if (rows[row].ran) {
             EXPECT_EQ(nonIdempotentReply, "-ERR failed\r\n") << rows[row].name;
-            EXPECT_EQ(attempts(), before + 1) << "must not be executed twice: " << rows[row].name;
+            EXPECT_EQ(receivedCommandCount(), before + 1)
+                << "must not be executed twice: " << rows[row].name;
         } else
             EXPECT_EQ(nonIdempotentReply, resp::bulk("of o" + std::to_string(row)))
                 << rows[row].name;
@@ -68,7 +72,7 @@
                                   std::string(arguments[2] == "huge" ? 3000000 : 194000, 'v'))};
     });
     startGateway();
-    EXPECT_EQ(ask("large"), resp::bulk("large" + std::string(194000, 'v')));
+    EXPECT_EQ(sendAndAwaitReply("large"), resp::bulk("large" + std::string(194000, 'v')));
     auto &connection = client();
     connection.send(request("huge", "once"));
     EXPECT_TRUE(until([&] { return connection.in == "-ERR failed\r\n"; }));
@@ -82,7 +86,7 @@
     fakePlatform.listEndpoint("dead", refusedAddress);
     startGateway();
     for (int index = 0; index < 12; ++index)
-        EXPECT_EQ(ask("o" + std::to_string(index), "once"),
+        EXPECT_EQ(sendAndAwaitReply("o" + std::to_string(index), "once"),
                   resp::bulk("of o" + std::to_string(index)));
     EXPECT_EQ(healthy.commands.size(), 12u);
 }
@@ -93,8 +97,10 @@
     });
     startGateway();
     for (int index = 0; index < 10; ++index)
-        EXPECT_EQ(ask("r" + std::to_string(index)), resp::bulk("of r" + std::to_string(index)));
-    EXPECT_EQ(endpoints[0].opened, 10u) << "a connection with a surplus reply is not reused";
+        EXPECT_EQ(sendAndAwaitReply("r" + std::to_string(index)),
+                  resp::bulk("of r" + std::to_string(index)));
+    EXPECT_EQ(endpoints[0].acceptedConnections, 10u)
+        << "a connection with a surplus reply is not reused";
 }
 
 TEST_F(Platform, MalformedInputGetsAnErrorOrACloseAndOtherClientsAreServed) {
@@ -113,13 +119,13 @@
         auto &connection = client();
         connection.send(malformed);
         const std::string id = "u" + std::to_string(clients.size());
-        EXPECT_EQ(ask(id), resp::bulk("of " + id));
+        EXPECT_EQ(sendAndAwaitReply(id), resp::bulk("of " + id));
         EXPECT_TRUE(
             until([&] { return connection.closed || connection.in.starts_with("-ERR "); }, 2900ms))
             << malformed.substr(0, 30);
         EXPECT_TRUE(connection.in.empty() || connection.in.starts_with("-ERR ")) << connection.in;
     }
-    EXPECT_EQ(attempts(), 12u) << "only the well-formed requests are forwarded";
+    EXPECT_EQ(receivedCommandCount(), 12u) << "only the well-formed requests are forwarded";
 }
 
 TEST_F(Platform, PendingRepliesAreSentBeforeTheErrorAndTheClose) {
@@ -130,15 +136,15 @@
     EXPECT_TRUE(until([&] { return connection.closed; }));
     EXPECT_TRUE(connection.in.starts_with(resp::bulk("of a") + resp::bulk("of b") + "-ERR "))
         << connection.in;
-    EXPECT_EQ(attempts(), 2u);
+    EXPECT_EQ(receivedCommandCount(), 2u);
 }
 
 TEST_F(Platform, ADuplicateIdIsNotForwarded) {
     endpoint(echo);
     startGateway();
-    EXPECT_EQ(ask("x"), resp::bulk("of x"));
-    EXPECT_TRUE(ask("x").starts_with("-ERR "));
-    EXPECT_EQ(attempts(), 1u);
+    EXPECT_EQ(sendAndAwaitReply("x"), resp::bulk("of x"));
+    EXPECT_TRUE(sendAndAwaitReply("x").starts_with("-ERR "));
+    EXPECT_EQ(receivedCommandCount(), 1u);
 }
 
 TEST_F(Platform, SilentConnectionsAreClosedInFavorOfActiveOnes) {
@@ -147,7 +153,8 @@
     for (int index = 0; index < 100; ++index)
         client();
     for (int index = 0; index < 5; ++index)
-        EXPECT_EQ(ask("r" + std::to_string(index)), resp::bulk("of r" + std::to_string(index)));
+        EXPECT_EQ(sendAndAwaitReply("r" + std::to_string(index)),
+                  resp::bulk("of r" + std::to_string(index)));
     EXPECT_LE(gateway->connections(), 64u);
     EXPECT_TRUE(until([&] {
         return std::count_if(clients.begin(), clients.begin() + 100,
@@ -160,7 +167,7 @@
     startGateway();
     auto &connection = client();
     connection.send(request("a"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; }));
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; }));
     connection.hangUp();
     EXPECT_TRUE(until(
         [&] { return gateway->counts().abandoned == 1 && gateway->requestsInFlight() == 0; }));
@@ -186,7 +193,7 @@
     startGateway();
     auto &connection = client();
     connection.send(request("a") + request("b", "once"));
-    ASSERT_TRUE(until([&] { return attempts() == 2; }));
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 2; }));
     gateway->failRequestsInFlight();
     EXPECT_TRUE(until([&] { return connection.in == "-ERR failed\r\n-ERR failed\r\n"; }))
         << connection.in;
@@ -196,7 +203,7 @@
 TEST_F(Platform, ChangedAddressesMoveBothWatches) {
     auto &firstEndpoint = endpoint(echo);
     startGateway();
-    EXPECT_EQ(ask("a"), resp::bulk("of a"));
+    EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a"));
     FakePlatform secondPlatform(io);
     auto &secondEndpoint = endpoints.emplace_back(io, echo);
     for (int index = 0; index < 5; ++index)
@@ -209,7 +216,7 @@
     EXPECT_TRUE(until([&] { return gateway->stage()->build == 2; }))
         << "rollout updates come from the new address";
     EXPECT_TRUE(until([&] {
-        ask("m" + std::to_string(clients.size()));
+        sendAndAwaitReply("m" + std::to_string(clients.size()));
         return !secondEndpoint.commands.empty();
     })) << "requests go to the new address of the endpoint id";
     EXPECT_EQ(secondPlatform.rolloutWatches.size(), 1u);
@@ -235,7 +242,7 @@
     EXPECT_TRUE(until([&] { return watchCount() == before + 200; }));
     EXPECT_EQ(gateway->stage()->build, 1);
     EXPECT_NE(fakePlatform.requestedTargets.back().find("bulletin"), std::string::npos);
-    EXPECT_EQ(ask("a"), resp::bulk("of a")) << "requests are still served";
+    EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a")) << "requests are still served";
 }
 
 TEST_F(Platform, AnOlderGenerationChangesNothing) {
@@ -243,7 +250,7 @@
     startGateway();
     fakePlatform.listWatches.back()->write(
         "{\"generation\":0,\"reset\":true,\"endpoints\":[]}\n\n");
-    EXPECT_EQ(ask("a"), resp::bulk("of a"));
+    EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a"));
     EXPECT_EQ(firstEndpoint.commands.size(), 1u);
 }
 
@@ -251,7 +258,7 @@
     endpoint([](std::size_t, const std::vector<std::string> &) { return Reply{"-BUSY\r\n"}; });
     startGateway();
     const auto startedAt = std::chrono::steady_clock::now();
-    EXPECT_TRUE(ask("a").starts_with("-BUSY ")) << clients.back().in;
+    EXPECT_TRUE(sendAndAwaitReply("a").starts_with("-BUSY ")) << clients.back().in;
     EXPECT_LT(std::chrono::steady_clock::now() - startedAt, 3s)
         << "not delayed until the client gives up";
 }
@@ -259,7 +266,7 @@
 // An attempt that is still connecting must not be sent if its endpoint has changed to another
 // build, or if the exposure limit of its build was lowered.
 TEST_F(Platform, WhatIsStillConnectingIsWithdrawnWhenItsBuildOrExposureLimitChanges) {
-    SlowToConnect slow(io);
+    FullBacklogListener slow(io);
     fakePlatform.listEndpoint("slow", slow.address());
     startGateway();
     auto &connection = client();
--- a/tests/path/program_test.cpp
+++ b/tests/path/program_test.cpp
@@ -97,7 +97,7 @@
     launch();
     auto &c = clientOf(listens());
     c.send(request("a"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; })) << logged();
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; })) << logged();
     kill(pid, SIGHUP);
     kill(pid, SIGTERM);
     ASSERT_TRUE(says("draining"));
@@ -117,7 +117,7 @@
     launch();
     auto &c = clientOf(listens());
     c.send(request("a", "once", "3900"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; })) << logged();
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; })) << logged();
     const auto from = std::chrono::steady_clock::now();
     const std::int64_t signalledAtMs = unixMs();
     kill(pid, SIGTERM);
