--- a/src/fakes/name_server.hpp
+++ b/src/fakes/name_server.hpp
@@ -52,7 +52,7 @@
 /// `script` is set where nothing was refused.
 struct NameScriptRead {
     std::optional<NameScript> script;
-    std::vector<Refusal> refused;
+    std::vector<ValidationError> refused;
 };
 /// JSON schema of a script.
 const nlohmann::json &nameScriptSchema();
--- a/src/gateway/api.cpp
+++ b/src/gateway/api.cpp
@@ -112,12 +112,12 @@
 
 void GatewayApi::getMembers(http::Exchange &exchange) {
     json body{{"instances", json::array()}};
-    if (auto *watcher = gateway.members()) {
+    if (auto *watcher = gateway.endpointWatcher()) {
         body =
             toJson(watcher->view(), watcher->sources(), gateway.settings().zones, watcher->now());
-        body["questions"] = toJson(watcher->asked());
+        body["questions"] = toJson(watcher->dnsCounts());
     } else {
-        body["instances"] = toJson(gateway.listed());
+        body["instances"] = toJson(gateway.endpointList());
     }
     if (const auto stage = gateway.stage())
         body["stage"] = toJson(*stage);
@@ -146,7 +146,8 @@
     if (!parsed.settings)
         return respondWithProblem(exchange, 422, "settings rejected; nothing has changed",
                                   toJson(parsed.refused));
-    const bool policyChanged = settingsDocument.empty() || !sameModule(settingsDocument, requested);
+    const bool policyChanged =
+        settingsDocument.empty() || !samePolicySettings(settingsDocument, requested);
     if (policyChanged && !settingsDocument.empty() && !gateway.mayRestartPolicy())
         return respondWithProblem(
             exchange, 409,
@@ -162,7 +163,7 @@
     }
     const bool sourcesChanged = sourcesDiffer(settingsDocument, requested);
     settingsDocument = std::move(requested);
-    gateway.apply(std::move(*parsed.settings), policyChanged, sourcesChanged);
+    gateway.applySettings(std::move(*parsed.settings), policyChanged, sourcesChanged);
     log.info("settings", {{"newModule", policyChanged}});
     respond(exchange, 200, settingsDocument);
 }
--- a/src/gateway/endpoint_watcher.cpp
+++ b/src/gateway/endpoint_watcher.cpp
@@ -24,11 +24,11 @@
     : clock(std::move(now)), handler(std::move(eventHandler)), log(std::move(target)),
       rules(settings.sources->merge), merge(rules), timer(context) {
     if (previous) {
-        merge.adopt(previous->merge);
+        merge.copyStateFrom(previous->merge);
         published = previous->published;
         hasPublished = previous->hasPublished;
     } else {
-        merge.recall(saved);
+        merge.restore(saved);
     }
     addSources(*settings.sources);
     if (!watchedNames.empty())
@@ -44,13 +44,17 @@
             controlPlane = index;
             break;
         case membership::SourceKind::nodes:
-            merge.took(index,
-                       {clock(), membership::kForever, "settings", sourceSettings.nodes, true, {}});
+            merge.applyReading(index, {clock(),
+                                       membership::kUnlimitedLifetime,
+                                       "settings",
+                                       sourceSettings.staticEndpoints,
+                                       true,
+                                       {}});
             break;
         case membership::SourceKind::srv:
-            watchedNames[source.name] = {
-                index,
-                *std::ranges::find(sourceSettings.names, source.name, &membership::SrvName::name)};
+            watchedNames[source.name] = {index,
+                                         *std::ranges::find(sourceSettings.srvNames, source.name,
+                                                            &membership::SrvName::name)};
             break;
         }
     }
@@ -62,12 +66,12 @@
         servers.push_back(format(asio::ip::tcp::endpoint(server.address(), server.port())));
     resolver = std::make_unique<dns::Resolver>(
         context, steadyClock, sourceSettings.resolver, seed,
-        [this](const std::string &name, const dns::Found &found, Duration lifetime,
+        [this](const std::string &name, const dns::LookupResult &found, Duration lifetime,
                std::size_t server) { onLookup(name, found, lifetime, server); });
     const auto merged = view();
     for (const auto &[name, watched] : watchedNames) {
         const bool known = merged.sources[watched.source].state != membership::SourceState::never;
-        resolver->follow(name, known);
+        resolver->watch(name, known);
     }
 }
 
@@ -76,10 +80,11 @@
         return;
     std::vector<membership::Claim> claims;
     for (const auto &entry : list.entries)
-        claims.push_back({entry, membership::kNoClass, entry.id});
+        claims.push_back({entry, membership::kNoPriorityClass, entry.id});
     if (list.complete)
-        merge.took(*controlPlane,
-                   {clock(), membership::kForever, "desk", std::move(claims), false, {}});
+        merge.applyReading(
+            *controlPlane,
+            {clock(), membership::kUnlimitedLifetime, "desk", std::move(claims), false, {}});
     else
         merge.applyChanges(*controlPlane, clock(), claims);
     sourceRead();
@@ -88,30 +93,30 @@
 void EndpointWatcher::onControlPlaneFailure() {
     if (!controlPlane)
         return;
-    merge.lost(*controlPlane, clock(), "the control plane does not respond");
+    merge.markUnavailable(*controlPlane, clock(), "the control plane does not respond");
     update(PublishMode::ifChanged);
 }
 
-void EndpointWatcher::onLookup(const std::string &name, const dns::Found &found, Duration lifetime,
-                               std::size_t server) {
+void EndpointWatcher::onLookup(const std::string &name, const dns::LookupResult &found,
+                               Duration lifetime, std::size_t server) {
     logLookup(name, found);
     const auto &watched = watchedNames.at(name);
-    if (found.kind == dns::LookupOutcome::failed)
-        merge.markFailedOnce(watched.source, found.fault);
+    if (found.outcome == dns::LookupOutcome::failed)
+        merge.recordFailedAttempt(watched.source, found.fault);
     else
-        merge.took(watched.source, membership::readingOf(watched.srv, found, clock(), lifetime,
-                                                         servers.at(server)));
+        merge.applyReading(watched.source, membership::makeReading(watched.srv, found, clock(),
+                                                                   lifetime, servers.at(server)));
     sourceRead();
 }
 
-void EndpointWatcher::logLookup(const std::string &name, const dns::Found &found) {
+void EndpointWatcher::logLookup(const std::string &name, const dns::LookupResult &found) {
     std::string error = found.fault;
     for (const auto &note : found.notes)
         error += (error.empty() ? "" : "; ") + note;
     std::string &logged = lastLookupErrors[name];
     if (error != logged)
         log.warn("srv", {{"name", name},
-                         {"found", nameOf(found.kind)},
+                         {"found", nameOf(found.outcome)},
                          {"targets", found.targets.size()},
                          {"says", error}});
     logged = error;
@@ -127,19 +132,19 @@
     update(PublishMode::always);
 }
 
-membership::View EndpointWatcher::view() {
-    return merge.at(clock());
+membership::MergeResult EndpointWatcher::view() {
+    return merge.evaluate(clock());
 }
 
 void EndpointWatcher::update(PublishMode mode) {
     const TimePoint now = clock();
-    const auto merged = merge.at(now);
+    const auto merged = merge.evaluate(now);
     publishList(mode, merged);
     confirmLosses(merged, now);
     scheduleUpdate(merged, now);
 }
 
-void EndpointWatcher::publishList(PublishMode mode, const membership::View &merged) {
+void EndpointWatcher::publishList(PublishMode mode, const membership::MergeResult &merged) {
     EndpointListUpdate list{true, {}};
     for (const auto &member : merged.members)
         if (member.inSet)
@@ -160,22 +165,22 @@
     }
 }
 
-void EndpointWatcher::confirmLosses(const membership::View &merged, TimePoint now) {
-    for (const auto &[source, due] : merged.confirm) {
+void EndpointWatcher::confirmLosses(const membership::MergeResult &merged, TimePoint now) {
+    for (const auto &[source, due] : merged.confirmations) {
         const auto &rule = rules.sources[source];
         if (rule.kind == membership::SourceKind::srv && resolver)
-            resolver->refreshWithin(rule.name, std::max(Duration{0}, due - now));
+            resolver->refreshAfter(rule.name, std::max(Duration{0}, due - now));
         if (rule.kind == membership::SourceKind::controlPlane && now >= due)
             handler(EndpointListFailed{});  // makes the decision module request the list again
     }
 }
 
-void EndpointWatcher::scheduleUpdate(const membership::View &merged, TimePoint now) {
-    if (!merged.changesAt) {
+void EndpointWatcher::scheduleUpdate(const membership::MergeResult &merged, TimePoint now) {
+    if (!merged.nextChangeAt) {
         timer.cancel();
         return;
     }
-    timer.expires_after(*merged.changesAt - now);
+    timer.expires_after(*merged.nextChangeAt - now);
     timer.async_wait(guard.wrap([this](asio::error_code error) {
         if (!error)
             update(PublishMode::ifChanged);
--- a/src/gateway/endpoint_watcher.hpp
+++ b/src/gateway/endpoint_watcher.hpp
@@ -46,13 +46,13 @@
     /// Passes the current list on again, if there is one, at the request of the decision module.
     void republish();
 
-    [[nodiscard]] membership::View view();
+    [[nodiscard]] membership::MergeResult view();
     [[nodiscard]] const std::vector<membership::SourceRule> &sources() const {
         return rules.sources;
     }
-    [[nodiscard]] std::vector<membership::SavedSource> saved() const { return merge.saved(); }
+    [[nodiscard]] std::vector<membership::SavedSource> saved() const { return merge.save(); }
     /// DNS query counts; all zero if no source is an SRV name.
-    [[nodiscard]] dns::ResolverCounts asked() const {
+    [[nodiscard]] dns::ResolverCounts dnsCounts() const {
         return resolver ? resolver->counts() : dns::ResolverCounts{};
     }
     [[nodiscard]] TimePoint now() const { return clock(); }
@@ -71,14 +71,14 @@
     void addSources(const SourceSettings &sourceSettings);
     void watchNames(const SourceSettings &sourceSettings, asio::io_context &context,
                     const Clock &steadyClock, std::uint64_t seed);
-    void onLookup(const std::string &name, const dns::Found &found, Duration lifetime,
+    void onLookup(const std::string &name, const dns::LookupResult &found, Duration lifetime,
                   std::size_t server);
-    void logLookup(const std::string &name, const dns::Found &found);
+    void logLookup(const std::string &name, const dns::LookupResult &found);
     void sourceRead();
     void update(PublishMode mode);
-    void publishList(PublishMode mode, const membership::View &view);
-    void confirmLosses(const membership::View &view, TimePoint now);
-    void scheduleUpdate(const membership::View &view, TimePoint now);
+    void publishList(PublishMode mode, const membership::MergeResult &view);
+    void confirmLosses(const membership::MergeResult &view, TimePoint now);
+    void scheduleUpdate(const membership::MergeResult &view, TimePoint now);
 
     TimeSource clock;
     EventHandler handler;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -26,14 +26,14 @@
 
 nlohmann::json countersJson(const Gateway &gateway) {
     const GatewayCounts &counts = gateway.counts();
-    return {{"taken", counts.taken},
+    return {{"taken", counts.accepted},
             {"completed", counts.completed},
             {"shed", counts.shed},
-            {"errored", counts.errored},
-            {"gone", counts.gone},
-            {"inHand", gateway.inHand()},
+            {"errored", counts.failed},
+            {"gone", counts.abandoned},
+            {"inHand", gateway.requestsInFlight()},
             {"tries", counts.attempts},
-            {"overdue", counts.overdue},
+            {"overdue", counts.failedByDataPath},
             {"standstills", counts.processStalls},
             {"turnedAway", counts.rejected},
             {"decidingMs", milliseconds(counts.deciding)},
@@ -76,7 +76,7 @@
              clock.countSocketEvent();
              clock.runAfterStall([this, event = std::move(event)] { onControlPlaneEvent(event); });
          }});
-    policy.start(activeSettings.module);
+    policy.start(activeSettings.policy);
     startWatcher({});
     sweep();
 }
@@ -85,10 +85,10 @@
     requests.releaseAll();
 }
 
-void Gateway::remember(const std::vector<ListedEndpoint> &saved) {
+void Gateway::restoreEndpoints(const std::vector<ListedEndpoint> &saved) {
     EndpointListUpdate update{true, {}};
     for (const ListedEndpoint &endpoint : saved) {
-        EndpointEntry entry = entryOf(endpoint, activeSettings);
+        EndpointEntry entry = toEndpointEntry(endpoint, activeSettings);
         if (endpoint.age)
             entry.startedAt = clock.tick() - *endpoint.age;
         update.entries.push_back(std::move(entry));
@@ -96,7 +96,7 @@
     onEvent(update);
 }
 
-void Gateway::remember(const std::vector<membership::SavedSource> &saved) {
+void Gateway::restoreSources(const std::vector<membership::SavedSource> &saved) {
     startWatcher(saved);
 }
 
@@ -114,27 +114,27 @@
 
 bool Gateway::mayRestartPolicy() const {
     const auto &stage = rollout.stage();
-    return membership::mayStartAnew(endpoints.entries(),
-                                    stage ? std::optional(stage->phase) : std::nullopt);
+    return membership::mayRestartPolicy(endpoints.entries(),
+                                        stage ? std::optional(stage->phase) : std::nullopt);
 }
 
-void Gateway::apply(GatewaySettings settings, bool policyChanged, bool sourcesChanged) {
+void Gateway::applySettings(GatewaySettings settings, bool policyChanged, bool sourcesChanged) {
     const bool controlPlaneMoved = controlPlaneChanged(activeSettings, settings);
     // Requests in flight refer to their route by index: routes change only together with a restart
     // of the policy.
     activeSettings = std::move(settings);
-    downstream->limit();
+    downstream->applyLimits();
     if (policyChanged)
         restartPolicy();
     if (sourcesChanged)
         startWatcher({});
     if (controlPlaneMoved || (sourcesChanged && !watcher))
-        controlPlane->follow(true);
+        controlPlane->setSubscribed(true);
 }
 
 void Gateway::restartPolicy() {
     const GatewayId previous = policy.currentGeneration();
-    policy.start(activeSettings.module);
+    policy.start(activeSettings.policy);
     const GatewayId current = policy.currentGeneration();
     policy.notify(EndpointListUpdate{true, endpoints.entries()}, current);
     if (const auto &stage = rollout.stage())
@@ -210,10 +210,10 @@
         onEndpointsChanged();
 }
 
-std::vector<ListedEndpoint> Gateway::listed() const {
+std::vector<ListedEndpoint> Gateway::endpointList() const {
     std::vector<ListedEndpoint> list;
     for (const EndpointEntry &entry : endpoints.entries())
-        list.push_back(listedOf(entry, activeSettings.zones, clock.lastTick()));
+        list.push_back(toListedEndpoint(entry, activeSettings.zones, clock.lastTick()));
     return list;
 }
 
@@ -266,7 +266,7 @@
 void Gateway::watchEndpoints(GatewayId generation, const WatchEndpoints &action) {
     if (generation != policy.currentGeneration())
         return;
-    controlPlane->follow(action.active);
+    controlPlane->setSubscribed(action.active);
     if (watcher && action.active)
         watcher->republish();
 }
@@ -276,7 +276,7 @@
         return;  // a gateway has one vote, cast by the current generation
     log.info("vote",
              {{"build", action.build}, {"step", action.step}, {"verdict", nameOf(action.verdict)}});
-    controlPlane->vote(action, activeSettings.module.voteTimeout);
+    controlPlane->vote(action, activeSettings.policy.voteTimeout);
 }
 
 // ---- maintenance ----
@@ -284,10 +284,10 @@
 void Gateway::sweep() {
     const TimePoint now = clock.tick();
     if (!clock.isStalled()) {
-        upstreams->sweep(now);
+        upstreams->closeExpired(now);
         dispatcher.endStalledStreams(now);
     }
-    sweepTimer.expires_after(upstreams->sweepEvery());
+    sweepTimer.expires_after(upstreams->sweepInterval());
     sweepTimer.async_wait(guard.wrap([this](asio::error_code error) {
         if (!error)
             sweep();
--- a/src/gateway/http_upstream.cpp
+++ b/src/gateway/http_upstream.cpp
@@ -21,7 +21,7 @@
     : pool(connectionPool), settings(gatewaySettings), endpoint(std::move(target)),
       connection(std::move(clientConnection)) {}
 
-void HttpCall::start(const DownstreamRequest &request, const std::string &name,
+void HttpCall::start(const DownstreamRequest &request, const std::string &requestId,
                      PreSendCheck preSendCheck, BuildNumber buildOfEndpoint,
                      CallObserver *callObserver) {
     observer = callObserver;
@@ -35,21 +35,21 @@
     for (const http::Header &header : received.headers) {
         const auto &[field, value] = header;
         if (http::travels(received, field) &&
-            !http::equalFieldNames(field, settings.headers.remaining))
+            !http::equalFieldNames(field, settings.headers.remainingTime))
             forwarded.headers.push_back(header);
     }
     if (!received.find(settings.headers.requestId))
-        forwarded.headers.emplace_back(settings.headers.requestId, name);
+        forwarded.headers.emplace_back(settings.headers.requestId, requestId);
     // The time that the client still waits, as of now. If none is left, 0 is sent, and the
     // deadline timer ends the call while it is connecting.
     const Duration remaining = preSendCheck().value_or(Duration{0});
     const auto remainingMs =
         std::chrono::duration_cast<std::chrono::milliseconds>(remaining).count();
-    forwarded.headers.emplace_back(settings.headers.remaining, std::to_string(remainingMs));
+    forwarded.headers.emplace_back(settings.headers.remainingTime, std::to_string(remainingMs));
     forwarded.headers.emplace_back("Via", "1.1 deckcart");
     if (!httpRequest.body().empty() || received.length || received.chunked)
         forwarded.length = httpRequest.body().size();
-    connection->call(*parseAddress(endpoint), settings.upstream.connectWithin,
+    connection->call(*parseAddress(endpoint), settings.upstream.connectTimeout,
                      http::write(forwarded) + httpRequest.body(), received.method == "HEAD", this);
 }
 
@@ -84,21 +84,22 @@
     if (callEnd == http::CallEnd::complete) {
         if (head.status < kFirstServerError)
             return Outcome::ok;
-        const bool overloaded = head.status == kUnavailable && head.find(settings.headers.full);
+        const bool overloaded =
+            head.status == kUnavailable && head.find(settings.headers.overloaded);
         return overloaded ? Outcome::overloaded : Outcome::error;
     }
     // A reused connection that the endpoint closes while the request is being written has taken
     // some of its bytes, so the request may have run and the outcome is not connectFailed.
     if (callEnd == http::CallEnd::connectFailed || !connection->startedSending())
         return Outcome::connectFailed;
-    return callEnd == http::CallEnd::garbage ? Outcome::malformed : Outcome::reset;
+    return callEnd == http::CallEnd::malformed ? Outcome::malformed : Outcome::reset;
 }
 
 HttpUpstreamPool::HttpUpstreamPool(asio::io_context &ioContext,
                                    const GatewaySettings &gatewaySettings)
     : context(ioContext), settings(gatewaySettings), pool(ioContext, gatewaySettings) {}
 
-std::shared_ptr<UpstreamCall> HttpUpstreamPool::take(const EndpointId &endpoint) {
+std::shared_ptr<UpstreamCall> HttpUpstreamPool::createCall(const EndpointId &endpoint) {
     if (!parseAddress(endpoint))
         return nullptr;
     auto connection = pool.take(endpoint);
@@ -115,7 +116,7 @@
     head.method = "GET";
     head.target = settings.upstream.probePath;
     probes.add(
-        http::Fetch::start(context, *address, head, {}, settings.upstream.probeWithin,
+        http::Fetch::start(context, *address, head, {}, settings.upstream.probeTimeout,
                            [this, done = std::move(done)](const http::Fetched &fetched) {
                                const std::string *report = fetched.head.find(settings.headers.load);
                                done(report ? parseLoadReport(*report) : std::vector<double>{});
--- a/src/gateway/pool.cpp
+++ b/src/gateway/pool.cpp
@@ -7,13 +7,14 @@
     : context(ioContext), settings(gatewaySettings) {}
 
 std::shared_ptr<http::ClientConnection> HttpConnectionPool::take(const EndpointId &endpoint) {
-    using Use = IdleConnections<http::ClientConnection>::Use;
+    using Decision = IdleConnections<http::ClientConnection>::Decision;
     auto connection = idle.take(endpoint, [](const http::ClientConnection &kept) {
-        return kept.reusable() ? Use::takes : Use::none;
+        return kept.reusable() ? Decision::take : Decision::drop;
     });
     if (!connection) {
         const auto found = inUse.find(endpoint);
-        if ((found == inUse.end() ? 0 : found->second) >= settings.upstream.connections)
+        if ((found == inUse.end() ? 0 : found->second) >=
+            settings.upstream.maxConnectionsPerEndpoint)
             return nullptr;
         connection = std::make_shared<http::ClientConnection>(context, settings.listener.headBytes);
     }
--- a/src/gateway/request_handler.cpp
+++ b/src/gateway/request_handler.cpp
@@ -13,7 +13,8 @@
     deps.clock.countSocketEvent();
     if (rejectAll || deps.requests.isFull()) {
         ++deps.counts.rejected;
-        return downstream->shed(downstream->attributes.name, deps.settings.rejectedRetryAfter);
+        return downstream->respondShed(downstream->attributes.requestId,
+                                       deps.settings.rejectedRetryAfter);
     }
     // A request that is read after a stall arrived at an unknown time during it. The earliest
     // possible time is assumed, since its client may have been waiting since then.
@@ -25,17 +26,17 @@
 
 void RequestHandler::accept(std::shared_ptr<DownstreamRequest> downstream, TimePoint arrivedAt) {
     RequestContext &request = deps.requests.add(std::move(downstream), arrivedAt);
-    if (!request.downstream->open()) {  // the client disconnected during a stall
+    if (!request.downstream->isOpen()) {  // the client disconnected during a stall
         deps.requests.markAbandoned(request);
         return deps.requests.removeIfFinished(request);
     }
     if (deps.clock.lastTick() >= request.policyDeadline) {
         // No attempt was sent, so the request is shed rather than failed: the client may safely
         // retry.
-        deps.requests.shed(request, deps.settings.module.maxRetryAfter);
+        deps.requests.shed(request, deps.settings.policy.maxRetryAfter);
         return deps.requests.removeIfFinished(request);
     }
-    request.downstream->onGone = [this, id = request.id] {
+    request.downstream->onClientDisconnected = [this, id = request.id] {
         deps.clock.tick();
         deps.clock.countSocketEvent();
         deps.clock.runAfterStall([this, id] { onClientDisconnected(id); });
@@ -108,11 +109,11 @@
     if (now < request->policyDeadline)
         return scheduleDeadlineCheck(*request, request->policyDeadline - deps.clock.lastTick());
     // The policy is given the first half of the answer margin to answer by itself.
-    const TimePoint fallbackTime = request->policyDeadline + deps.settings.answerMargin / 2;
+    const TimePoint fallbackTime = request->policyDeadline + deps.settings.responseMargin / 2;
     if (now < fallbackTime)
         return scheduleDeadlineCheck(*request, fallbackTime - now);
     // Protects the client from a policy that fails to answer in time, which should never happen.
-    ++deps.counts.overdue;
+    ++deps.counts.failedByDataPath;
     deps.requests.fail(*request, true);
     onClientDisconnected(id);
 }
@@ -160,7 +161,7 @@
         if (!request->answered && shouldFail(*request))
             ids.push_back(id);
     for (const RequestId id : ids) {
-        ++deps.counts.overdue;
+        ++deps.counts.failedByDataPath;
         deps.requests.fail(*deps.requests.find(id), true);
         deps.clock.runAfterStall([this, id] { onClientDisconnected(id); });
     }
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -40,7 +40,7 @@
     asio::error_code fault;
     const auto accepted = stream.socket.write_some(asio::buffer(outgoing), fault);
     if (fault && fault != asio::error::would_block) {
-        stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::broken); });
+        stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::connectionLost); });
         return;
     }
     submittedBytes += accepted;
@@ -72,7 +72,7 @@
         return;
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
-            return self->finish(CallEnd::broken);
+            return self->finish(CallEnd::connectionLost);
         if (!self->paused)
             self->onReadable();
     });
--- a/src/http/fetch.cpp
+++ b/src/http/fetch.cpp
@@ -83,7 +83,7 @@
 }
 
 void Fetch::fail() {
-    result.outcome = CallEnd::garbage;
+    result.outcome = CallEnd::malformed;
     finish();
 }
 
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -7,7 +7,7 @@
 namespace deckcart::http {
 
 using asio::ip::tcp;
-using net::Closing;
+using net::CloseMode;
 
 namespace {
 
@@ -21,7 +21,7 @@
 ServerConnection::ServerConnection(std::shared_ptr<Listener::Core> owner, tcp::socket accepted)
     : listener(std::move(owner)), stream(std::move(accepted)), timer(stream.socket.get_executor()),
       parser(Parser::Kind::request, listener->limits.headBytes, *this) {
-    settle(stream.socket);
+    configureSocket(stream.socket);
 }
 
 void ServerConnection::start() {
--- a/src/platform/service.cpp
+++ b/src/platform/service.cpp
@@ -19,7 +19,7 @@
 constexpr int kExitBadConfiguration = 2;
 
 PlatformConfiguration readConfiguration(const std::string &file) {
-    const auto text = readWhole(file);
+    const auto text = readFile(file);
     if (!text)
         throw ParseError({}, "the file cannot be read");
     return parseConfiguration(*text);
@@ -27,7 +27,7 @@
 
 class Service {
   public:
-    Service(std::string file, LogForm logs, double logSample)
+    Service(std::string file, LogFormat logs, double logSample)
         : configurationFile(std::move(file)), requestLogSample(logSample), log(logs, "gateway"),
           signals(context, SIGTERM, SIGINT, SIGHUP), firstListTimer(context),
           shutdownSequence(context), countersLogTimer(context) {}
@@ -85,9 +85,9 @@
     }
 
     void restoreKnownState() {
-        gateway->remember(toEndpointListUpdate(configuration.knownEndpoints));
+        gateway->restoreEndpoints(toEndpointListUpdate(configuration.knownEndpoints));
         if (configuration.knownRollout)
-            gateway->tell(*configuration.knownRollout);
+            gateway->restoreRollout(*configuration.knownRollout);
     }
 
     // Called on the first endpoint list and when the wait for it times out. Later calls do nothing.
@@ -139,7 +139,7 @@
             context.stop();
             return false;
         } else {
-            log.info("draining-already", {{"inHand", gateway->inHand()}});
+            log.info("draining-already", {{"inHand", gateway->requestsInFlight()}});
         }
         return true;
     }
@@ -158,7 +158,7 @@
     }
 
     void shutDown() {
-        log.info("draining", {{"inHand", gateway->inHand()}});
+        log.info("draining", {{"inHand", gateway->requestsInFlight()}});
         shutdownSequence.start(shutdownPlan(configuration.settings.longestTimeout()),
                                {[this] { gateway->drain([this] { context.stop(); }); },
                                 [this] { gateway->failRequestsInFlight(); },
@@ -183,7 +183,7 @@
 
 }  // namespace
 
-int runGateway(const std::string &configurationFile, LogForm logs, double requestLogSample) {
+int runGateway(const std::string &configurationFile, LogFormat logs, double requestLogSample) {
     return Service(configurationFile, logs, requestLogSample).run();
 }
 
--- a/src/resp/client.cpp
+++ b/src/resp/client.cpp
@@ -41,7 +41,7 @@
             asio::buffer(outgoing.data() + writtenBytes, outgoing.size() - writtenBytes), fault);
     awaitRead();
     if (fault && fault != asio::error::would_block) {
-        stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::broken); });
+        stream.postInCall([self = shared_from_this()] { self->finish(CallEnd::connectionLost); });
         return;
     }
     if (!startedSending())
@@ -55,7 +55,7 @@
             if (self->stream.isClosed() || self->stream.callNumber() != initialCallNumber)
                 return;
             if (fault)
-                return self->finish(CallEnd::broken);
+                return self->finish(CallEnd::connectionLost);
             self->send();
         });
 }
@@ -82,7 +82,7 @@
         return close();  // data without a command: replies no longer match commands
     const auto consumed = parser.feed({buffer.data(), size});
     if (parser.faulty())
-        return finish(CallEnd::garbage);
+        return finish(CallEnd::malformed);
     if (!parser.done())
         return awaitRead();
     if (consumed < size)
@@ -100,7 +100,7 @@
 }
 
 bool ClientConnection::stillQuiet() {
-    if (peek(stream.socket) == Unread::nothing)
+    if (peekReadState(stream.socket) == ReadState::nothing)
         return true;
     drop();
     return false;
--- a/src/resp/server_connection.cpp
+++ b/src/resp/server_connection.cpp
@@ -7,7 +7,7 @@
 namespace deckcart::resp {
 
 using asio::ip::tcp;
-using net::Closing;
+using net::CloseMode;
 
 namespace {
 
@@ -80,7 +80,7 @@
         return;
     if (!endsInDrain(state(steadyNow()), listener->limits))
         return;
-    if (peek(stream.socket) != Unread::bytes)
+    if (peekReadState(stream.socket) != ReadState::bytes)
         linger();
 }
 
@@ -96,11 +96,11 @@
         return close(Closing::orderly);
     // Bytes that arrived before the timeout was handled are still processed.
     case TimeoutAction::linger:
-        if (peek(stream.socket) != Unread::bytes)
+        if (peekReadState(stream.socket) != ReadState::bytes)
             linger();
         return;
     case TimeoutAction::failIncomplete:
-        if (peek(stream.socket) != Unread::bytes)
+        if (peekReadState(stream.socket) != ReadState::bytes)
             fail("the command is not complete in time");
         return;
     }
--- a/src/scenarios/scenario.hpp
+++ b/src/scenarios/scenario.hpp
@@ -126,7 +126,7 @@
 /// `day` is set where nothing was refused.
 struct ParsedScenario {
     std::optional<Scenario> day;
-    std::vector<Refusal> refused;
+    std::vector<ValidationError> refused;
 };
 /// JSON schema of a scenario document.
 const nlohmann::json &scenarioSchema();
--- a/tests/path/cells_test.cpp
+++ b/tests/path/cells_test.cpp
@@ -166,7 +166,7 @@
             clock.ahead = 1500ms;
         if (faultIs("settings")) {
             document["release"] = {{"spareTries", 9}};
-            gateway->apply(*parseSettings(document).settings, true);
+            gateway->applySettings(*parseSettings(document).settings, true);
         }
         if (faultIs("shutdown"))
             gateway->drain([this] { drained = true; });
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -118,7 +118,7 @@
     ASSERT_TRUE(until([&] { return gateway->listed()[0].state == EndpointState::draining; }));
     oldWatch->write(listChange("s1", "Ready", -1, 900) + "\n");
     settleDown();
-    EXPECT_EQ(gateway->listed()[0].state, EndpointState::draining);
+    EXPECT_EQ(gateway->endpointList()[0].state, EndpointState::draining);
 }
 
 // ---- shutdown: events that the loop has not handled yet ----
@@ -373,9 +373,9 @@
     });
     startGateway();
     clock.held = clock.now();
-    EXPECT_EQ(ask("a"), resp::bulk("of a"));
+    EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a"));
     *clock.held += 9ms;
-    EXPECT_EQ(ask("b", "once"), resp::bulk("of b"));
+    EXPECT_EQ(sendAndAwaitReply("b", "once"), resp::bulk("of b"));
     *clock.held += 10ms;
     EXPECT_EQ(ask("c", "once"), resp::bulk("of c"));
     EXPECT_EQ(endpoints[0].opened, 2u) << "expected a connection to be reused after the delay";
--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -254,7 +254,7 @@
     EXPECT_EQ(statusOf(response), 200);
     EXPECT_LT(response.size(), 900'000u);
     EXPECT_EQ(totalRequests(instances), 1u);
-    EXPECT_EQ(gateway->counts().errored, 1u);
+    EXPECT_EQ(gateway->counts().failed, 1u);
     EXPECT_EQ(gateway->counts().completed, 0u);
 }
 
@@ -315,7 +315,7 @@
         EXPECT_EQ(connection.statuses(), std::vector<int>{400}) << malformed;
     }
     EXPECT_EQ(totalRequests(instances), 0u);
-    EXPECT_EQ(gateway->counts().taken, 0u);
+    EXPECT_EQ(gateway->counts().accepted, 0u);
 }
 
 // A response to HEAD has no body although it states a length, a client that expects 100-continue
@@ -355,7 +355,7 @@
     ASSERT_TRUE(until([&] { return gateway->connections() == 1; }));
     connection.hangUp();
     EXPECT_TRUE(until([&] { return gateway->connections() == 0; }));
-    EXPECT_EQ(gateway->counts().taken, 0u);
+    EXPECT_EQ(gateway->counts().accepted, 0u);
     EXPECT_EQ(totalRequests(instances), 0u);
 }
 
@@ -389,7 +389,7 @@
     }
     EXPECT_TRUE(until([&] { return gateway->connections() == 0; }));
     EXPECT_EQ(statusOf(ask("/x")), 200);
-    EXPECT_EQ(gateway->inHand(), 0u);
+    EXPECT_EQ(gateway->requestsInFlight(), 0u);
 }
 
 // ---- limits ----
@@ -408,11 +408,11 @@
         "POST /x HTTP/1.1\r\nHost: r\r\nTransfer-Encoding: chunked\r\n\r\nb\r\nhello world\r\n");
     EXPECT_TRUE(until([&] { return chunks.closed; }));
     EXPECT_EQ(chunks.statuses(), std::vector<int>{413});
-    EXPECT_EQ(gateway->counts().taken, 0u);
+    EXPECT_EQ(gateway->counts().accepted, 0u);
 
     for (int i = 0; i < 2; ++i)
         client().send("GET /x HTTP/1.1\r\nHost: r\r\n\r\n");
-    ASSERT_TRUE(until([&] { return gateway->inHand() == 2; }));
+    ASSERT_TRUE(until([&] { return gateway->requestsInFlight() == 2; }));
     const auto third = ask("/x");
     EXPECT_EQ(statusOf(third), 503);
     EXPECT_TRUE(contains(third, "Deckcart-End: shed") && contains(third, "Retry-After:"));
@@ -467,8 +467,8 @@
     ASSERT_GT(instances[0].openConnections, 0u);
     controlPlane.list(instances[0].id(), 1, EndpointState::draining);
     ASSERT_TRUE(until([&] {
-        return gateway->listed().front().state != EndpointState::active ||
-               gateway->listed().back().state != EndpointState::active;
+        return gateway->endpointList().front().state != EndpointState::active ||
+               gateway->endpointList().back().state != EndpointState::active;
     }));
     const auto before = instances[0].requests.size();
     sendConcurrentRequests(10);
@@ -502,7 +502,7 @@
         return true;
     }));
     ASSERT_TRUE(until([&] {
-        return std::ranges::count(gateway->listed(), EndpointState::draining,
+        return std::ranges::count(gateway->endpointList(), EndpointState::draining,
                                   &ListedEndpoint::state) == 2;
     }));
     clock.held.reset();
@@ -667,7 +667,8 @@
     auto &busy = client();
     auto &idle = client();
     busy.send("POST /once HTTP/1.1\r\nHost: r\r\nX-Remaining-Ms: 400\r\n\r\n");
-    ASSERT_TRUE(until([&] { return gateway->inHand() == 1 && gateway->connections() == 2; }));
+    ASSERT_TRUE(
+        until([&] { return gateway->requestsInFlight() == 1 && gateway->connections() == 2; }));
     bool drained = false;
     gateway->drain([&] { drained = true; });
     EXPECT_TRUE(until([&] { return idle.closed; }));
--- a/tests/unit/scripts_test.cpp
+++ b/tests/unit/scripts_test.cpp
@@ -70,10 +70,10 @@
             applyStep(script.steps[step]);
         if (now >= nextLookup)
             lookUp(now);
-        const auto view = merge.at(now);
-        for (const auto &[source, at] : view.confirm)
+        const auto view = merge.evaluate(now);
+        for (const auto &[source, at] : view.confirmations)
             nextLookup = std::min(nextLookup, std::max(at, now + 1s));
-        nextChange = view.changesAt.value_or(Duration::max());
+        nextChange = view.nextChangeAt.value_or(Duration::max());
         merged.clear();
         for (const auto &member : view.members)
             if (member.inSet)
@@ -90,8 +90,8 @@
     static MergeRules rules() {
         MergeRules rules;
         rules.sources = {{kName, membership::SourceKind::srv}};
-        rules.longestStale = 600s;
-        rules.confirmShare = 0.3;
+        rules.maxStaleness = 600s;
+        rules.confirmFraction = 0.3;
         rules.confirmAfter = 5s;
         rules.grace = 30s;
         rules.reserveBelow = 2;
@@ -114,7 +114,7 @@
     }
     void answer(dns::Lookup &lookup, const dns::Question &question, Duration now) {
         const auto reply = query(question, servers, faults, ranking, now, answeredBy);
-        if (question.type == dns::Type::srv)
+        if (question.type == dns::RecordType::srv)
             srvAnsweredBy = answeredBy;
         if (reply)
             lookup.onReply(question, *reply);
@@ -130,15 +130,15 @@
         ASSERT_TRUE(lookup.finished());
         const auto &found = lookup.result();
         const Duration lifetime = refresh.lifetime(found);
-        if (found.kind == dns::LookupOutcome::failed) {
-            nextLookup = now + refresh.afterFailure();
+        if (found.outcome == dns::LookupOutcome::failed) {
+            nextLookup = now + refresh.delayAfterFailure();
             return;
         }
-        const auto reading = membership::readingOf({kName, 1, 0, 0}, found, now, lifetime,
-                                                   std::to_string(srvAnsweredBy));
-        merge.took(0, reading);
+        const auto reading = membership::makeReading({kName, 1, 0, 0}, found, now, lifetime,
+                                                     std::to_string(srvAnsweredBy));
+        merge.applyReading(0, reading);
         reference.applyReading(0, reading);
-        nextLookup = now + refresh.afterAnswer(lifetime);
+        nextLookup = now + refresh.delayAfterAnswer(lifetime);
     }
 
     const fakes::NameScript &script;
@@ -147,7 +147,7 @@
     std::vector<fakes::NameFaults> faults;
     membership::Merge merge{rules()};
     Reference reference{rules()};
-    dns::Refresh refresh{{}, 7};
+    dns::RefreshSchedule refresh{{}, 7};
     dns::ServerRanking ranking;
     std::size_t step = 0;
     std::size_t answeredBy = 0;
