--- a/bench/sources_bench.cpp
+++ b/bench/sources_bench.cpp
@@ -30,13 +30,13 @@
         bool operator>(const Query &other) const { return at > other.at; }
     };
     std::priority_queue<Query, std::vector<Query>, std::greater<>> queue;
-    std::vector<dns::Refresh> refresh;
+    std::vector<dns::RefreshSchedule> refresh;
     std::vector<int> perSecond(std::size_t(length / Duration{seconds(1)}) + 1);
-    dns::Found found;
-    found.kind = dns::LookupOutcome::servers, found.seconds = std::uint32_t(lifetimeS);
+    dns::LookupResult found;
+    found.outcome = dns::LookupOutcome::servers, found.ttlSeconds = std::uint32_t(lifetimeS);
     for (int gateway = 0; gateway < gateways; ++gateway) {
         refresh.emplace_back(dns::RefreshRules{}, std::uint32_t(gateway + 1));
-        queue.push({atExpiry ? Duration{0} : refresh.back().first(false),
+        queue.push({atExpiry ? Duration{0} : refresh.back().firstDelay(false),
                     gateway});  // all start at the same time
     }
     while (queue.top().at < length) {
@@ -47,8 +47,8 @@
         auto &gatewayRefresh = refresh[std::size_t(query.gateway)];
         const Duration lifetime = gatewayRefresh.lifetime(found);
         const Duration wait = atExpiry ? (fails ? Duration{seconds(1)} : lifetime)
-                              : fails  ? gatewayRefresh.afterFailure()
-                                       : gatewayRefresh.afterAnswer(lifetime);
+                              : fails  ? gatewayRefresh.delayAfterFailure()
+                                       : gatewayRefresh.delayAfterAnswer(lifetime);
         queue.push({query.at + wait, query.gateway});
     }
     // Leaves out the first minute, with the common start of all gateways.
@@ -72,18 +72,18 @@
     std::minstd_rand rng(7);
     const auto randomFraction = [&] { return double(rng()) / double(std::minstd_rand::max()); };
     std::vector<double> fractions;
-    dns::Found found;
-    found.kind = dns::LookupOutcome::servers, found.seconds = std::uint32_t(lifetimeS);
+    dns::LookupResult found;
+    found.outcome = dns::LookupOutcome::servers, found.ttlSeconds = std::uint32_t(lifetimeS);
     for (int run = 0; run < 20000; ++run) {
-        dns::Refresh refresh({}, std::uint32_t(run + 1));
+        dns::RefreshSchedule refresh({}, std::uint32_t(run + 1));
         const Duration lifetime = refresh.lifetime(found);
         const Duration change{std::int64_t(double(lifetime.count()) * (1 + randomFraction()))};
-        Duration at = refresh.first(false);
+        Duration at = refresh.firstDelay(false);
         while (true) {
             const bool fails = randomFraction() < failureRate;
             if (at >= change && !fails)
                 break;
-            at += fails ? refresh.afterFailure() : refresh.afterAnswer(lifetime);
+            at += fails ? refresh.delayAfterFailure() : refresh.delayAfterAnswer(lifetime);
         }
         fractions.push_back(double((at - change).count()) / double(lifetime.count()));
     }
@@ -95,7 +95,7 @@
             {"most", fractions.back()}};
 }
 
-membership::Reading readingOf(int instances, Duration at, int missing) {
+membership::Reading makeReading(int instances, Duration at, int missing) {
     membership::Reading reading{at, seconds(30), "ns", {}, false, {}};
     for (int index = 0; index < instances; ++index) {
         if (index == missing)
@@ -104,7 +104,7 @@
         claim.entry.id =
             "10.0." + std::to_string(index / 250) + "." + std::to_string(index % 250) + ":8080",
         claim.entry.build = 1 + index % 2;
-        claim.priority = index % 3 * 10, claim.as = "relay" + std::to_string(index);
+        claim.priority = index % 3 * 10, claim.listedAs = "relay" + std::to_string(index);
         reading.claims.push_back(std::move(claim));
     }
     return reading;
@@ -114,7 +114,7 @@
     membership::MergeRules rules;
     for (int source = 0; source < sources; ++source)
         rules.sources.push_back({"s" + std::to_string(source), membership::SourceKind::srv});
-    rules.longestStale = seconds(3600), rules.grace = seconds(30), rules.reserveBelow = 1;
+    rules.maxStaleness = seconds(3600), rules.grace = seconds(30), rules.reserveBelow = 1;
     membership::Merge merge(rules);
     const SteadyClock clock;
     Duration now{}, readingTime{}, viewTime{};
@@ -122,13 +122,13 @@
     for (int round = 0; round < kRounds; ++round) {
         now += seconds(20);
         for (int source = 0; source < sources; ++source) {
-            auto reading = readingOf(instances, now, round % instances);
+            auto reading = makeReading(instances, now, round % instances);
             const Duration readingStart = clock.now();
-            merge.took(std::size_t(source), reading);
+            merge.applyReading(std::size_t(source), reading);
             readingTime += clock.now() - readingStart;
         }
         const Duration viewStart = clock.now();
-        const auto view = merge.at(now);
+        const auto view = merge.evaluate(now);
         viewTime += clock.now() - viewStart;
         if (view.members.size() < std::size_t(instances) / 2)
             std::abort();
@@ -171,11 +171,11 @@
     std::size_t targets = 0;
     dns::ResolverSettings settings;
     settings.servers = {address}, settings.refresh.floor = std::chrono::milliseconds(20);
-    settings.refresh.ceiling = std::chrono::milliseconds(20), settings.questionsASecond = 10000;
+    settings.refresh.ceiling = std::chrono::milliseconds(20), settings.questionsPerSecond = 10000;
     dns::Resolver resolver(io, clock, settings, 1,
-                           [&](const std::string &, const dns::Found &found, Duration,
+                           [&](const std::string &, const dns::LookupResult &found, Duration,
                                std::size_t) { ++lookups, targets = found.targets.size(); });
-    resolver.follow("_relay._tcp.example.org.", false);
+    resolver.watch("_relay._tcp.example.org.", false);
     const double before = cpuMs();
     io.run_for(std::chrono::milliseconds(std::int64_t(lengthS * 1000)));
     const double used = cpuMs() - before;
--- a/fuzz/dns_reply.cpp
+++ b/fuzz/dns_reply.cpp
@@ -48,7 +48,7 @@
     require(lookup.finished());
     require(lookup.result().targets.size() <= bounds.targets);
     const auto reading =
-        membership::readingOf({"n.", 1, 0, 0}, lookup.result(), Duration{1}, Duration{1}, "ns");
+        membership::makeReading({"n.", 1, 0, 0}, lookup.result(), Duration{1}, Duration{1}, "ns");
     require(reading.claims.size() <= bounds.targets * bounds.addresses);
     for (const auto &claim : reading.claims)
         require(claim.entry.weight >= 0.001 && claim.entry.weight <= 1);
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -37,7 +37,7 @@
     std::size_t recordIndex = 0;
     int gateway = 0;
     bool timedOut = false;
-    http::CallEnd callEnd = http::CallEnd::broken;
+    http::CallEnd callEnd = http::CallEnd::connectionLost;
     http::ResponseHead response;
     std::shared_ptr<http::ClientConnection> connection;
     asio::steady_timer timer;
--- a/src/fakes/control_plane.cpp
+++ b/src/fakes/control_plane.cpp
@@ -259,7 +259,7 @@
         return respond(*exchange, 400, json::object());
     if (const auto earlierReply = voteReplies.find(*key); earlierReply != voteReplies.end())
         return respond(*exchange, 200, earlierReply->second);
-    const auto verdict = verdictNamed(document.value("verdict", ""));
+    const auto verdict = parseVerdict(document.value("verdict", ""));
     if (!verdict)
         return respond(*exchange, 400, json::object());
     if (votesUnanswered && !countsUnansweredVotes)
--- a/src/fakes/fleet_names.cpp
+++ b/src/fakes/fleet_names.cpp
@@ -72,7 +72,7 @@
 // then the gateway may keep it. An endpoint that appears in a later reply than the first counts as
 // started at that time.
 void FleetNames::recordReply(int gateway, const dns::Message &reply) {
-    if (!reply.question || reply.question->type != dns::Type::srv)
+    if (!reply.question || reply.question->type != dns::RecordType::srv)
         return;
     const Duration now = clock.now();
     auto &known = knownReplies[{gateway, reply.question->name}];
--- a/src/fakes/name_server.cpp
+++ b/src/fakes/name_server.cpp
@@ -10,14 +10,15 @@
 using asio::ip::udp;
 using nlohmann::json;
 
-dns::Type typeOf(const dns::Record &record) {
+dns::RecordType typeOf(const dns::Record &record) {
     if (std::holds_alternative<dns::Srv>(record.data))
-        return dns::Type::srv;
-    if (std::holds_alternative<dns::Alias>(record.data))
-        return dns::Type::cname;
+        return dns::RecordType::srv;
+    if (std::holds_alternative<dns::Cname>(record.data))
+        return dns::RecordType::cname;
     if (std::holds_alternative<dns::Soa>(record.data))
-        return dns::Type::soa;
-    return std::get<asio::ip::address>(record.data).is_v4() ? dns::Type::a : dns::Type::aaaa;
+        return dns::RecordType::soa;
+    return std::get<asio::ip::address>(record.data).is_v4() ? dns::RecordType::a
+                                                            : dns::RecordType::aaaa;
 }
 
 dns::Record parseRecord(const json &object) {
@@ -34,7 +35,7 @@
                                object.value<std::uint16_t>("weight", 0),
                                object.at("port").get<std::uint16_t>(), name("target")};
     else if (type == "CNAME")
-        record.data = dns::Alias{name("target")};
+        record.data = dns::Cname{name("target")};
     else if (type == "SOA")
         record.data = dns::Soa{object.value("negativeSeconds", 5u)};
     else {
@@ -177,11 +178,11 @@
     response.recursionDesired = question.recursionDesired;
     const auto withLifetime = [&](dns::Record record) {
         if (faults.lifetimeSeconds)
-            record.seconds = *faults.lifetimeSeconds;
+            record.ttlSeconds = *faults.lifetimeSeconds;
         if (faults.lifetimeCountdown > Duration{0}) {
             const Duration remaining =
                 faults.lifetimeCountdown - (clock.now() - recordsSetAt) % faults.lifetimeCountdown;
-            record.seconds =
+            record.ttlSeconds =
                 std::uint32_t(std::chrono::duration_cast<std::chrono::seconds>(remaining).count());
         }
         return record;
@@ -196,12 +197,13 @@
             for (const auto &record : records)
                 if (record.owner == owner && typeOf(record) == question.question->type)
                     response.answers.push_back(withLifetime(record));
-            if (!response.answers.empty() && typeOf(response.answers.back()) != dns::Type::cname)
+            if (!response.answers.empty() &&
+                typeOf(response.answers.back()) != dns::RecordType::cname)
                 break;
             for (const auto &record : records)
-                if (record.owner == owner && typeOf(record) == dns::Type::cname) {
+                if (record.owner == owner && typeOf(record) == dns::RecordType::cname) {
                     response.answers.push_back(withLifetime(record));
-                    owner = std::get<dns::Alias>(record.data).target, followedAlias = true;
+                    owner = std::get<dns::Cname>(record.data).target, followedAlias = true;
                     break;
                 }
         }
@@ -216,11 +218,11 @@
         if (response.answers.empty() && std::ranges::none_of(records, [&](const auto &record) {
                 return record.owner == owner;
             }))
-            response.code = std::uint8_t(dns::Code::nxDomain);
+            response.code = std::uint8_t(dns::ResponseCode::nxDomain);
     }
     if (response.answers.empty())
         for (const auto &record : records)
-            if (typeOf(record) == dns::Type::soa)
+            if (typeOf(record) == dns::RecordType::soa)
                 response.authority.push_back(withLifetime(record));
     auto bytes = dns::encode(response);
     const auto truncate = [&] {
@@ -230,7 +232,7 @@
     };
     if (!overTcp && faults.cutInside)
         bytes[2] |= 0x02, bytes.resize(bytes.size() * 2 / 3);
-    else if (!overTcp && (faults.truncated || bytes.size() > dns::kUdpBytes))
+    else if (!overTcp && (faults.truncated || bytes.size() > dns::kMaxUdpMessageBytes))
         truncate();
     if (faults.loops && bytes.size() > 14)
         bytes[12] = 0xc0, bytes[13] = 12;
@@ -268,7 +270,7 @@
         return;
     const auto decoded = dns::decode(bytes.data(), bytes.size());
     if (decoded.message && !decoded.message->truncated &&
-        decoded.message->code != std::uint8_t(dns::Code::servFail))
+        decoded.message->code != std::uint8_t(dns::ResponseCode::servFail))
         onReply(*decoded.message);
 }
 
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -79,7 +79,7 @@
 }
 
 void ClientConnection::onReadable() {
-    std::array<char, net::kReadAtOnce> buffer;
+    std::array<char, net::kMaxReadBytes> buffer;
     asio::error_code fault;
     const auto size = stream.socket.read_some(asio::buffer(buffer), fault);
     if (fault == asio::error::would_block)
@@ -93,7 +93,7 @@
     }
     std::string_view bytes(buffer.data(), size);
     if (!parseResponse(bytes))
-        return finish(CallEnd::garbage);
+        return finish(CallEnd::malformed);
     if (stream.isClosed())
         return;
     if (!parser.done())
@@ -109,7 +109,7 @@
 void ClientConnection::onReadError(asio::error_code fault) {
     const bool ended = handler && fault == asio::error::eof && parser.started() && parser.finish();
     mustClose = true;
-    finish(ended ? CallEnd::complete : CallEnd::broken);
+    finish(ended ? CallEnd::complete : CallEnd::connectionLost);
 }
 
 // Consumes bytes up to the end of the final response and skips interim (1xx) responses. Returns
@@ -163,7 +163,7 @@
 }
 
 void ClientConnection::close() {
-    if (stream.shut() && onIdleClosed)
+    if (stream.closeAndEndCall() && onIdleClosed)
         stream.post(std::exchange(onIdleClosed, nullptr));
 }
 
--- a/src/http/exchange.cpp
+++ b/src/http/exchange.cpp
@@ -86,7 +86,7 @@
         return;
     if (hasLength && bodyBytesLeft > 0)
         // The body is shorter than stated, which only a reset can signal.
-        return server->close(net::Closing::reset);
+        return server->close(net::CloseMode::reset);
     if (chunked)
         server->write("0\r\n\r\n");
     server->onResponseEnd(server->shouldCloseAfter(head));
@@ -101,7 +101,7 @@
     onGone = nullptr;
     onDrained = nullptr;
     if (server)
-        server->close(net::Closing::reset);
+        server->close(net::CloseMode::reset);
 }
 
 void Exchange::writeAfterEnd(std::string_view bytes) {
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -82,7 +82,7 @@
 void Listener::close() {
     drain();
     for (ServerConnection *connection : std::set<ServerConnection *>(core->openConnections))
-        connection->close(net::Closing::reset);
+        connection->close(net::CloseMode::reset);
     core->handler = [](const std::shared_ptr<Exchange> &) {};
 }
 
--- a/src/http/server_connection.cpp
+++ b/src/http/server_connection.cpp
@@ -67,10 +67,10 @@
 
 void ServerConnection::drain() {
     if (!currentExchange && !parser.started() && !responseComplete)
-        close(Closing::orderly);
+        close(CloseMode::graceful);
 }
 
-void ServerConnection::close(Closing how) {
+void ServerConnection::close(CloseMode how) {
     if (!stream.close(how))
         return;
     const auto self = shared_from_this();
@@ -86,7 +86,7 @@
 // Deferred, since close() calls onGone, which must not run before the writer's own call has
 // returned.
 void ServerConnection::closeLater() {
-    stream.post([self = shared_from_this()] { self->close(Closing::orderly); });
+    stream.post([self = shared_from_this()] { self->close(CloseMode::graceful); });
 }
 
 void ServerConnection::read() {
@@ -96,7 +96,7 @@
         return;  // startNextRequest() resumes reading
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
-            return self->close(Closing::orderly);
+            return self->close(CloseMode::graceful);
         self->onReadable();
     });
 }
@@ -113,7 +113,7 @@
     // A client that closed its side is treated as gone: its requests end here, so that no attempt
     // is spent on them.
     if (fault)
-        return close(Closing::orderly);
+        return close(CloseMode::graceful);
     processInput({listener->readBuffer.data(), size});
     read();
 }
@@ -217,7 +217,7 @@
             if (!fault)
                 self->stream.socket.read_some(asio::buffer(self->listener->readBuffer), fault);
             if (fault && fault != asio::error::would_block)
-                return self->close(Closing::orderly);
+                return self->close(CloseMode::graceful);
             self->discardInput();
         });
 }
@@ -253,7 +253,7 @@
                           if (self->stream.isClosed())
                               return;
                           if (fault)
-                              return self->close(Closing::orderly);
+                              return self->close(CloseMode::graceful);
                           self->onFlushed();
                       });
 }
@@ -288,7 +288,7 @@
         return;
     if (parser.started() && !currentExchange && !refused && !writing)
         return refuse(408, "request not complete in time");
-    close(writing ? Closing::reset : Closing::orderly);
+    close(writing ? CloseMode::reset : CloseMode::graceful);
 }
 
 }  // namespace deckcart::http
--- a/src/http/server_connection.hpp
+++ b/src/http/server_connection.hpp
@@ -28,7 +28,7 @@
     // Called by the listener.
     /// Closes the connection if it is idle.
     void drain();
-    void close(net::Closing how);
+    void close(net::CloseMode how);
 
   private:
     bool onHead() override;
--- a/src/resp/client.cpp
+++ b/src/resp/client.cpp
@@ -20,7 +20,7 @@
         return buildAndSend();
     stream.connect(to, connectTimeout, [self = shared_from_this()](bool connected) {
         // Bytes received before the command was sent would be taken for its reply.
-        if (!connected || peek(self->stream.socket) != Unread::nothing)
+        if (!connected || peekReadState(self->stream.socket) != ReadState::nothing)
             return self->finish(CallEnd::connectFailed);
         self->buildAndSend();
     });
@@ -65,19 +65,19 @@
         return;
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
-            return self->finish(CallEnd::broken);
+            return self->finish(CallEnd::connectionLost);
         self->onReadable();
     });
 }
 
 void ClientConnection::onReadable() {
-    std::array<char, net::kReadAtOnce> buffer;
+    std::array<char, net::kMaxReadBytes> buffer;
     asio::error_code fault;
     const auto size = stream.socket.read_some(asio::buffer(buffer), fault);
     if (fault == asio::error::would_block)
         return awaitRead();
     if (fault)
-        return finish(CallEnd::broken);
+        return finish(CallEnd::connectionLost);
     if (!onReply)
         return close();  // data without a command: replies no longer match commands
     const auto consumed = parser.feed({buffer.data(), size});
@@ -124,7 +124,7 @@
 }
 
 void ClientConnection::close() {
-    if (stream.shut() && onIdleClosed)
+    if (stream.closeAndEndCall() && onIdleClosed)
         stream.post(std::exchange(onIdleClosed, nullptr));
 }
 
--- a/src/resp/exchange.cpp
+++ b/src/resp/exchange.cpp
@@ -30,7 +30,7 @@
 void Exchange::abort() {
     answered = true;
     if (const auto server = connection.lock())
-        server->close(net::Closing::reset);
+        server->close(net::CloseMode::reset);
 }
 
 }  // namespace deckcart::resp
--- a/src/resp/listener.cpp
+++ b/src/resp/listener.cpp
@@ -98,7 +98,7 @@
     while (const auto connection = evictionCandidate(now)) {
         if (connection->checkUnreadBytes())
             continue;
-        connection->close(net::Closing::orderly);
+        connection->close(net::CloseMode::graceful);
         return true;
     }
     return false;
@@ -141,7 +141,7 @@
     core->acceptRetryTimer.cancel();
     core->sweepTimer.cancel();
     core->forEachConnection(
-        [](ServerConnection &connection) { connection.close(net::Closing::orderly); });
+        [](ServerConnection &connection) { connection.close(net::CloseMode::graceful); });
 }
 
 tcp::endpoint Listener::address() const {
--- a/src/resp/server_connection.cpp
+++ b/src/resp/server_connection.cpp
@@ -28,7 +28,7 @@
 ServerConnection::ServerConnection(std::shared_ptr<Listener::Core> owner, tcp::socket accepted)
     : listener(std::move(owner)), stream(std::move(accepted)),
       parser(Parser::What::command, listener->limits.message), lastActiveTime(steadyNow()) {
-    settle(stream.socket);
+    configureSocket(stream.socket);
 }
 
 void ServerConnection::read() {
@@ -39,7 +39,7 @@
         return;
     stream.awaitRead([self = shared_from_this()](asio::error_code fault) {
         if (fault)
-            return self->close(Closing::orderly);
+            return self->close(CloseMode::graceful);
         self->onReadable();
     });
 }
@@ -64,12 +64,13 @@
 }
 
 bool ServerConnection::checkUnreadBytes() {
-    hasUnreadBytes = pipeline.empty() && !lingering && peek(stream.socket) == Unread::bytes;
+    hasUnreadBytes =
+        pipeline.empty() && !lingering && peekReadState(stream.socket) == ReadState::bytes;
     return hasUnreadBytes;
 }
 
 bool ServerConnection::isPeerConnected() {
-    if (stream.isClosed() || peek(stream.socket) != Unread::end)
+    if (stream.isClosed() || peekReadState(stream.socket) != ReadState::end)
         return !stream.isClosed();
     closeLater();
     return false;
@@ -91,9 +92,9 @@
     case TimeoutAction::sendError:
         return sendDueError();
     case TimeoutAction::reset:
-        return close(Closing::reset);
+        return close(CloseMode::reset);
     case TimeoutAction::close:
-        return close(Closing::orderly);
+        return close(CloseMode::graceful);
     // Bytes that arrived before the timeout was handled are still processed.
     case TimeoutAction::linger:
         if (peekReadState(stream.socket) != ReadState::bytes)
@@ -106,7 +107,7 @@
     }
 }
 
-void ServerConnection::close(Closing how) {
+void ServerConnection::close(CloseMode how) {
     if (!stream.close(how))
         return;
     const auto self = shared_from_this();
@@ -123,7 +124,7 @@
 // Deferred, since close() calls onGone, which must not run before the writer's own call has
 // returned.
 void ServerConnection::closeLater() {
-    stream.post([self = shared_from_this()] { self->close(Closing::orderly); });
+    stream.post([self = shared_from_this()] { self->close(CloseMode::graceful); });
 }
 
 void ServerConnection::onAnswered() {
@@ -163,7 +164,7 @@
     if (lingering || inputFaulty) {
         discardedBytes += size;
         if (discardedBytes > kMaxDiscardedBytes && lingering)
-            return close(Closing::orderly);
+            return close(CloseMode::graceful);
         return read();
     }
     if (!readAhead.empty() || !canAcceptCommand()) {
@@ -186,7 +187,7 @@
     if (fault == asio::error::eof && errorPending)
         peerClosedSending = true;
     else
-        close(Closing::orderly);
+        close(CloseMode::graceful);
 }
 
 std::shared_ptr<Exchange> ServerConnection::addExchange() {
@@ -286,7 +287,7 @@
     if (outgoing.capacity() > kKeptBufferBytes)
         outgoing.shrink_to_fit();
     if (pipeline.empty() && peerClosedSending)
-        return close(Closing::orderly);
+        return close(CloseMode::graceful);
     if (pipeline.empty() && inputFaulty)
         return linger();
     read();
@@ -303,7 +304,7 @@
                                  if (self->stream.isClosed())
                                      return;
                                  if (fault)
-                                     return self->close(Closing::orderly);
+                                     return self->close(CloseMode::graceful);
                                  self->write();
                              });
 }
--- a/src/resp/server_connection.hpp
+++ b/src/resp/server_connection.hpp
@@ -26,7 +26,7 @@
     /// Returns false if the connection is closed, or if the peer has closed its side; in that case
     /// the connection is closed later, from the event loop.
     bool isPeerConnected();
-    void close(net::Closing how);
+    void close(net::CloseMode how);
 
     // Called by the listener.
     ConnectionState state(SteadyTime now) const;
--- a/tests/path/cells_test.cpp
+++ b/tests/path/cells_test.cpp
@@ -192,7 +192,7 @@
     }
 
     void checkNothingRemains(const RawClient &sender, const ScriptedEndpoint &other) {
-        EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 2500ms))
+        EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }, 2500ms))
             << "expected no request to be left in flight";
         const auto attempts = gateway->counts().attempts;
         const auto decisions = gateway->counts().decisions;
@@ -206,7 +206,8 @@
         for (const auto &request : other.requests)
             endpointsReached += contains(request, "/once");
         EXPECT_LE(endpointsReached, faultIs("full") ? 2u : 1u);
-        EXPECT_EQ(gateway->counts().overdue, faultIs("stalled") ? gateway->counts().overdue : 0u);
+        EXPECT_EQ(gateway->counts().failedByDataPath,
+                  faultIs("stalled") ? gateway->counts().failedByDataPath : 0u);
         EXPECT_TRUE(!faultIs("shutdown") || until([&] { return drained; }));
     }
 
--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -14,11 +14,11 @@
     }
     auto silentFor() const { return std::chrono::steady_clock::now() - silentSince; }
     bool isListed(const EndpointId &id) const {
-        return std::ranges::any_of(gateway->listed(),
+        return std::ranges::any_of(gateway->endpointList(),
                                    [&](const auto &entry) { return entry.id == id; });
     }
     bool hasDrainingEndpoint() const {
-        return std::ranges::any_of(gateway->listed(), [](const auto &entry) {
+        return std::ranges::any_of(gateway->endpointList(), [](const auto &entry) {
             return entry.state == EndpointState::draining;
         });
     }
@@ -39,13 +39,13 @@
                        {"release", 1}}}}}
             .dump(indent);
     }
-    SlowToConnect &addSlowEndpoint(const EndpointId &id) {
+    FullBacklogListener &addSlowEndpoint(const EndpointId &id) {
         auto &added = slowEndpoints.emplace_back(io);
         fakePlatform.listEndpoint(id, added.address());
         return added;
     }
     std::chrono::steady_clock::time_point silentSince{};
-    std::deque<SlowToConnect> slowEndpoints;
+    std::deque<FullBacklogListener> slowEndpoints;
 };
 
 // ---- endpoint lists ----
@@ -115,7 +115,7 @@
     ASSERT_TRUE(until([&] { return !fakePlatform.listWatches.empty(); }))
         << "expected a new list watch";
     fakePlatform.listEndpoint("s1", target.address(), 1, "Terminating");
-    ASSERT_TRUE(until([&] { return gateway->listed()[0].state == EndpointState::draining; }));
+    ASSERT_TRUE(until([&] { return gateway->endpointList()[0].state == EndpointState::draining; }));
     oldWatch->write(listChange("s1", "Ready", -1, 900) + "\n");
     settleDown();
     EXPECT_EQ(gateway->endpointList()[0].state, EndpointState::draining);
@@ -170,7 +170,7 @@
     startGateway();
     auto &connection = client();
     connection.send(request("a"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; }));
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; }));
     bool drained = false;
     gateway->drain([&] { drained = true; });
     settleDown();
@@ -187,13 +187,13 @@
     startGateway();
     auto &connection = client();
     connection.send(request("a"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; }));
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; }));
     gateway->failRequestsInFlight();
     connection.send(request("b"));
     EXPECT_TRUE(until([&] { return connection.in.find("-BUSY") != std::string::npos; }, 1s))
         << connection.in;
     EXPECT_TRUE(connection.in.starts_with("-ERR failed\r\n-BUSY"));
-    EXPECT_EQ(attempts(), 1u);
+    EXPECT_EQ(receivedCommandCount(), 1u);
 }
 
 // A connection's idle timeout expires while a request lies unread in its socket buffer: closing it
@@ -229,13 +229,13 @@
     startGateway();
     auto &connection = client();
     connection.send(request("a"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; }));
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; }));
     auto &healthy = endpoint(echo);
-    ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
+    ASSERT_TRUE(until([&] { return gateway->endpointList().size() == 2; }));
     endpoints[0].send("-ERR failed\r\n");  // becomes readable first, so it is handled first
     connection.hangUp();
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }));
-    EXPECT_EQ(gateway->counts().gone, 1u);
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }));
+    EXPECT_EQ(gateway->counts().abandoned, 1u);
     EXPECT_EQ(gateway->counts().attempts, 1u);
     EXPECT_EQ(healthy.commands.size(), 0u);
 }
@@ -250,28 +250,28 @@
     for (int i = 0; i < 100; ++i)
         requests += request("r" + std::to_string(i));
     connection.send(requests);
-    ASSERT_TRUE(until([&] { return gateway->counts().taken >= 64; }));
+    ASSERT_TRUE(until([&] { return gateway->counts().accepted >= 64; }));
     settleDown();
     connection.hangUp();
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 2s))
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }, 2s))
         << "expected the requests to end before their timeouts";
-    EXPECT_GT(gateway->counts().gone, 0u);
-    EXPECT_EQ(gateway->counts().errored, 0u);
-    EXPECT_LT(gateway->counts().taken, 100u)
+    EXPECT_GT(gateway->counts().abandoned, 0u);
+    EXPECT_EQ(gateway->counts().failed, 0u);
+    EXPECT_LT(gateway->counts().accepted, 100u)
         << "expected the commands over the limit to be left unread";
 }
 
 // Cancellation is off, which binds only attempts that have been sent: one that still connects when
 // its client disconnects must end without being sent.
 TEST_F(Crossing, ACloseWhileItsAttemptConnectsEndsItThoughNothingMayBeCancelled) {
-    limits = {{"Cancel", false}, {"ConnectTimeoutS", 3}};
+    limitsOverrides = {{"Cancel", false}, {"ConnectTimeoutS", 3}};
     auto &slowEndpoint = addSlowEndpoint("slow");
     startGateway();
     auto &connection = client();
     connection.send(request("a"));
     ASSERT_TRUE(until([&] { return gateway->counts().attempts == 1; }));
     connection.hangUp();
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }, 800ms))
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }, 800ms))
         << "expected the request to end before its connection is established";
     slowEndpoint.acceptAll();
     settleDown();
@@ -281,7 +281,7 @@
 // An endpoint's address changes while an attempt connects to the old one, which may belong to
 // another process by now.
 TEST_F(Crossing, AnAttemptThatConnectsToAFormerAddressIsNotSentThere) {
-    limits = {{"ConnectTimeoutS", 3}};
+    limitsOverrides = {{"ConnectTimeoutS", 3}};
     auto &slowEndpoint = addSlowEndpoint("s");
     startGateway();
     auto &connection = client();
@@ -332,7 +332,7 @@
 // Bytes that an endpoint sends as soon as it accepts are not a response: the client would get one
 // that belongs to another request.
 TEST_F(Crossing, WhatAnEndpointSendsBeforeItsRequestIsNoAnswer) {
-    limits = {{"MostTries", 100}};
+    limitsOverrides = {{"MostTries", 100}};
     tcp::acceptor earlyAcceptor(io, tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     fakePlatform.listEndpoint("early", format(earlyAcceptor.local_endpoint()));
     startGateway();
@@ -345,7 +345,7 @@
     earlyAcceptor.close();
     endpoint(echo);
     EXPECT_TRUE(until([&] { return connection.in == resp::bulk("of a"); })) << connection.in;
-    EXPECT_EQ(attempts(), 1u);
+    EXPECT_EQ(receivedCommandCount(), 1u);
 }
 
 // ---- idle connections ----
@@ -355,11 +355,12 @@
 TEST_F(Crossing, AConnectionThatHasStoodIdleTooLongIsNotTakenBeforeTheSweep) {
     auto &target = endpoint(echo);
     startGateway();
-    EXPECT_EQ(ask("a"), resp::bulk("of a"));
+    EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a"));
     const auto before = target.opened;
     clock.ahead += 8s;  // over half of the endpoints' keep-alive time
-    ask("stale");       // shed without an attempt, as the clock's jump counts as a process stall
-    EXPECT_EQ(ask("b"), resp::bulk("of b"));
+    sendAndAwaitReply(
+        "stale");  // shed without an attempt, as the clock's jump counts as a process stall
+    EXPECT_EQ(sendAndAwaitReply("b"), resp::bulk("of b"));
     EXPECT_EQ(target.opened, before + 1);
 }
 
@@ -377,8 +378,9 @@
     *clock.held += 9ms;
     EXPECT_EQ(sendAndAwaitReply("b", "once"), resp::bulk("of b"));
     *clock.held += 10ms;
-    EXPECT_EQ(ask("c", "once"), resp::bulk("of c"));
-    EXPECT_EQ(endpoints[0].opened, 2u) << "expected a connection to be reused after the delay";
+    EXPECT_EQ(sendAndAwaitReply("c", "once"), resp::bulk("of c"));
+    EXPECT_EQ(endpoints[0].acceptedConnections, 2u)
+        << "expected a connection to be reused after the delay";
 }
 
 // An endpoint closes an idle connection while the gateway picks it for a request. A non-retriable
@@ -386,7 +388,7 @@
 TEST_F(Crossing, AnEndpointsCloseThatIsUnreadWhenItsConnectionIsTakenCostsNoRequest) {
     auto &target = endpoint(echo);
     startGateway(256, 0s);
-    EXPECT_EQ(ask("a"), resp::bulk("of a"));
+    EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a"));
     const auto before = target.opened;
     auto &connection = client();
     connection.send(request("b", "once"));  // becomes readable first, so it is handled first
@@ -403,7 +405,8 @@
         endpoint(echo);
     startGateway(64, 0s);
     for (int i = 0; i < 120; ++i)
-        ASSERT_EQ(ask("r" + std::to_string(i)), resp::bulk("of r" + std::to_string(i)));
+        ASSERT_EQ(sendAndAwaitReply("r" + std::to_string(i)),
+                  resp::bulk("of r" + std::to_string(i)));
     EXPECT_LE(transport->upstreamPool->connections(), 20u);
 }
 
--- a/tests/path/gateway_test.cpp
+++ b/tests/path/gateway_test.cpp
@@ -119,12 +119,12 @@
     EXPECT_EQ(statusOf(response), 504);
     EXPECT_TRUE(contains(response, "Deckcart-End: errored"));
     EXPECT_LT(std::chrono::steady_clock::now() - sentAt, 300ms + 2s);
-    EXPECT_EQ(gateway->counts().overdue, 0u)
+    EXPECT_EQ(gateway->counts().failedByDataPath, 0u)
         << "expected the policy to end it, not the data path's check of overdue requests";
     const auto withClientTimeout = ask("/once", "X-Remaining-Ms: 200\r\n");
     EXPECT_EQ(statusOf(withClientTimeout), 504)
         << "expected the client's timeout to apply, not the route's";
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }));
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }));
 }
 
 // With no endpoint listed nothing can be sent; the client must be told that nothing ran and when to
@@ -274,9 +274,9 @@
     ASSERT_TRUE(until([&] { return !slow.in.empty(); }));
     for (int i = 0; i < 5; ++i)
         EXPECT_EQ(statusOf(ask("/x")), 200);
-    EXPECT_TRUE(until([&] { return gateway->inHand() == 0; }))
+    EXPECT_TRUE(until([&] { return gateway->requestsInFlight() == 0; }))
         << "expected the slow client to be disconnected after slowPeerMs";
-    EXPECT_EQ(gateway->counts().gone, 1u);
+    EXPECT_EQ(gateway->counts().abandoned, 1u);
 }
 
 // ---- clients ----
@@ -369,8 +369,8 @@
     connection.hangUp();
     EXPECT_TRUE(until([&] { return instances[0].openConnections == 0; }))
         << "expected the gateway to close the connection of the abandoned attempt";
-    EXPECT_EQ(gateway->counts().gone, 1u);
-    EXPECT_EQ(gateway->inHand(), 0u);
+    EXPECT_EQ(gateway->counts().abandoned, 1u);
+    EXPECT_EQ(gateway->requestsInFlight(), 0u);
 }
 
 // A connection dropped before or within a request must free its place under the connection limit.
@@ -637,9 +637,9 @@
     ASSERT_TRUE(until([&] { return totalRequests(instances) == 1; }));
     ASSERT_TRUE(gateway->mayRestartPolicy());
     document["release"] = {{"spareTries", 9}};
-    gateway->apply(*parseSettings(document).settings, true);
+    gateway->applySettings(*parseSettings(document).settings, true);
     auto &second = addEndpoint([](auto, auto &) { return ok(); });
-    ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
+    ASSERT_TRUE(until([&] { return gateway->endpointList().size() == 2; }));
     EXPECT_TRUE(until([&] { return connection.statuses().size() == 1; }));
     EXPECT_EQ(connection.statuses(), std::vector<int>{504});
     for (int i = 0; i < 8 && second.requests.empty(); ++i)
@@ -655,7 +655,7 @@
     EXPECT_TRUE(gateway->mayRestartPolicy());
     ScriptedEndpoint canary(io, [](auto, auto &) { return ok(); });
     controlPlane.list(canary.id(), 2);
-    ASSERT_TRUE(until([&] { return gateway->listed().size() == 2; }));
+    ASSERT_TRUE(until([&] { return gateway->endpointList().size() == 2; }));
     EXPECT_FALSE(gateway->mayRestartPolicy());
 }
 
@@ -764,7 +764,7 @@
         for (std::size_t i = 0; i < instances.size(); ++i)
             list.push_back(makeListedEndpoint(instances[i].id(), BuildNumber(i + 1)));
         if (listSaved)
-            gateway->remember(list);
+            gateway->restoreEndpoints(list);
         const auto runDecisions = [&] {
             const auto before = gateway->counts().decisions;
             return until([&] { return gateway->counts().decisions > before + 20; });
@@ -792,7 +792,7 @@
     auto read = parseSettings(document);
     gateway = std::make_unique<Gateway>(io, clock, *read.settings, 1, Log(),
                                         *parseAddress("127.0.0.1:0"));
-    gateway->remember(list);
+    gateway->restoreEndpoints(list);
     for (int i = 0; i < 40; ++i)
         EXPECT_EQ(statusOf(ask("/x")), 200)
             << "expected 200 although a single baseline endpoint is left";
--- a/tests/path/program_test.cpp
+++ b/tests/path/program_test.cpp
@@ -103,7 +103,7 @@
     launch();
     auto &connection = connectTo(waitForListenAddress());
     connection.send(request("a"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; })) << readLog();
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; })) << readLog();
     kill(pid, SIGHUP);
     kill(pid, SIGTERM);
     ASSERT_TRUE(waitForEvent("draining"));
@@ -125,7 +125,7 @@
     launch();
     auto &connection = connectTo(waitForListenAddress());
     connection.send(request("a", "once", "3900"));
-    ASSERT_TRUE(until([&] { return attempts() == 1; })) << readLog();
+    ASSERT_TRUE(until([&] { return receivedCommandCount() == 1; })) << readLog();
     const auto signalledAt = std::chrono::steady_clock::now();
     const std::int64_t signalledAtMs = unixMs();
     kill(pid, SIGTERM);
