--- a/tests/path/crossings_test.cpp
+++ b/tests/path/crossings_test.cpp
@@ -356,12 +356,12 @@
     auto &target = endpoint(echo);
     startGateway();
     EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a"));
-    const auto before = target.opened;
+    const auto before = target.acceptedConnections;
     clock.ahead += 8s;  // over half of the endpoints' keep-alive time
     sendAndAwaitReply(
         "stale");  // shed without an attempt, as the clock's jump counts as a process stall
     EXPECT_EQ(sendAndAwaitReply("b"), resp::bulk("of b"));
-    EXPECT_EQ(target.opened, before + 1);
+    EXPECT_EQ(target.acceptedConnections, before + 1);
 }
 
 // An endpoint sends a second response on a connection that is idle again. The next request on it
@@ -389,13 +389,13 @@
     auto &target = endpoint(echo);
     startGateway(256, 0s);
     EXPECT_EQ(sendAndAwaitReply("a"), resp::bulk("of a"));
-    const auto before = target.opened;
+    const auto before = target.acceptedConnections;
     auto &connection = client();
     connection.send(request("b", "once"));  // becomes readable first, so it is handled first
     target.closeLatest();
     EXPECT_TRUE(until([&] { return !connection.in.empty(); }));
     EXPECT_EQ(connection.in, resp::bulk("of b"));
-    EXPECT_EQ(target.opened, before + 1);
+    EXPECT_EQ(target.acceptedConnections, before + 1);
 }
 
 // Idle connections to many endpoints can use up the connection limit; they must be closed where a
